--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -119,7 +119,7 @@
 		return
 	}
 	out := &Counts{Attempts: c.attempts.Load(), Open: len(e.openByID) + e.streaming, Arrivals: e.balancer.Demand()}
-	out.KnownServers, out.AvoidedServers = e.balancer.Fleet()
+	out.KnownServers, out.AvoidedServers = e.balancer.ServerCounts()
 	if e.reportRules {
 		out.Rules = e.Guard.Counts()
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -425,8 +425,8 @@
 	d := decide.Request{ID: r.id, Class: q.Class, Tenant: q.Tenant, Key: keyID(q.Key), HasKey: true,
 		Left: left, Hint: q.Hint, Size: q.Size, Retry: q.Retry, Write: q.Write, Owners: q.Owners, Stores: q.CacheFill}
 	if e.tenants != nil && !q.CacheFill {
-		d.Standing, d.Again = e.tenants.Arrived(now, e.balancer.Portion(), q)
-		r.countedByTenants = d.Standing != decide.Beyond
+		d.Standing, d.Again = e.tenants.Arrived(now, e.balancer.TrafficShare(), q)
+		r.countedByTenants = d.Standing != decide.QuotaDenied
 	}
 	e.balancer.Request(now, d)
 }
@@ -444,7 +444,7 @@
 		return
 	}
 	e.finish(r, Answer{Result: ClientGone})
-	e.balancer.Gone(e.now(), r.id)
+	e.balancer.ClientGone(e.now(), r.id)
 	for _, a := range r.attempts { // where the Balancer cancels nothing, nobody waits all the same
 		a.cancel(e)
 	}
@@ -514,7 +514,7 @@
 		r.askingServers = got.Owners
 	}
 	e.balancer.Outcome(now, decide.Outcome{ID: r.id, Attempt: a.index, Server: a.serverID, Status: got.Status, Latency: now - a.startedAt,
-		Final: r.finished, Note: got.CacheResult, Load: got.Load, Owners: got.Owners})
+		Final: r.finished, CacheResult: got.CacheResult, Load: got.Load, Owners: got.Owners})
 }
 
 // fillRequest makes the request that stores what an attempt at the origin has brought, nil where there is nothing to store.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -50,12 +50,12 @@
 // recordingLimiter tells what a Tenants is told, in words. It runs on the engine's goroutine.
 type recordingLimiter struct{ calls []string }
 
-func (c *recordingLimiter) Arrived(_, _ float64, q *Request) (decide.Standing, float64) {
+func (c *recordingLimiter) Arrived(_, _ float64, q *Request) (decide.QuotaStatus, float64) {
 	if q.Tenant == "nobody" {
-		return decide.Beyond, 0
+		return decide.QuotaDenied, 0
 	}
 	c.calls = append(c.calls, q.ID+" arrives")
-	return decide.Within, 0
+	return decide.QuotaGuaranteed, 0
 }
 func (c *recordingLimiter) FetchStarted(_ float64, q *Request) {
 	c.calls = append(c.calls, q.ID+" fetches")
--- a/internal/engine/handed.go
+++ b/internal/engine/handed.go
@@ -28,7 +28,7 @@
 
 // ExportState is what the engine has to hand over.
 func (e *Engine) ExportState() HandoverState {
-	h := HandoverState{Learned: e.balancer.Learned(e.now()), Now: e.now()}
+	h := HandoverState{Learned: e.balancer.ExportLearned(e.now()), Now: e.now()}
 	for id, t := range e.targets {
 		s := Server{t.entry, t.addr}
 		if known, ok := e.starts.known[id]; ok && s.Started == known.at {
@@ -47,7 +47,7 @@
 		return fmt.Errorf("handed over: %d servers, 1 to %d are possible", len(h.Servers), maxHandoverServers)
 	}
 	for _, s := range h.Servers {
-		if s.Addr == "" || s.State < decide.Ready || s.State >= decide.Gone || !(s.Size >= 0) || !(s.Started >= 0) {
+		if s.Addr == "" || s.State < decide.Ready || s.State >= decide.Removed || !(s.Size >= 0) || !(s.Started >= 0) {
 			return fmt.Errorf("handed over: server %08x makes no sense", s.ID)
 		}
 	}
@@ -55,8 +55,8 @@
 		return errors.New("handed over: too late, a list is there")
 	}
 	e.convertClock(&h)
-	e.UpdateServers(decide.Remembered, h.Servers)
-	if err := e.balancer.Learn(e.now(), h.Learned); err != nil {
+	e.UpdateServers(decide.Restored, h.Servers)
+	if err := e.balancer.ImportLearned(e.now(), h.Learned); err != nil {
 		slog.Warn("handover: what was learned is not taken", "why", err)
 	}
 	e.publishCounts()
@@ -74,7 +74,7 @@
 	if h.Now <= 0 || math.Abs(by) < clockTolerance {
 		by = 0
 	}
-	h.Learned.Shift(by)
+	h.Learned.ShiftTimes(by)
 	at := map[uint32]float64{}
 	for _, s := range h.Starts {
 		at[s.ID] = s.At + by
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -22,7 +22,7 @@
 			entries = append(entries, e.dropReplaced(d)...)
 		}
 		switch {
-		case d.State == decide.Gone:
+		case d.State == decide.Removed:
 			e.dropServer(d.ID)
 		case t == nil || t.addr != d.Addr:
 			e.dropServer(d.ID)
@@ -37,7 +37,7 @@
 			t.setClosing(d.State == decide.Draining, e.now())
 		}
 	}
-	if kind == decide.Full || kind == decide.Remembered {
+	if kind == decide.Full || kind == decide.Restored {
 		for id := range e.targets {
 			if !named[id] {
 				e.dropServer(id)
@@ -60,7 +60,7 @@
 	for _, old := range slices.Clone(e.serversByAddr[by.Addr]) {
 		if by.Started > e.targets[old].started {
 			e.dropServer(old)
-			gone = append(gone, decide.Entry{ID: old, State: decide.Gone})
+			gone = append(gone, decide.Entry{ID: old, State: decide.Removed})
 		}
 	}
 	return gone
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -50,7 +50,7 @@
 	case requestDeadline: // should the Balancer owe an answer even then, the client still gets one in time
 		slog.Error("request: no answer by its deadline", "id", t.request.ID)
 		host{e}.Fail(t.request.id)
-		e.balancer.Gone(e.now(), t.request.id)
+		e.balancer.ClientGone(e.now(), t.request.id)
 	}
 }
 
