--- a/internal/engine/allocs_test.go
+++ b/internal/engine/allocs_test.go
@@ -25,11 +25,11 @@
 func (instantBackend) CloseIdle() {}
 func (instantBackend) Remove()    {}
 
-// startInstantEngine runs an engine of three servers that answer at once, and gives what asks it for one read and waits for the
-// answer.
+// startInstantEngine starts an engine with three servers that answer at once. The returned function submits
+// one read and waits for its answer.
 func startInstantEngine(tb testing.TB) (ask func()) { return startInstantEngineWith(tb, false) }
 
-// startInstantEngineWith counts or does not.
+// startInstantEngineWith is startInstantEngine with a choice whether counts are published.
 func startInstantEngineWith(tb testing.TB, counts bool) (ask func()) {
 	tb.Helper()
 	e, err := New(Options{CollectCounts: counts, Seed: 5, MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1, FallMult: 3, FallFor: 1000,
@@ -67,13 +67,13 @@
 	tb.Cleanup(func() { stop(); <-ended })
 }
 
-// maxAllocs bounds the allocations of a read that hits, from its arrival at the engine to its answer, with those of the
-// module. What a front and a backend allocate is bounded in their own tests.
+// maxAllocs limits the allocations of a read that hits, from its submission to its answer, including those of
+// package decide. The allocations of fronts and backends are limited by their own tests.
 const maxAllocs = 16
 
 func TestAllocationsForEachRequest(t *testing.T) {
 	ask := startInstantEngine(t)
-	for range 2000 { // maps and slices have their size, the key is known
+	for range 2000 { // warm-up: maps and slices reach their size and the key becomes known
 		ask()
 	}
 	if n := testing.AllocsPerRun(2000, ask); n > maxAllocs {
@@ -91,7 +91,8 @@
 	}
 }
 
-// BenchmarkFiguresRatio compares requests to an engine that counts with those to one that does not, in turn.
+// BenchmarkFiguresRatio alternates requests to an engine that publishes counts with requests to one that does
+// not, and reports the ratio of their times.
 func BenchmarkFiguresRatio(b *testing.B) {
 	with, without := startInstantEngineWith(b, true), startInstantEngineWith(b, false)
 	var took [2]time.Duration
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -10,26 +10,30 @@
 	"mossproxy.example/mossproxy/internal/guard"
 )
 
-// publishInterval is how often an engine publishes its counts, in ms: figures may be half a second old.
+// publishInterval is the time in ms between two publications of the counts. Figures may be half a second old.
 const publishInterval = 50
 
-// ClassCounts are the final answers to the requests of a class.
+// ClassCounts are the numbers of final answers to the requests of a class.
 type ClassCounts struct {
 	Class                   string
 	Served, Refused, Failed uint64
 }
 
-// CollectCounts are what an engine has counted since its start, all at one moment. What is published is never changed.
+// Counts are what an engine has counted since its start, all at one moment. Published counts are never
+// changed.
 type Counts struct {
-	Classes                      []ClassCounts // by name, also those that nobody has asked for
-	Attempts                     uint64        // attempts that were written whole, to cache servers and to the origin
-	Open                         int           // requests that are taken and not answered
-	KnownServers, AvoidedServers int           // cache servers on the list, and those of them that requests are kept from
-	Rules                        []guard.Count // how often each rule was checked, kept and broken; by rule
-	Arrivals                     decide.Demand // what has come by worth; nothing where routers tell each other nothing
+	Classes []ClassCounts // sorted by name, including classes without requests
+	// Attempts that were written completely, to cache servers and to the origin
+	Attempts uint64
+	Open     int // requests that are accepted and not answered
+	// Listed cache servers, and those of them that receive no requests at present
+	KnownServers, AvoidedServers int
+	// Checks, preventions and violations of each rule; sorted by rule
+	Rules    []guard.Count
+	Arrivals decide.Demand // arrivals by worth; empty where routers don't exchange any
 }
 
-// Reserve adds the counts of another engine.
+// Add adds the counts of another engine.
 func (c *Counts) Add(o Counts) {
 	c.Attempts, c.Open = c.Attempts+o.Attempts, c.Open+o.Open
 	c.KnownServers, c.AvoidedServers = c.KnownServers+o.KnownServers, c.AvoidedServers+o.AvoidedServers
@@ -52,28 +56,28 @@
 
 func compareByClass(a, b ClassCounts) int { return strings.Compare(a.Class, b.Class) }
 
-// counter counts for one engine. All but tries is its goroutine's.
+// counter counts for one engine. Everything but attempts belongs to the engine's goroutine.
 type counter struct {
-	classes   map[string]*ClassCounts // as many as configurations have named
+	classes   map[string]*ClassCounts // grows to the number of class names ever configured
 	attempts  atomic.Uint64
 	published atomic.Pointer[Counts]
 	timer     timer
 }
 
-// addClass has classes counted, and shown before anybody asks for them.
+// addClass makes a class counted, and published before its first request.
 func (c *counter) addClass(class string) {
 	if c.classes[class] == nil {
 		c.classes[class] = &ClassCounts{Class: class}
 	}
 }
 
-// countAnswer counts a final answer to a client. What ended after its client had left is not counted.
+// countAnswer counts a final answer to a client. Requests whose client has disconnected are not counted.
 func (e *Engine) countAnswer(class string, got Result) {
 	if e.counter == nil {
 		return
 	}
 	k := e.counter.classes[class]
-	if k == nil { // of a configuration that is gone: the request came before
+	if k == nil { // the class was removed after the request arrived
 		return
 	}
 	switch got {
@@ -86,15 +90,18 @@
 	}
 }
 
-// CountRejected counts a request that was refused where it came, for want of room. It may be called from any goroutine.
+// CountRejected counts a request that its front refused for lack of capacity. It may be called from any
+// goroutine.
 func (e *Engine) CountRejected(class string) {
 	if e.counter != nil {
 		e.Post(func() { e.countAnswer(class, Refused) })
 	}
 }
 
-// StreamEnded tells how a long value ended, which was served when its first bytes were. It may be called from any goroutine, the engine's too, and
-// does not wait: a connection has one such value at a time, and those that wait behind it.
+// StreamEnded reports whether a streamed value, which counts as served from its first bytes, was written
+// completely. It may be called from any goroutine, including the engine's, and does not block. The queue
+// still stays short: a connection has at most one such value at a time, and its other requests wait behind
+// it.
 func (e *Engine) StreamEnded(class string, whole bool) {
 	e.events.postUnbounded(func() {
 		e.streaming--
@@ -106,13 +113,13 @@
 	})
 }
 
-// publishPeriodically makes the counts of this moment what Counts gives, again and again.
+// publishPeriodically publishes the current counts now and after every publishInterval.
 func (e *Engine) publishPeriodically() {
 	e.publishCounts()
 	e.startTimer(&e.counter.timer, publishInterval)
 }
 
-// publishCounts makes the counts of this moment what Counts gives.
+// publishCounts makes the current counts available to Counts.
 func (e *Engine) publishCounts() {
 	c := e.counter
 	if c == nil {
@@ -129,7 +136,8 @@
 	c.published.Store(out)
 }
 
-// CollectCounts are the engine's latest, none where it does not count. It may be called from any goroutine, and waits for nothing.
+// Counts returns the latest published counts, or none if the engine does not count. It may be called from any
+// goroutine and does not block.
 func (e *Engine) Counts() Counts {
 	if e.counter == nil {
 		return Counts{}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine carries out what the module decides: one goroutine owns a Balancer, its requests and timers. It knows no
-// protocol. Fronts hand it requests and get each one's final answer; backends make its attempts.
+// Package engine executes the decisions of package decide. A single goroutine owns a decide.Balancer with its
+// requests and timers. The engine knows no protocol: fronts submit requests and receive the final answer of
+// each, and backends make the attempts.
 package engine
 
 import (
@@ -14,11 +15,11 @@
 	"mossproxy.example/mossproxy/internal/guard"
 )
 
-// clock is one monotonic clock in milliseconds on which the starts of servers lie too: it counts from 1970 but steps
-// with no one. So no real start is 0, which means long ago, or below it.
+// clock is a monotonic clock in ms since 1970, on which start times of servers are expressed too. It does not
+// follow steps of the wall clock. Every real start time is above 0; values of 0 or less mean "long ago".
 type clock struct {
-	unixStart float64   // Unix time in ms at the start, by the wall clock of then
-	start     time.Time // with its monotonic part
+	unixStart float64   // wall clock at the start of the process, Unix time in ms
+	start     time.Time // with its monotonic reading
 }
 
 func newClock() clock {
@@ -28,110 +29,116 @@
 
 func (c clock) now() float64 { return c.unixStart + float64(time.Since(c.start).Microseconds())/1000 }
 
-// Engine owns the Balancer, the requests and the timers: everything here runs on its one goroutine but post. It is the
-// Balancer's Host, and no method of it blocks.
+// Engine owns the Balancer, the requests and the timers, and implements decide.Host through host. Its methods
+// run on its own goroutine unless their doc says otherwise, and none of them blocks except Post and Run.
 type Engine struct {
 	clock
-	balancer      *decide.Balancer
-	backend       Backend
-	watchList     func() // asks the source of lists to be watched
-	hedging       bool
-	maxAttempts   int
-	events        events
-	batchEnd      []func() // what is done at the end of this batch of events
-	ctx           context.Context
-	timers        timerHeap
-	freeTimers    *timer   // timers of the module that have gone off, as many as were set at once at most
-	deferred      []func() // what a Host method has caused: the Balancer must not be called from within its call
+	balancer    *decide.Balancer
+	backend     Backend
+	watchList   func() // asks the source of server lists to report changes
+	hedging     bool
+	maxAttempts int
+	events      events
+	batchEnd    []func() // functions to run at the end of the current batch of events
+	ctx         context.Context
+	timers      timerHeap
+	// Free list of the Balancer's timers that have fired; its length is at most the number that were set at
+	// once.
+	freeTimers    *timer
+	deferred      []func() // work caused by Host methods, which must not call the Balancer back
 	requests      map[uint32]*request
 	lastID        uint32
-	openByID      map[string]*request                     // those that are not answered, by their client's id
-	classes       atomic.Pointer[map[string]decide.Class] // read by clients too
-	HeldBytes     Budget                                  // bytes of the values of requests in hand
+	openByID      map[string]*request                     // unanswered requests by the client's ID
+	classes       atomic.Pointer[map[string]decide.Class] // also read by clients' goroutines
+	HeldBytes     Budget                                  // bytes of the values of requests in progress
 	QueuedBytes   Budget                                  // bytes of answers that no client has taken yet
 	targets       map[uint32]*server
-	serversByAddr map[string][]uint32 // servers at an address
+	serversByAddr map[string][]uint32 // IDs of the servers at an address
 	starts        startTimes
-	ready         atomic.Bool   // a list is held
-	inferStarts   bool          // nobody tells of starts
-	store         Store         // nil = values are stored by others
-	tenants       TenantLimiter // nil = nobody counts
-	ids           *RequestIDs   // nil = this engine is alone
-	originKind    string        // kind of the origin
-	counter       *counter      // nil = nobody reads figures
-	traceRequests bool          // each request is logged
-	shutdownAt    float64       // no answer is given later: the process ends; +Inf = it does not
-	streaming     int           // long values that are on their way to clients
-	Guard         *guard.Guard  // checks the rules; never nil
-	reportRules   bool          // its counts are among the engine's
-}
-
-// serverID is a listed server as the engine knows it.
+	ready         atomic.Bool   // a server list is held
+	inferStarts   bool          // starts are inferred from refused connections, as nobody reports them
+	store         Store         // nil = the router does not store fetched values
+	tenants       TenantLimiter // nil = tenants are not tracked
+	ids           *RequestIDs   // nil = this engine shares request IDs with no other
+	originKind    string        // kind of the origin in server lists
+	counter       *counter      // nil = no counts are published
+	traceRequests bool          // every request is logged
+	shutdownAt    float64       // no answer is given after this time, as the process ends; +Inf = not ending
+	streaming     int           // streamed values on their way to clients
+	Guard         *guard.Guard  // counts checks and violations of invariants; not nil after New
+	reportRules   bool          // the guard's counts are part of this engine's counts
+}
+
+// server is the engine's record of a listed server.
 type server struct {
 	Endpoint
 	addr          string
-	started       float64       // of its process,
-	inferredStart float64       // as it was taken from refused connections,
-	refusedAt     float64       // when one was refused last, and nothing has been answered since
-	entry         decide.Entry  // as the Balancer has it
-	closingBits   atomic.Uint64 // bits of the time since when it is known to drain or to be gone; 0 = it is not
+	started       float64      // start time of its process
+	inferredStart float64      // start time inferred from refused connections; 0 = none
+	refusedAt     float64      // time of the last refused connection, 0 if the server has answered since
+	entry         decide.Entry // as passed to the Balancer
+	// Float64 bits of the time since which the server is known to drain or be gone; 0 = neither
+	closingBits atomic.Uint64
 }
 
-// request is a request from its arrival until it is answered and its attempts are back.
+// request is the record of a request, kept until it is answered and all of its attempts have ended.
 type request struct {
 	*Request
 	id               uint32
-	readAt           float64 // when it came,
-	deadline         float64 // and when its client stops waiting; both never change
+	readAt           float64 // time of arrival; never changes
+	deadline         float64 // time when the client stops waiting; never changes
 	class            decide.Class
-	client           Client // nil = nobody who could leave
+	client           Client // nil = no client that could disconnect
 	handle           *RequestHandle
-	timer            timer // the last moment for an answer
+	timer            timer // fires if the Balancer has not answered in time
 	firstAttempt     attempt
-	attemptsBuf      [1]*attempt // the memory of tries for most
-	finished         bool        // has its final answer, or its client has gone
-	countedByTenants bool        // by Tenants
+	attemptsBuf      [1]*attempt // backing array of attempts, enough for most requests
+	finished         bool        // has its final answer, or its client has disconnected
+	countedByTenants bool        // the TenantLimiter counts it
 	attempts         []*attempt
 	inFlight         int
-	askingServers    []uint32 // at whom its next attempt is by leave
+	askingServers    []uint32 // servers at which the next attempt is sent with ASKING
 }
 
 // attempt is one attempt of a request.
 type attempt struct {
-	engine         *Engine
-	request        *request
-	index          int
-	serverID       uint32
-	target         *server // nil = it was not listed
-	startedAt      float64
-	finished       bool    // has its outcome; what comes later is nobody's
-	counted        bool    // among those that are counted
-	passedDeadline float64 // ms: the deadline that the server was passed; of who writes it
-	asking         bool    // by leave of another server
-	maybeRan       bool    // valid once over: it may have run
-	beginBy        float64 // it must not begin later: a server that drops repeats of it forgets the attempt before; 0 = no bound
-	canceler       Canceler
-	timer          timer
-	phase          atomic.Int32
-}
-
-// The phases of an attempt. It leaves phaseOpening once, either way.
+	engine    *Engine
+	request   *request
+	index     int
+	serverID  uint32
+	target    *server // nil = the server was not listed
+	startedAt float64
+	finished  bool // has its outcome; later results are dropped
+	counted   bool // counted in Counts.Attempts once it is written
+	// Deadline in ms passed to the server; used by the goroutine that writes the attempt
+	passedDeadline float64
+	asking         bool // sent with ASKING
+	maybeRan       bool // it may have run; valid once finished is set
+	// Latest time to begin: later the server may have forgotten the earlier attempt and would not drop this
+	// repeat as a duplicate; 0 = no limit
+	beginBy  float64
+	canceler Canceler
+	timer    timer
+	phase    atomic.Int32
+}
+
+// Phases of an attempt. phaseOpening is left exactly once, for one of the other two.
 const (
 	phaseOpening  = iota // nothing is written
-	phaseWriting         // may have run from here on
-	phaseCanceled        // and will never be written
+	phaseWriting         // from here on it may have run
+	phaseCanceled        // it will never be written
 )
 
-// Done is Caller's.
+// Done implements AttemptHandler.
 func (a *attempt) Done(got Reply) { a.engine.Post(func() { a.engine.finishAttempt(a, got) }) }
 
-// Budget bounds the bytes that are kept for one purpose. It may be used from any goroutine.
+// Budget limits the bytes held for one purpose. It may be used from any goroutine.
 type Budget struct {
 	used  atomic.Int64
 	limit atomic.Int64
 }
 
-// TryReserve takes n bytes if there is room.
+// TryReserve reserves n bytes if they are available and reports whether it did.
 func (b *Budget) TryReserve(n int) bool {
 	if b.used.Add(int64(n)) <= b.limit.Load() {
 		return true
@@ -140,43 +147,47 @@
 	return false
 }
 
-// Reserve takes n bytes, room or not.
+// Reserve reserves n bytes even if that exceeds the limit.
 func (b *Budget) Reserve(n int) { b.used.Add(int64(n)) }
 
-// Release gives n bytes back.
+// Release returns n bytes.
 func (b *Budget) Release(n int) { b.used.Add(-int64(n)) }
 
-// Full says whether the bound is reached.
+// Full reports whether the limit is reached.
 func (b *Budget) Full() bool { return b.used.Load() >= b.limit.Load() }
 
-// Limit is the bound.
+// Limit returns the limit in bytes.
 func (b *Budget) Limit() int64 { return b.limit.Load() }
 
-// SetLimit changes the bound. What is taken stays taken.
+// SetLimit changes the limit. Reserved bytes stay reserved.
 func (b *Budget) SetLimit(n int64) { b.limit.Store(n) }
 
-// Used is how many bytes are taken.
+// Used returns the number of reserved bytes.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
-// answerGrace after a client's deadline within which the answer to a time-out at the deadline comes.
+// answerGrace is the time in ms after a client's deadline within which the answer to a timeout at the
+// deadline arrives.
 const answerGrace = 15
 
-// Options are what an engine is made by.
+// Options configure an engine.
 type Options struct {
 	Config         decide.Config
 	Seed           uint64
-	MaxHeldBytes   int64         // bound on the bytes of the values of requests in hand
-	MaxQueuedBytes int64         // bound on the bytes of answers that no client has taken yet
-	InferStarts    bool          // nobody tells of starts: they are inferred from refused connections
-	Store          Store         // nil = values that the origin gives are stored by others
-	Tenants        TenantLimiter // nil = tenants have no limits but the module's quotas
-	IDs            *RequestIDs   // of requests that are open at any engine of the pool; nil = there is this one alone
-	CollectCounts  bool          // somebody reads figures
-	Guard          *guard.Guard  // nil = one of its own
-	ReportRules    bool          // the guard's counts are among this engine's: one of those that share it
-}
-
-// New is an engine that makes its attempts by a backend. An error names the setting that the module can't take.
+	MaxHeldBytes   int64         // limit for the bytes of the values of requests in progress
+	MaxQueuedBytes int64         // limit for the bytes of answers that no client has taken yet
+	InferStarts    bool          // infer server starts from refused connections, as nobody reports them
+	Store          Store         // nil = the router does not store fetched values
+	Tenants        TenantLimiter // nil = tenants have no limits except the quotas of Config
+	// Request IDs shared by all engines of the pool; nil = this engine is the only one
+	IDs           *RequestIDs
+	CollectCounts bool         // publish counts
+	Guard         *guard.Guard // nil = the engine creates its own
+	// Include the guard's counts in this engine's counts: set for one of the engines that share a guard
+	ReportRules bool
+}
+
+// New returns an engine that makes its attempts through a backend. An error names the setting that package
+// decide rejects.
 func New(o Options, backend Backend) (*Engine, error) {
 	s := o.Config
 	e := &Engine{traceRequests: tracingEnabled(), shutdownAt: math.Inf(1), clock: newClock(), backend: backend, watchList: func() {}, hedging: s.Copies,
@@ -200,10 +211,10 @@
 	return e, err
 }
 
-// Cancel is the engine's time: Unix time in ms that never steps. It may be called from any goroutine.
+// Now returns the engine's time: Unix time in ms that never steps. It may be called from any goroutine.
 func (e *Engine) Now() float64 { return e.now() }
 
-// Configure takes other classes and tenants while requests are served.
+// Configure replaces the classes and tenants while requests are served.
 func (e *Engine) Configure(classes []decide.Class, tenants []decide.Tenant, overWorth float64) error {
 	if err := e.balancer.Configure(e.now(), classes, tenants, overWorth); err != nil {
 		return err
@@ -212,10 +223,11 @@
 	return nil
 }
 
-// SetProcesses tells the module that so many processes of this router serve at once.
+// SetProcesses sets the number of processes of this router that serve at the same time.
 func (e *Engine) SetProcesses(processes int) { e.balancer.Share(e.now(), processes) }
 
-// SetTier tells what is known of the routers that share what all have, as decide.Tier; its end is a time of the clock.
+// SetTier passes on what is known about the routers that share the common capacity, see decide.Tier. until is
+// a wall clock time; zero means no end.
 func (e *Engine) SetTier(routers int, parts float64, until time.Time, then float64) error {
 	t := decide.Tier{Routers: routers, Parts: parts, Until: math.Inf(1), Then: then}
 	if !until.IsZero() {
@@ -224,22 +236,23 @@
 	return e.balancer.Tier(e.now(), t)
 }
 
-// SetAdmissionThreshold tells what the routers of the tier serve while they can't serve all; its end is a time of the clock.
+// SetAdmissionThreshold passes on what the routers of the tier admit while they can't serve all requests.
+// until is a wall clock time.
 func (e *Engine) SetAdmissionThreshold(l decide.Line, until time.Time) error {
 	l.Until = e.now() + float64(time.Until(until))/float64(time.Millisecond)
 	return e.balancer.Line(e.now(), l)
 }
 
-// TenantLimiter is who counts what tenants use, nil where nobody does.
+// Tenants returns the TenantLimiter, nil if there is none.
 func (e *Engine) Tenants() TenantLimiter { return e.tenants }
 
-// Class is a class that requests may name. It may be called from any goroutine.
+// Class returns the class of a name that requests may use. It may be called from any goroutine.
 func (e *Engine) Class(name string) (decide.Class, bool) {
 	c, ok := (*e.classes.Load())[name]
 	return c, ok
 }
 
-// MaxDeadline is the longest that a client waits, by the classes. It may be called from any goroutine.
+// MaxDeadline returns the longest time that a client of any class waits. It may be called from any goroutine.
 func (e *Engine) MaxDeadline() time.Duration {
 	longest := 0.0
 	for _, c := range *e.classes.Load() {
@@ -248,20 +261,21 @@
 	return milliseconds(longest)
 }
 
-// SetShutdownDeadline has every request that is taken from now on get its answer by a time, as the process ends then.
+// SetShutdownDeadline makes all requests accepted from now on get their answer by the given time, when the
+// process ends.
 func (e *Engine) SetShutdownDeadline(at time.Time) {
 	e.shutdownAt = e.now() + float64(time.Until(at))/float64(time.Millisecond)
 }
 
-// Size is what an engine holds.
+// Size is the number of objects that an engine holds.
 type Size struct {
-	Requests, Open    int // requests of which something is out, and those that are not answered
-	Timers, FarTimers int // timers, and those due in over 2.5 s
+	Requests, Open    int // requests with anything in flight, and unanswered ones
+	Timers, FarTimers int // timers, and those that fire in more than 2.5 s
 	Servers           int
-	Accepted          uint32 // requests taken so far, modulo 2^32
+	Accepted          uint32 // number of requests accepted so far, modulo 2^32
 }
 
-// Size counts what the engine holds.
+// Size counts the objects that the engine holds.
 func (e *Engine) Size() Size {
 	s := Size{Requests: len(e.requests), Open: len(e.openByID), Timers: len(e.timers), Servers: len(e.targets), Accepted: e.lastID}
 	for _, t := range e.timers {
@@ -272,10 +286,10 @@
 	return s
 }
 
-// Ready says whether a list is held. It may be called from any goroutine.
+// Ready reports whether a server list is held. It may be called from any goroutine.
 func (e *Engine) Ready() bool { return e.ready.Load() }
 
-// setClasses brings the classes that clients may name up to date.
+// setClasses replaces the classes that clients may name.
 func (e *Engine) setClasses(classes []decide.Class) {
 	m := make(map[string]decide.Class, len(classes))
 	for _, c := range classes {
@@ -286,23 +300,23 @@
 	e.classes.Store(&m)
 }
 
-// Post hands an event to the engine's goroutine. It may be called from any other, and waits while very many are there. When
-// the engine has ended, events no longer count.
+// Post queues an event for the engine's goroutine. It may be called from any other goroutine and blocks while
+// the queue is full. After the engine has ended, events are dropped.
 func (e *Engine) Post(event func()) { e.events.post(event) }
 
-// AtBatchEnd has something done once the events that are there have been carried out: what many of them ask for, such as writing
-// to a connection, is then done once.
+// AtBatchEnd schedules a function for the end of the current batch of events, so that work requested by
+// several events, such as writing to a connection, is done once.
 func (e *Engine) AtBatchEnd(do func()) { e.batchEnd = append(e.batchEnd, do) }
 
-// Run carries out events and timers until ctx ends. All else that is not said to be callable from any goroutine runs
-// within its events.
+// Run processes events and timers until ctx ends. Everything that is not documented as callable from any
+// goroutine has to run within its events.
 func (e *Engine) Run(ctx context.Context) {
 	defer e.cancelAll()
 	defer e.events.close()
 	e.ctx = ctx
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
-	armed := math.Inf(1) // when the alarm goes off: setting it costs more than most events
+	armed := math.Inf(1) // time for which the alarm is set: resetting it costs more than most events
 	for {
 		if len(e.timers) > 0 && e.timers[0].at != armed {
 			armed = e.timers[0].at
@@ -328,7 +342,7 @@
 	}
 }
 
-// cancelAll gives up what is out when the engine ends.
+// cancelAll cancels the attempts in flight when the engine ends.
 func (e *Engine) cancelAll() {
 	for _, r := range e.requests {
 		for _, a := range r.attempts {
@@ -337,14 +351,16 @@
 	}
 }
 
-// eventsPerTimerCheck is the number of events after which timers are looked at: a batch of them takes milliseconds.
+// eventsPerTimerCheck is the number of events after which timers are checked, as a batch of events takes
+// milliseconds.
 const eventsPerTimerCheck = 32
 
-// maxTimersPerRun bounds the timers that are carried out before events are looked at again: thousands that are due together, as
-// where a server hangs, would hold up all others for as long. An event sets two timers at most, and they keep up.
+// maxTimersPerRun limits the timers processed before events are looked at again: thousands that fire
+// together, for example because a server hangs, would delay all events. An event sets at most two timers, so
+// the limit is high enough to keep up.
 const maxTimersPerRun = 2 * eventsPerTimerCheck
 
-// runTimers carries out timers that are due.
+// runTimers processes the timers that are due.
 func (e *Engine) runTimers() {
 	for range maxTimersPerRun {
 		if len(e.timers) == 0 || e.timers[0].at > e.now() {
@@ -355,7 +371,7 @@
 	}
 }
 
-// close does what was put off to the end of a batch.
+// runBatchEnd runs the functions scheduled with AtBatchEnd.
 func (e *Engine) runBatchEnd() {
 	for i, do := range e.batchEnd {
 		do()
@@ -364,7 +380,7 @@
 	e.batchEnd = e.batchEnd[:0]
 }
 
-// runDeferred carries out what Host methods have caused.
+// runDeferred runs the work that Host methods have deferred.
 func (e *Engine) runDeferred() {
 	for len(e.deferred) > 0 {
 		do := e.deferred[0]
@@ -373,8 +389,9 @@
 	}
 }
 
-// ReserveValue takes the bytes that a request's value needs, and tells whether there are any. Where tenants are counted, who may have more answers
-// that wait is said by that: others are refused only at twice the bound. It may be called from any goroutine.
+// ReserveValue reserves the bytes of a request's value and reports whether they were available. It fails
+// while the untaken answers reach their limit. With a TenantLimiter, which limits the untaken answers of each
+// tenant, it fails for that reason only at twice the limit. It may be called from any goroutine.
 func (e *Engine) ReserveValue(n int) bool {
 	if full := e.QueuedBytes.Full(); full && (e.tenants == nil || e.QueuedBytes.Used() >= 2*e.QueuedBytes.Limit()) {
 		return false
@@ -382,17 +399,18 @@
 	return e.HeldBytes.TryReserve(n)
 }
 
-// ReserveAnswer books the bytes of an answer that its client has not taken yet, and says to whom they are booked; Paid gives them back. Paid may be
-// called from any goroutine, and so may Owe for an answer that no request was made for (nil).
+// ReserveAnswer charges the bytes of an answer that its client has not taken yet, and returns the party that
+// they are charged to, for ReleaseAnswer. For an answer without a request (nil) it may be called from any
+// goroutine.
 func (e *Engine) ReserveAnswer(q *Request, bytes int) (party string) {
 	e.QueuedBytes.Reserve(bytes)
-	if e.tenants == nil || q == nil { // what makes no request is a line or two
+	if e.tenants == nil || q == nil { // an answer without a request is a line or two
 		return ""
 	}
 	return e.tenants.ReserveAnswer(q, bytes)
 }
 
-// ReleaseAnswer is Owe's brother.
+// ReleaseAnswer releases bytes charged by ReserveAnswer. It may be called from any goroutine.
 func (e *Engine) ReleaseAnswer(party string, bytes int) {
 	e.QueuedBytes.Release(bytes)
 	if party != "" {
@@ -400,17 +418,17 @@
 	}
 }
 
-// Submit takes a request of a client that was read at the given time.
+// Submit accepts a client's request that was read at the given time. The handle receives exactly one answer.
 func (e *Engine) Submit(q *Request, read float64, t *RequestHandle) {
-	if e.openByID[q.ID] != nil || !e.ids.acquire(q.ID) { // cache servers would take the one for the other
+	if e.openByID[q.ID] != nil || !e.ids.acquire(q.ID) { // cache servers would take one for the other
 		e.HeldBytes.Release(q.HeldBytes)
 		t.OnAnswer(q, Answer{Result: Duplicate})
 		return
 	}
-	for e.lastID++; e.requests[e.lastID] != nil; e.lastID++ { // ids are reused after 2^32 requests
+	for e.lastID++; e.requests[e.lastID] != nil; e.lastID++ { // IDs are reused after 2^32 requests
 	}
 	now := e.now()
-	// No client waits longer than its class allows: nor does the record of one that says so.
+	// A client can't extend the deadline of its class, so that no record is kept for longer.
 	c, _ := e.Class(q.Class)
 	left := max(0, min(q.Wait, c.Deadline)-(now-read))
 	left = max(0, min(left, e.shutdownAt-now))
@@ -431,26 +449,26 @@
 	e.balancer.Request(now, d)
 }
 
-// ClientLeft tells that the client of a request has left.
+// ClientLeft reports that the client of a request has disconnected.
 func (e *Engine) ClientLeft(t *RequestHandle) {
 	if t.request != nil {
 		e.abandonRequest(t.request)
 	}
 }
 
-// abandonRequest ends a request whose client has gone.
+// abandonRequest ends a request whose client has disconnected.
 func (e *Engine) abandonRequest(r *request) {
 	if r.finished {
 		return
 	}
 	e.finish(r, Answer{Result: ClientGone})
 	e.balancer.Gone(e.now(), r.id)
-	for _, a := range r.attempts { // where the Balancer cancels nothing, nobody waits all the same
+	for _, a := range r.attempts { // attempts that the Balancer leaves in flight have nobody waiting either
 		a.cancel(e)
 	}
 }
 
-// finish ends a request: the only place where one is answered, so none is answered twice.
+// finish ends a request. It is the only place where a request is answered, so that none is answered twice.
 func (e *Engine) finish(r *request, answer Answer) {
 	if r.finished {
 		return
@@ -463,7 +481,7 @@
 	switch {
 	case answer.Streamed != nil:
 		e.streaming++
-	case !r.CacheFill: // the router's own are nobody's
+	case !r.CacheFill: // the router's own requests are not counted
 		e.countAnswer(r.Class, answer.Result)
 	}
 	if e.store != nil {
@@ -480,7 +498,7 @@
 	e.removeIfDone(r)
 }
 
-// removeIfDone drops the record of a request that is over and has no attempt out.
+// removeIfDone removes the record of a request that is finished and has no attempt in flight.
 func (e *Engine) removeIfDone(r *request) {
 	if r.finished && r.inFlight == 0 && e.requests[r.id] == r {
 		delete(e.requests, r.id)
@@ -488,7 +506,7 @@
 	}
 }
 
-// finishAttempt ends an attempt, once: what comes after that is a late result, which reaches neither client nor Balancer.
+// finishAttempt ends an attempt once. Later results reach neither the client nor the Balancer.
 func (e *Engine) finishAttempt(a *attempt, got Reply) {
 	if got.Streamed != nil && (a.finished || a.request.finished) { // nobody takes it
 		defer got.Streamed.Discard()
@@ -517,7 +535,8 @@
 		Final: r.finished, Note: got.CacheResult, Load: got.Load, Owners: got.Owners})
 }
 
-// fillRequest makes the request that stores what an attempt at the origin has brought, nil where there is nothing to store.
+// fillRequest returns the request that stores the value which an attempt at the origin has fetched, nil if
+// there is nothing to store.
 func (e *Engine) fillRequest(a *attempt, got Reply) *Request {
 	if e.store == nil || a.request.finished || a.request.Write || got.Absent || a.target == nil || a.target.entry.Kind != e.originKind {
 		return nil
@@ -525,8 +544,9 @@
 	return e.store.FillRequest(a.request.Request, got.Body)
 }
 
-// submitFill stores a value. The client that it was fetched for has its answer by now, and the module hears of this request
-// before it hears that the fetch is over: whoever waits for the key finds it stored.
+// submitFill submits the request that stores a fetched value. By now the client that caused the fetch has its
+// answer. The Balancer learns of this request before it learns that the fetch has ended, so that requests
+// waiting for the key find it stored.
 func (e *Engine) submitFill(q *Request) {
 	if q == nil || !e.ReserveValue(q.HeldBytes) {
 		return
@@ -534,8 +554,8 @@
 	e.Submit(q, e.now(), &RequestHandle{OnAnswer: func(*Request, Answer) {}})
 }
 
-// inferRestart takes a server that refused connections and answers again for one that has started anew, cold, where nobody tells
-// of starts. A wrong guess only holds its load back for as long as a cold one's.
+// inferRestart treats a server that refused connections and then answers again as restarted and cold, where
+// nobody reports starts. A wrong inference only limits its load for as long as that of a cold server.
 func (e *Engine) inferRestart(a *attempt, got Reply) {
 	t := a.target
 	if !e.inferStarts || t == nil || e.targets[a.serverID] != t {
@@ -557,22 +577,22 @@
 	}
 }
 
-// replyWithStatus returns an attempt's outcome without a reply.
+// replyWithStatus returns a reply that has only a status.
 func replyWithStatus(st decide.Status) Reply { return Reply{Status: st, Load: decide.NoLoad} }
 
-// timeOut ends an attempt that is waited for no longer.
+// timeOut ends an attempt whose time limit has passed.
 func (e *Engine) timeOut(a *attempt) {
 	if a.finished {
 		return
 	}
 	st := decide.TimedOut
 	if a.phase.CompareAndSwap(phaseOpening, phaseCanceled) {
-		st = decide.ConnectError // the connection never came up, and now nothing will be written
+		st = decide.ConnectError // the connection was never established, and nothing will be written
 	}
 	e.finishAttempt(a, replyWithStatus(st))
 }
 
-// cancel gives an attempt up by closing its connection.
+// cancel aborts an attempt by closing its connection.
 func (a *attempt) cancel(e *Engine) {
 	if a.finished {
 		return
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -9,7 +9,8 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// Starts of servers lie on the router's clock, and no real start is 0 there.
+// The engine's clock starts at Unix time, so that start times of servers can be expressed on it and none is
+// 0.
 func TestClockFollowsUnixTime(t *testing.T) {
 	c := newClock()
 	if d := c.now() - float64(time.Now().UnixMilli()); d < -1000 || d > 1000 {
@@ -26,7 +27,7 @@
 	}
 }
 
-// missBackend is a fleet of one cache server, which has one key alone, and an origin that has all.
+// missBackend consists of one cache server, which holds a single key, and an origin that holds all keys.
 type missBackend struct{}
 
 type missEndpoint struct{ origin bool }
@@ -47,7 +48,7 @@
 	return Reply{Status: decide.Miss, Load: decide.NoLoad}, true
 }
 
-// recordingLimiter tells what a Tenants is told, in words. It runs on the engine's goroutine.
+// recordingLimiter is a TenantLimiter that records its calls as texts. It runs on the engine's goroutine.
 type recordingLimiter struct{ calls []string }
 
 func (c *recordingLimiter) Arrived(_, _ float64, q *Request) (decide.Standing, float64) {
@@ -66,8 +67,9 @@
 func (c *recordingLimiter) ReserveAnswer(*Request, int) string { return "" }
 func (c *recordingLimiter) ReleaseAnswer(string, int)          {}
 
-// Who counts tenants is told of each way to the origin, of a read that missed and of a write, between its arrival and its end; a read that hits
-// has none, and what is not served is not counted.
+// A TenantLimiter must be informed of each attempt at the origin, whether a read that missed or a write,
+// between Arrived and Finished. A read that hits causes none, and a request that is decide.Beyond is not
+// counted.
 func TestOriginFetchesAreReportedToTheTenantLimiter(t *testing.T) {
 	c := &recordingLimiter{}
 	e, err := New(Options{MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Tenants: c, Config: decide.Config{Routers: 1, Aside: true, OriginKind: "origin", MaxAttempts: 4, ColdFrom: 1, FallMult: 1,
@@ -104,7 +106,7 @@
 	}
 }
 
-// Guards against a deadline ahead of a long value that leaves the value no time on its way.
+// Guards against a deadline, sent ahead of a long value, that leaves no time for transmitting the value.
 func TestDeadlineAheadOfALongValueAllowsForItsBytes(t *testing.T) {
 	for _, size := range []int{0, 64 << 10, 4 << 20} {
 		e := &Engine{clock: newClock()}
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -2,18 +2,19 @@
 
 import "sync"
 
-// maxEvents bounds the events that wait. Who posts one more waits: the readers of clients and servers, each of which has
-// few.
+// maxEvents limits the queued events. A poster blocks while the queue is full. Posters are the readers of
+// clients and servers, each of which has few events at a time.
 const maxEvents = 1024
 
-// events are handed from any goroutine to the engine's, in batches: a channel costs a lock and often a switch for each.
+// events is a queue from any goroutine to the engine's, read in batches: a channel would cost a lock and
+// often a goroutine switch for each event.
 type events struct {
-	wake chan struct{} // of capacity 1: some are there
+	wake chan struct{} // of capacity 1: signals that the queue is not empty
 
 	mu        *sync.Mutex
 	notFull   *sync.Cond
 	queue     []func()
-	lastBatch []func() // the last batch's memory
+	lastBatch []func() // memory of the previous batch, reused for the next
 	ended     bool
 }
 
@@ -22,7 +23,7 @@
 	return events{wake: make(chan struct{}, 1), mu: mu, notFull: sync.NewCond(mu)}
 }
 
-// post adds an event, waiting for room.
+// post adds an event, and blocks while the queue is full.
 func (e *events) post(event func()) {
 	e.mu.Lock()
 	for len(e.queue) >= maxEvents && !e.ended {
@@ -31,13 +32,13 @@
 	e.enqueueAndUnlock(event)
 }
 
-// postUnbounded adds an event, room or not.
+// postUnbounded adds an event even if the queue is full.
 func (e *events) postUnbounded(event func()) {
 	e.mu.Lock()
 	e.enqueueAndUnlock(event)
 }
 
-// enqueueAndUnlock adds an event and unlocks.
+// enqueueAndUnlock adds an event and unlocks the mutex.
 func (e *events) enqueueAndUnlock(event func()) {
 	if e.ended {
 		e.mu.Unlock()
@@ -49,16 +50,16 @@
 	if first {
 		select {
 		case e.wake <- struct{}{}:
-		default: // it is awake already
+		default: // already signaled
 		}
 	}
 }
 
-// acquire takes all events that are there. They are the caller's until it takes the next.
+// take removes and returns all queued events. The slice is valid until the next call.
 func (e *events) take() []func() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	clear(e.lastBatch) // carried out: what they hold can go
+	clear(e.lastBatch) // already processed: releases what the events refer to
 	batch := e.queue
 	e.queue, e.lastBatch = e.lastBatch[:0], batch
 	if len(batch) >= maxEvents {
@@ -67,7 +68,7 @@
 	return batch
 }
 
-// close drops what waits and comes later.
+// close drops the queued events and all later ones, and unblocks posters.
 func (e *events) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/events_test.go
+++ b/internal/engine/events_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Every event is taken once, those of one poster in order, and no more wait than the bound says.
+// Each event must be taken once, those of one poster in order, and the queue must not exceed its limit.
 func TestEvents(t *testing.T) {
 	e := newEvents()
 	const posters, each = 8, 5000
@@ -42,7 +42,7 @@
 	}
 }
 
-// Who waits for room goes on when the engine ends, and its event is dropped.
+// Posters blocked by a full queue must continue when the queue is closed, and their events must be dropped.
 func TestEventsEnd(t *testing.T) {
 	e := newEvents()
 	for range maxEvents {
@@ -56,7 +56,7 @@
 			through.Add(1)
 		})
 	}
-	time.Sleep(10 * time.Millisecond) // they should be waiting; nothing depends on it
+	time.Sleep(10 * time.Millisecond) // gives the posters time to block; the result does not depend on it
 	if through.Load() != 0 {
 		t.Error("more than the bound are taken")
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-// The memory of a batch is used again and holds nothing of it.
+// The memory of a batch must be reused and must not keep events alive.
 func TestEventsHoldNothing(t *testing.T) {
 	e := newEvents()
 	for range 3 {
--- a/internal/engine/gate.go
+++ b/internal/engine/gate.go
@@ -8,33 +8,37 @@
 	"mossproxy.example/mossproxy/internal/guard"
 )
 
-// Spans of the rules, in ms.
+// Limits of the rules, in ms.
 const (
-	// deadlineSlack is by how much a server's deadline may exceed what the client has left.
+	// deadlineSlack is by how much the deadline passed to a server may exceed what the client has left.
 	deadlineSlack = 150
-	// deadlineMargin is kept back of what is left: the request took a moment to be read, and its bytes take one to arrive.
+	// deadlineMargin is subtracted from what the client has left: reading the request took some time, and its
+	// bytes need some to arrive.
 	deadlineMargin = 20
-	// writeSlack is the part of deadlineSlack within which the last byte is written; the rest is for a process that is held up before
-	// the first.
+	// writeSlack is the part of deadlineSlack within which the last byte must be written. The rest allows for
+	// a process that is suspended before it writes the first byte.
 	writeSlack = deadlineSlack / 2
-	// sendTimePerByte is what a byte of a value is taken to need on its way; the deadline goes out ahead of the value.
+	// sendTimePerByte is the assumed time to transmit one byte of a value; the deadline is sent ahead of the
+	// value.
 	sendTimePerByte = 0.001
-	// maxSendShare is the share of what is left that a long value may need.
+	// maxSendShare is the largest share of the remaining time that is allowed for transmitting a long value.
 	maxSendShare = 0.5
-	// maxProcessPause is for how long a process may be held up between its clock and a write.
+	// maxProcessPause is how long a process may be suspended between reading its clock and a write.
 	maxProcessPause = 150
-	// drainGrace is for how long something new may reach a server after the notification that it drains.
+	// drainGrace is how long new requests may reach a server after the notification that it drains.
 	drainGrace = 500
-	// clientCloseDelay is how long a client's leaving takes at most to be known where its connection is read.
+	// clientCloseDelay is the longest time until a client's disconnection is noticed by the reader of its
+	// connection.
 	clientCloseDelay = 10
-	// maxAnswerDelay is how long after the deadline an answer still counts as one.
+	// maxAnswerDelay is how long after the deadline an answer still counts as given.
 	maxAnswerDelay = 500
-	// timeLimitSlack is by how much each time limit is longer on sockets.
+	// timeLimitSlack is by how much every time limit is longer on sockets.
 	timeLimitSlack = 50
 )
 
-// Begin is Caller's. Every attempt passes here, on whatever goroutine opened its connection, as late as its bytes can still be
-// changed: nothing that was computed when it was decided is relied on.
+// Begin implements AttemptHandler. Every attempt passes here on the goroutine that opened its connection, at
+// the last moment when its bytes can still be changed. It relies on nothing that was computed when the
+// attempt was decided.
 func (a *attempt) Begin() (Try, bool) {
 	now := a.engine.now()
 	if !a.mayBegin(now) {
@@ -52,11 +56,12 @@
 	return try, true
 }
 
-// mayBegin says whether an attempt may begin now. Who decided it may have been right then, and its connection may have come up late.
+// mayBegin reports whether an attempt may begin now. The decision may have been right when it was made, and
+// the connection may have been established late.
 func (a *attempt) mayBegin(now float64) bool {
 	g, r := a.engine.Guard, a.request
 	if r.deadline-now < 1 {
-		g.CountPrevented(guard.Deadline, r.ID, "nothing is left")
+		g.CountPrevented(guard.Deadline, r.ID, "no time is left")
 		return false
 	}
 	if since := a.target.closingSince(); since > 0 && now-since > drainGrace-maxProcessPause-timeLimitSlack {
@@ -64,21 +69,22 @@
 		return false
 	}
 	if a.beginBy > 0 && now > a.beginBy {
-		g.CountPrevented(guard.Repeat, r.ID, "the window for repeats is over")
+		g.CountPrevented(guard.Repeat, r.ID, "the window for repeats has passed")
 		return false
 	}
 	if r.client != nil && now-r.readAt > clientCloseDelay {
 		g.CountCheck(guard.Abandoned)
 		if r.client.Closed() {
-			g.CountPrevented(guard.Abandoned, r.ID, "the client has closed")
-			a.engine.events.postUnbounded(func() { a.engine.abandonRequest(r) }) // its reader may not look for long
+			g.CountPrevented(guard.Abandoned, r.ID, "the client has disconnected")
+			// Its reader may not check for a while.
+			a.engine.events.postUnbounded(func() { a.engine.abandonRequest(r) })
 			return false
 		}
 	}
 	return true
 }
 
-// closingSince is since when a server is known to drain or to be gone, 0 where it is not.
+// closingSince returns the time since which a server is known to drain or be gone, 0 if it is neither.
 func (t *server) closingSince() float64 {
 	if t == nil {
 		return 0
@@ -86,7 +92,8 @@
 	return math.Float64frombits(t.closingBits.Load())
 }
 
-// mayRepeat checks a further attempt of a request against those before it, and says by when it has to begin, 0 = at any time.
+// mayRepeat reports whether a retry of a request is allowed after the earlier attempts, and returns the
+// latest time for it to begin, 0 = no limit.
 func (e *Engine) mayRepeat(r *request) (by float64, ok bool) {
 	if r.class.Effect == decide.Repeatable {
 		return 0, true
@@ -107,7 +114,7 @@
 	return by, true
 }
 
-// mayRefuse checks that a refusal, which says that a retry is harmless, may be given.
+// mayRefuse reports whether a request may be refused, which promises that a retry is harmless.
 func (e *Engine) mayRefuse(r *request) bool {
 	if r.finished || r.class.Effect == decide.Repeatable || r.class.Effect == decide.Keyed && r.class.Scope == "all" {
 		return true
@@ -122,15 +129,15 @@
 	return true
 }
 
-// checkAnswerTime checks when a request gets its final answer.
+// checkAnswerTime checks that the final answer of a request is given in time.
 func (e *Engine) checkAnswerTime(r *request) {
 	e.Guard.CountCheck(guard.InTime)
 	if late := e.now() - r.deadline; late > maxAnswerDelay {
-		e.Guard.RecordViolation(guard.InTime, r.ID, "the answer comes %.0f ms after the deadline", late)
+		e.Guard.RecordViolation(guard.InTime, r.ID, "answered %.0f ms after the deadline", late)
 	}
 }
 
-// mayHaveRun says whether an attempt may have had its effect.
+// mayHaveRun reports whether an attempt may have taken effect.
 func (a *attempt) mayHaveRun() bool {
 	if a.finished {
 		return a.maybeRan
@@ -138,16 +145,16 @@
 	return a.phase.Load() != phaseCanceled
 }
 
-// Written is Caller's.
+// Written implements AttemptHandler.
 func (a *attempt) Written() {
 	if a.counted {
 		a.engine.counter.attempts.Add(1)
 	}
 	a.engine.Guard.CountCheck(guard.Deadline)
 	if over := a.passedDeadline - (a.request.deadline - a.engine.now()); over > deadlineSlack {
-		a.engine.Guard.RecordViolation(guard.Deadline, a.request.ID, "attempt %d was passed %.0f ms too much when its last byte was out", a.index, over)
+		a.engine.Guard.RecordViolation(guard.Deadline, a.request.ID, "attempt %d: the deadline passed to the server was %.0f ms too long when the last byte was written", a.index, over)
 	}
 }
 
-// milliseconds is a span of the engine's clock as a duration.
+// milliseconds converts a time span of the engine's clock to a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/engine/gate_test.go
+++ b/internal/engine/gate_test.go
@@ -7,7 +7,8 @@
 	"mossproxy.example/mossproxy/internal/guard"
 )
 
-// requestWithAttempt is a request of a class, one of whose attempts began so many ms ago and may have run.
+// requestWithAttempt returns a request of a class with one attempt that began the given number of ms ago and
+// may have run.
 func requestWithAttempt(class decide.Class, ago float64) (*Engine, *request) {
 	e := &Engine{clock: newClock(), Guard: &guard.Guard{}, events: newEvents()}
 	r := &request{Request: &Request{ID: "a1", Class: class.Name}, class: class, deadline: e.now() + 5000, readAt: e.now()}
@@ -15,7 +16,8 @@
 	return e, r
 }
 
-// Guards against a keyed request that is repeated after its window, as the connection for the repeat came up late.
+// Guards against a keyed request that is repeated after its window because the connection for the repeat was
+// established late.
 func TestKeyedRepeatOverALateConnectionStaysWithinItsWindow(t *testing.T) {
 	class := decide.Class{Name: "put", Effect: decide.Keyed, Scope: "all", Window: 1000}
 	for ago, want := range map[float64]bool{0: true, 700: true, 860: false, 1200: false} {
@@ -31,7 +33,8 @@
 	}
 }
 
-// Guards against a second attempt of what must never run twice, whoever has decided on it.
+// Guards against a second attempt of a request that must never run twice, even if the Balancer decides on
+// one.
 func TestUnsafeRequestIsNotRepeatedWhateverIsDecided(t *testing.T) {
 	e, r := requestWithAttempt(decide.Class{Name: "bill", Effect: decide.Once}, 10)
 	if _, ok := e.mayRepeat(r); ok {
--- a/internal/engine/handed.go
+++ b/internal/engine/handed.go
@@ -9,24 +9,25 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// maxHandoverServers bounds the servers that are taken over from another process.
+// maxHandoverServers limits the number of servers taken over from another process.
 const maxHandoverServers = 8192
 
-// HandoverState is what an engine hands to that of the next process: the servers that it knows, and what was learned.
+// HandoverState is what an engine passes to the engine of its successor process: the known servers and the
+// learned state.
 type HandoverState struct {
-	Servers []Server        `json:"servers"` // with their starts as lists have them
+	Servers []Server        `json:"servers"` // with their start times as listed
 	Learned decide.Learned  `json:"learned"`
-	Now     float64         `json:"now"`    // on the clock of who hands over; 0 = not told
-	Starts  []HandoverStart `json:"starts"` // on that clock
+	Now     float64         `json:"now"`    // clock of the sender at the export, in ms; 0 = unknown
+	Starts  []HandoverStart `json:"starts"` // on the sender's clock
 }
 
-// HandoverStart is when a listed server started.
+// HandoverStart is the start time of a listed server.
 type HandoverStart struct {
 	ID uint32  `json:"id"`
 	At float64 `json:"at"`
 }
 
-// ExportState is what the engine has to hand over.
+// ExportState returns the state to hand over to a successor.
 func (e *Engine) ExportState() HandoverState {
 	h := HandoverState{Learned: e.balancer.Learned(e.now()), Now: e.now()}
 	for id, t := range e.targets {
@@ -40,35 +41,36 @@
 	return h
 }
 
-// ImportState takes what the engine of the process before has handed over, ahead of any list and request: the servers, whole or not at all, and what
-// was learned of them, whole or not at all. An error means that there is no list.
+// ImportState takes over the state of the predecessor's engine, before any list or request. The servers and
+// the learned state are each taken completely or not at all. An error means that the engine has no server
+// list.
 func (e *Engine) ImportState(h HandoverState) error {
 	if len(h.Servers) == 0 || len(h.Servers) > maxHandoverServers {
-		return fmt.Errorf("handed over: %d servers, 1 to %d are possible", len(h.Servers), maxHandoverServers)
+		return fmt.Errorf("handover: %d servers, want 1 to %d", len(h.Servers), maxHandoverServers)
 	}
 	for _, s := range h.Servers {
 		if s.Addr == "" || s.State < decide.Ready || s.State >= decide.Gone || !(s.Size >= 0) || !(s.Started >= 0) {
-			return fmt.Errorf("handed over: server %08x makes no sense", s.ID)
+			return fmt.Errorf("handover: server %08x has an invalid address, state, size or start time", s.ID)
 		}
 	}
 	if len(e.targets) > 0 {
-		return errors.New("handed over: too late, a list is there")
+		return errors.New("handover: a server list is already loaded")
 	}
 	e.convertClock(&h)
 	e.UpdateServers(decide.Remembered, h.Servers)
 	if err := e.balancer.Learn(e.now(), h.Learned); err != nil {
-		slog.Warn("handover: what was learned is not taken", "why", err)
+		slog.Warn("handover: learned state rejected", "why", err)
 	}
 	e.publishCounts()
 	return nil
 }
 
-// clockTolerance is by how many ms the clocks of two processes of one machine differ at most where the wall clock was not stepped between their
-// starts, with the time for handing over.
+// clockTolerance is the largest difference in ms between the clocks of two processes on one machine whose
+// wall clock was not stepped between their starts, including the time for the handover.
 const clockTolerance = 1000
 
-// convertClock puts what was handed over on this engine's clock: each process counts from the wall clock of its own start, which may have been
-// stepped since.
+// convertClock converts the start times of a handover to this engine's clock. Each process counts from the
+// wall clock at its own start, which may have been stepped since.
 func (e *Engine) convertClock(h *HandoverState) {
 	by := e.now() - h.Now
 	if h.Now <= 0 || math.Abs(by) < clockTolerance {
--- a/internal/engine/history_test.go
+++ b/internal/engine/history_test.go
@@ -12,14 +12,14 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// randomBackend is a backend that ends attempts in every way there is, at once, late or never, drawn from a seed. It counts, for
-// each request, the attempts that are out together and those that may have run.
+// randomBackend ends attempts in every possible way, at once, late or never, drawn from a seeded generator.
+// For each request it counts the attempts in flight and those that may have run.
 type randomBackend struct {
 	mu          sync.Mutex
 	rng         *rand.Rand
 	inFlight    map[string]int
 	ran         map[string]int
-	maxInFlight int // attempts of one request out at once
+	maxInFlight int // largest number of attempts of one request in flight at once
 }
 
 func (w *randomBackend) Endpoint(s Server) Endpoint { return &randomEndpoint{w, s.ID} }
@@ -35,7 +35,7 @@
 func (l *randomEndpoint) CloseIdle() {}
 func (l *randomEndpoint) Remove()    {}
 
-// Attempt ends as the seed has it, at once or later.
+// Attempt ends as drawn, at once or later.
 func (l *randomEndpoint) Attempt(stop *Canceler, r *Request, caller AttemptHandler) (Reply, bool) {
 	l.backend.mu.Lock()
 	busy := l.backend.rng.IntN(10) == 0
@@ -47,7 +47,7 @@
 	return Reply{}, false
 }
 
-// attempt is one that takes its time. What may have run is counted from begin on.
+// attempt is an attempt that takes time. It may have run once begin has been called.
 func (l *randomEndpoint) attempt(stop *Canceler, r *Request, begin func() (Try, bool)) Reply {
 	w, given := l.backend, make(chan struct{})
 	stop.OnCancel(func() { close(given) })
@@ -89,8 +89,9 @@
 	return Reply{Status: status, Body: []byte(r.ID), Load: decide.NoLoad, Owners: owners}
 }
 
-// Whatever attempts come to, each request has exactly one final answer by its deadline, served with its own value alone;
-// one that must not run twice never may have, and is refused only if it has not run. Nothing is left of them.
+// Whatever the results of its attempts, each request must get exactly one final answer by its deadline, and
+// be served only its own value. A request that must not run twice never may have, and is refused only if it
+// has not run. No record of any request may remain.
 func TestOneFinalAnswer(t *testing.T) {
 	const requests = 3000
 	w := &randomBackend{rng: rand.New(rand.NewPCG(11, 3)), inFlight: map[string]int{}, ran: map[string]int{}}
@@ -136,7 +137,7 @@
 				t.Errorf("request %d: served with %q", i, a.Body)
 			case a.Result == Refused && q.Write && ran > 0:
 				t.Errorf("request %d: refused, and %d attempts may have run", i, ran)
-			case e.Now()-at > 200+answerGrace+150: // and what a busy machine takes
+			case e.Now()-at > 200+answerGrace+150: // 150 ms for a busy machine
 				t.Errorf("request %d: answered after %.0f ms", i, e.Now()-at)
 			}
 		}
@@ -145,7 +146,7 @@
 			e.Post(func() { e.ClientLeft(tick) })
 		}
 		if i%40 == 0 {
-			time.Sleep(time.Millisecond) // some breadth in time; nothing is waited for
+			time.Sleep(time.Millisecond) // spreads the arrivals; nothing is waited for
 		}
 	}
 	open.Wait()
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -10,13 +10,13 @@
 	"mossproxy.example/mossproxy/internal/guard"
 )
 
-// host is the engine as the Balancer sees it. Its methods are those of decide.Host.
+// host implements decide.Host for the engine's Balancer.
 type host struct{ *Engine }
 
-// Send starts an attempt. A time-out of 0, and any later than the client's, ends with the client's wait.
+// Send starts an attempt. A timeout of 0, or one beyond the client's deadline, means the client's deadline.
 func (e host) Send(id, to uint32, timeout float64) {
 	r := e.requests[id]
-	if r == nil { // over, and nothing is out: the Balancer has no record of it either
+	if r == nil { // finished with nothing in flight: the Balancer has no record of it either
 		return
 	}
 	now := e.now()
@@ -25,7 +25,7 @@
 		left = min(left, timeout)
 	}
 	by, repeats := e.mayRepeat(r)
-	a := &r.firstAttempt // one is enough for most
+	a := &r.firstAttempt // most requests need only one
 	if len(r.attempts) > 0 {
 		a = &attempt{}
 	} else {
@@ -37,7 +37,7 @@
 	a.target = t
 	a.counted, a.beginBy = e.counter != nil, by
 	if r.inFlight > 1 && !e.hedging || a.index >= e.maxAttempts {
-		e.Guard.RecordViolation(guard.Overlap, r.ID, "attempt %d with %d out", a.index, r.inFlight-1)
+		e.Guard.RecordViolation(guard.Overlap, r.ID, "attempt %d with %d in flight", a.index, r.inFlight-1)
 	}
 	if !repeats || r.finished || t == nil || left <= 0 || a.index >= e.maxAttempts || !e.hedging && r.inFlight > 1 {
 		e.deferred = append(e.deferred, func() { e.finishAttempt(a, replyWithStatus(decide.Ignored)) })
@@ -54,14 +54,14 @@
 	}
 }
 
-// Cancel gives an attempt up.
+// Cancel aborts an attempt.
 func (e host) Cancel(id uint32, n int) {
 	if r := e.requests[id]; r != nil && n >= 0 && n < len(r.attempts) {
 		r.attempts[n].cancel(e.Engine)
 	}
 }
 
-// Refuse answers that trying again is harmless.
+// Refuse answers a request with the promise that a retry is harmless, unless an attempt may have run.
 func (e host) Refuse(id uint32, wait float64) {
 	r := e.requests[id]
 	if r == nil {
@@ -74,14 +74,14 @@
 	e.finish(r, Answer{Result: Refused, RetryAfter: wait})
 }
 
-// Fail answers with no promise.
+// Fail answers a request without any promise.
 func (e host) Fail(id uint32) {
 	if r := e.requests[id]; r != nil {
 		e.finish(r, Answer{Result: Failed})
 	}
 }
 
-// probeTimeout is how long a probe is waited for, in milliseconds.
+// probeTimeout is how long the reply to a probe is waited for, in milliseconds.
 const probeTimeout = 500
 
 // Probe asks a server for its load.
@@ -106,7 +106,7 @@
 	}
 }
 
-// Timer calls the Balancer's Timer after that many milliseconds.
+// Timer calls the Balancer's Timer after the given number of milliseconds.
 func (e host) Timer(after float64, token uint64) {
 	t := e.freeTimers
 	if t == nil {
@@ -117,13 +117,13 @@
 	e.startTimer(t, after)
 }
 
-// Watch asks discovery for changes from now on.
+// Watch asks discovery to report changes from now on.
 func (e host) Watch() {
 	e.watchList()
 }
 
-// Tell sends nothing: the module has nothing to tell other routers.
+// Tell sends nothing, as the Balancer has nothing to announce to other routers.
 func (e host) Tell([]byte) {}
 
-// Log writes a line of the module's.
+// Log writes a log line of the Balancer.
 func (e host) Log(text string) { slog.Info(text) }
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// idShards spreads the ids, so that engines seldom wait for each other.
+// idShards is the number of shards, which keep lock contention between engines low.
 const idShards = 64
 
-// RequestIDs are those of the requests that are open at any of several engines. It may be used from any goroutine. Its memory is
-// that of the open requests. A nil one takes all ids.
+// RequestIDs is the set of the request IDs that are open at any of several engines. It may be used from any
+// goroutine. Its memory is proportional to the number of open requests. A nil set accepts every ID.
 type RequestIDs struct {
 	seed   maphash.Seed
 	shards [idShards]struct {
@@ -18,7 +18,7 @@
 	}
 }
 
-// NewRequestIDs holds no id.
+// NewRequestIDs returns an empty set.
 func NewRequestIDs() *RequestIDs {
 	s := &RequestIDs{seed: maphash.MakeSeed()}
 	for i := range s.shards {
@@ -27,7 +27,7 @@
 	return s
 }
 
-// acquire takes an id, and tells whether it was free.
+// acquire adds an ID and reports whether it was free.
 func (s *RequestIDs) acquire(id string) bool {
 	if s == nil {
 		return true
@@ -42,7 +42,7 @@
 	return true
 }
 
-// release gives an id back.
+// release removes an ID.
 func (s *RequestIDs) release(id string) {
 	if s == nil {
 		return
@@ -53,7 +53,7 @@
 	delete(h.open, id)
 }
 
-// Len is how many ids are taken.
+// Len returns the number of IDs in use.
 func (s *RequestIDs) Len() (n int) {
 	for i := range s.shards {
 		h := &s.shards[i]
--- a/internal/engine/ids_test.go
+++ b/internal/engine/ids_test.go
@@ -9,7 +9,7 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// An id is one's alone until it is given back, whoever takes it.
+// An ID must have a single holder until it is released, whichever goroutine acquires it.
 func TestIDs(t *testing.T) {
 	s := NewRequestIDs()
 	var wg sync.WaitGroup
@@ -43,7 +43,8 @@
 	none.release("a")
 }
 
-// Two engines with one register: the second of two requests with one id is not taken, and the id is free with the answer.
+// Two engines share one set of IDs: the second of two requests with the same ID must be rejected, and the ID
+// must be free again after the answer.
 func TestIDsOfTwoEngines(t *testing.T) {
 	ids := NewRequestIDs()
 	var es []*Engine
@@ -61,10 +62,10 @@
 		e.Submit(&Request{ID: "same", Class: "read", Key: "k", Wait: 100, Owners: []uint32{}}, e.Now(), k)
 		return k
 	}
-	ids.acquire("same") // as another engine's request would
+	ids.acquire("same") // as a request at another engine would
 	ask(es[0])
 	ids.release("same")
-	ask(es[1]) // nobody owns the key: refused at once
+	ask(es[1]) // no server may serve the key, so the request is refused at once
 	ask(es[0])
 	if len(got) != 3 || got[0] != Duplicate || got[1] != Refused || got[2] != Refused || ids.Len() != 0 {
 		t.Errorf("%v, %d ids are left", got, ids.Len())
--- a/internal/engine/keys.go
+++ b/internal/engine/keys.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// keyID maps a key to the module's number. All routers must map alike, as the module hashes it: 16 hex digits are the number
-// that the simulator's wire gives.
+// keyID maps a key to the number used by package decide. All routers must map alike, because the Balancer
+// hashes the number. A key of 16 hex digits is the number itself, as in the simulator's protocol.
 func keyID(key string) uint64 {
 	if v, err := strconv.ParseUint(key, 16, 64); err == nil && len(key) == 16 {
 		return v
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -7,7 +7,7 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// UpdateServers takes a list of servers, or the changes to one.
+// UpdateServers applies a complete server list or the changes to one.
 func (e *Engine) UpdateServers(kind decide.ListKind, servers []Server) {
 	entries := make([]decide.Entry, 0, len(servers))
 	named := map[uint32]bool{}
@@ -28,7 +28,8 @@
 			e.dropServer(d.ID)
 			e.targets[d.ID] = &server{Endpoint: e.backend.Endpoint(d), addr: d.Addr, started: d.Started}
 			e.serversByAddr[d.Addr] = append(e.serversByAddr[d.Addr], d.ID)
-		case t.started != d.Started: // connections to the process before it are dead, perhaps without a word
+		// Connections to the earlier process are dead, possibly without a FIN or RST.
+		case t.started != d.Started:
 			t.started = d.Started
 			t.CloseIdle()
 		}
@@ -48,14 +49,15 @@
 		e.starts.listReceived(e.now(), e.targets)
 	}
 	e.balancer.Servers(e.now(), kind, entries)
-	e.publishCounts() // who finds the router ready finds its list too
+	e.publishCounts() // a client that finds the router ready finds its list published too
 	if len(e.targets) > 0 {
 		e.ready.Store(true)
 	}
 }
 
-// dropReplaced is the end of the servers that were at the address of a new one: it has come in their place, though the news
-// of their end may be late, and what is meant for them would reach it, cold as it is.
+// dropReplaced removes the servers that were at the address of a new one, and returns their entries as gone.
+// The new server has replaced them, though the report of their end may be late; requests meant for them would
+// reach the new server while it is cold.
 func (e *Engine) dropReplaced(by Server) (gone []decide.Entry) {
 	for _, old := range slices.Clone(e.serversByAddr[by.Addr]) {
 		if by.Started > e.targets[old].started {
@@ -66,17 +68,18 @@
 	return gone
 }
 
-// SetListSource asks another source of lists to be watched from now on, by watch. The list that is held stays until that one
-// gives a whole one. Where one was followed before, the Balancer has asked that one already, and this one is asked now.
+// SetListSource switches to another source of server lists, which watch asks to report changes. The current
+// list stays until the new source delivers a complete one. If there was a source before, the Balancer has
+// already asked that one, so the new source is asked now.
 func (e *Engine) SetListSource(watch func(), before bool) {
 	if before {
 		watch()
 	}
-	e.starts.lastListAt = 0 // another source may name servers that have run for long
+	e.starts.lastListAt = 0 // the new source may list servers that have run for long
 	e.watchList = watch
 }
 
-// dropServer lets a server go.
+// dropServer removes a server.
 func (e *Engine) dropServer(id uint32) {
 	t := e.targets[id]
 	if t == nil {
@@ -90,7 +93,8 @@
 	t.Remove()
 }
 
-// setClosing books whether a server is known to drain or to be gone. What is being connected to it looks at that.
+// setClosing records whether a server is known to drain or be gone. Attempts that are still connecting to it
+// check this.
 func (t *server) setClosing(yes bool, now float64) {
 	switch {
 	case !yes:
--- a/internal/engine/starts_test.go
+++ b/internal/engine/starts_test.go
@@ -6,10 +6,10 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// hourMS is an hour in ms, by which a wall clock is off.
+// hourMS is the error of a wall clock in these tests, in ms.
 const hourMS = 3600e3
 
-// newIdleEngine is an engine that does not run.
+// newIdleEngine returns an engine that does not run.
 func newIdleEngine(t *testing.T) *Engine {
 	t.Helper()
 	e, err := New(Options{Seed: 5, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 0.3, FallMult: 3, FallFor: 1000, Cold: 8000, ConnIdle: 1000,
@@ -20,7 +20,8 @@
 	return e
 }
 
-// Guards against a server that has just started and is taken for warm, or for cold for an hour, as a wall clock was stepped.
+// Guards against a server that has just started and is considered warm, or cold for an hour, because a wall
+// clock was stepped.
 func TestStartIsPutOnTheEnginesClockWhateverWallClocksSay(t *testing.T) {
 	e := newIdleEngine(t)
 	tell := func(kind decide.ListKind, started float64) float64 {
@@ -50,7 +51,8 @@
 	}
 }
 
-// Guards against a server in slow start that the next process of a router takes for warm, as the wall clock was stepped between their starts.
+// Guards against a successor process that considers a server in slow start warm because the wall clock was
+// stepped between the starts of the two processes.
 func TestHandoverKeepsSlowStartWhateverTheWallClockDid(t *testing.T) {
 	for name, step := range map[string]float64{"forward": hourMS, "back": -hourMS} {
 		old, next := newIdleEngine(t), newIdleEngine(t)
--- a/internal/engine/stop.go
+++ b/internal/engine/stop.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Canceler gives an attempt up. It does what a context's end would, without an allocation for each attempt. It may be used
-// from any goroutine; the zero value is ready.
+// Canceler cancels an attempt. It replaces a context's cancellation without an allocation for each attempt.
+// It may be used from any goroutine; the zero value is ready to use.
 type Canceler struct {
 	mu       sync.Mutex
 	canceled bool
 	onCancel func()
 }
 
-// Cancel gives the attempt up: what is to be done then is done by this call, once.
+// Cancel cancels the attempt and runs the registered function, once.
 func (s *Canceler) Cancel() {
 	s.mu.Lock()
 	then := s.onCancel
@@ -21,8 +21,8 @@
 	}
 }
 
-// OnCancel has something done when the attempt is given up, in place of what was to be done before; where that has happened, it
-// is done at once.
+// OnCancel registers a function to run on cancellation, replacing the one registered before. If the attempt
+// is already canceled, the function runs at once.
 func (s *Canceler) OnCancel(do func()) {
 	s.mu.Lock()
 	over := s.canceled
@@ -35,7 +35,8 @@
 	}
 }
 
-// Detach takes back what was to be done. It tells whether that is still undone, and so will not be done.
+// Detach removes the registered function. It reports whether the attempt is not canceled, so that the
+// function has not run and will not run.
 func (s *Canceler) Detach() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -28,7 +28,7 @@
 	r.Cancel()
 }
 
-// Either what was to be done is done, or Release says that it won't be: never both, never neither.
+// Exactly one must happen: the registered function runs, or Detach reports that it will not.
 func TestStopRace(t *testing.T) {
 	for range 2000 {
 		var s Canceler
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -6,16 +6,16 @@
 	"math"
 )
 
-// timer is something to do at a time. It says what by its kind: a closure for each would be most of what a request
-// allocates.
+// timer runs an action at a given time. The action is selected by kind: a closure for each timer would be
+// most of what a request allocates.
 type timer struct {
 	at        float64
-	heapIndex int // its place in the heap from 1 on; 0 = it is not there
+	heapIndex int // index in the heap, counted from 1; 0 = not in the heap
 	kind      timerKind
-	request   *request // requestDeadline
-	attempt   *attempt // attemptTimeout
-	token     uint64   // balancerTimer
-	nextFree  *timer   // among spare ones
+	request   *request // requestDeadline only
+	attempt   *attempt // attemptTimeout only
+	token     uint64   // balancerTimer only
+	nextFree  *timer   // in the list of free timers
 }
 
 type timerKind int
@@ -27,7 +27,8 @@
 	countsPublication
 )
 
-// startTimer has a timer go off after that many ms. It is in the heap until then, or until it is stopped.
+// startTimer makes a timer fire after the given number of ms. It stays in the heap until then, or until it is
+// stopped.
 func (e *Engine) startTimer(t *timer, ms float64) {
 	if !(ms > 0) {
 		ms = 0
@@ -36,7 +37,7 @@
 	heap.Push(&e.timers, t)
 }
 
-// fireTimer does what a timer is for. Those of the module are never stopped, so they can be used again.
+// fireTimer runs a timer's action. Timers of the Balancer are never stopped, so they can be reused.
 func (e *Engine) fireTimer(t *timer) {
 	switch t.kind {
 	case balancerTimer:
@@ -47,17 +48,18 @@
 		e.timeOut(t.attempt)
 	case countsPublication:
 		e.publishPeriodically()
-	case requestDeadline: // should the Balancer owe an answer even then, the client still gets one in time
+	case requestDeadline: // fallback: the client gets an answer in time even if the Balancer has given none
 		slog.Error("request: no answer by its deadline", "id", t.request.ID)
 		host{e}.Fail(t.request.id)
 		e.balancer.Gone(e.now(), t.request.id)
 	}
 }
 
-// timerHeap holds timers, the next one first.
+// timerHeap is a min-heap of timers by time.
 type timerHeap []*timer
 
-// canceler takes a timer out, with all that it holds: waiting until it is due would keep each request for seconds.
+// stop removes a timer from the heap, so that it does not keep its request in memory for seconds until it is
+// due.
 func (h *timerHeap) stop(t *timer) {
 	if t.heapIndex > 0 {
 		heap.Remove(h, t.heapIndex-1)
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -8,151 +8,171 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// Request is what a front hands over: one request of a client, in nobody's protocol.
+// Request is one client request in protocol-independent form, as a front submits it to the engine.
 type Request struct {
-	ID               string // the client's; no two of the same are open at once
+	ID               string // chosen by the client; unique among the open requests
 	Class            string
 	Tenant           string
-	TenantGeneration uint32 // the generation of the tenant that asks; 0 = nobody has asked who calls
+	TenantGeneration uint32 // generation of the authenticated tenant; 0 = the caller was not authenticated
 	Key              string
-	Facts            string // what the client said of the request, as it is passed on
+	Facts            string // what the client said about the request, passed on unchanged
 	Value            []byte // of a write
-	HeldBytes        int    // bytes that were taken from Held for it, given back when it is over
-	Wait             float64
-	Hint             float64 // expected work, ms; 0 = unknown
-	Size             float64 // bytes; 0 = unknown
-	Retry            bool
-	Write            bool
-	Owners           []uint32 // the servers that may serve it, the first one at home; nil = any
-	Args             [][]byte // the command itself, where the fields above don't say it; never changed
-	CacheFill        bool     // no client's: see Store
+	HeldBytes        int    // bytes reserved in Engine.HeldBytes for this request, released with its record
+	// Wait is how long the client waits for the answer, in ms.
+	Wait   float64
+	Hint   float64 // expected work in ms; 0 = unknown
+	Size   float64 // bytes; 0 = unknown
+	Retry  bool
+	Write  bool
+	Owners []uint32 // servers that may serve the request, the home server first; nil = any
+	// The command with its arguments, where the fields above don't describe it; read-only
+	Args      [][]byte
+	CacheFill bool // made by the router itself to store a fetched value, see Store
 }
 
-// Try is one attempt, as a backend needs to know it. It is valid for the write that follows the Begin that gave it.
+// Try describes one attempt to a backend. It is valid only for the write that follows its Begin.
 type Try struct {
-	DeadlineMS float64   // ms: the deadline that the server is passed, at most what the client has left
-	WriteBy    time.Time // when the last byte has to be written at the latest: from then on Left exceeds what the client has left
-	Asking     bool      // the server has the request by leave of another: it would else send it on
+	DeadlineMS float64 // deadline in ms that is passed to the server, at most what the client has left
+	// Latest time for writing the last byte: after that, DeadlineMS exceeds what the client has left.
+	WriteBy time.Time
+	// The slot is being migrated: the server takes the request only with ASKING, else it redirects it
+	Asking bool
 }
 
 // Result is the kind of a final answer.
 type Result int
 
-// The final answers.
+// Results of requests.
 const (
 	Served     Result = iota
-	Refused           // trying again is harmless
-	Failed            // no promise
-	Duplicate         // not taken: a request with its id is open
-	ClientGone        // the client has left: nobody waits
+	Refused           // a retry is harmless
+	Failed            // no promise: the request may have run
+	Duplicate         // rejected: a request with the same ID is open
+	ClientGone        // the client has disconnected, so nobody waits for the answer
 )
 
-// OnAnswer is the final answer to a request.
+// Answer is the final answer to a request.
 type Answer struct {
 	Result
-	Body       []byte        // Served
-	Content    any           // Served: the answer in a backend's own terms, where Body does not say it
-	Absent     bool          // Served: there is no value
-	Streamed   StreamedValue // Served: the value, instead of Body; the front tells by Passed how it ended
-	RetryAfter float64       // Refused: ms after which to come again; 0 = not told
+	Body    []byte // Served: the value
+	Content any    // Served: the answer in the backend's own representation, where Body can't express it
+	Absent  bool   // Served: the key has no value
+	// Served: the value, instead of Body; the front reports its end with Engine.StreamEnded
+	Streamed   StreamedValue
+	RetryAfter float64 // Refused: ms after which the client should retry; 0 = unspecified
 }
 
-// Streamed is a value that is too long to be held: it passes from its server to its client in pieces, at the pace of the slower of both. One of
-// its methods is called, once, by whoever has it last.
+// StreamedValue is a value that is too large to be buffered. It is copied from its server to its client in
+// pieces, at the pace of the slower of the two. The last holder calls either Stream or Discard, once.
 type StreamedValue interface {
+	// Len returns the size of the value in bytes.
 	Len() int
-	// Stream writes the value. It blocks, and an error says that not all of it could be written.
+	// Stream writes the value to a writer. It blocks, and returns an error if the value could not be written
+	// completely.
 	Stream(to io.Writer) error
-	// Discard lets it go: nobody takes it.
+	// Discard releases the value without reading it.
 	Discard()
 }
 
-// RequestHandle is a request's place at its front. Its Answer is called once, on the engine's goroutine, and does not block.
+// RequestHandle is a front's handle of a request. Its OnAnswer is called once, on the engine's goroutine, and
+// must not block.
 type RequestHandle struct {
 	OnAnswer func(*Request, Answer)
-	Client   Client   // nil = nobody waits who could leave
-	request  *request // the engine's
+	Client   Client   // nil = no client that could disconnect
+	request  *request // owned by the engine
 }
 
-// Client is who waits for an answer.
+// Client is the client that waits for an answer.
 type Client interface {
-	// Closed says whether the client has closed. It may be called from any goroutine, and does not block.
+	// Closed reports whether the client has closed its connection. It may be called from any goroutine and
+	// does not block.
 	Closed() bool
 }
 
-// Reply is what came back for an attempt.
+// Reply is the result of an attempt.
 type Reply struct {
-	Status      decide.Status
-	Body        []byte // OK: the value or the receipt
-	CacheResult int    // 1 hit, 2 miss, 3 miss while another fetch of the key is out, 4 the origin has no value
-	Absent      bool   // OK: there is no value
+	Status decide.Status
+	Body   []byte // OK: the value or the receipt
+	// 1 hit, 2 miss, 3 miss while another fetch of the key is in flight, 4 the origin has no value
+	CacheResult int
+	Absent      bool // OK: the key has no value
 	Load        decide.Load
-	Content     any           // OK: the answer in the backend's own terms, where Body does not say it
+	Content     any           // OK: the answer in the backend's own representation, where Body can't express it
 	Streamed    StreamedValue // OK: the value, instead of Body
-	UnreadBytes int           // a protocol's: so many bytes of a value follow that it has not read,
-	Trailer     string        // and this behind them
-
-	Owners      []uint32 // the server sent the request on: who may serve it from now on; nil = as before
-	Asking      bool     // for one attempt alone, by leave: its slot has not moved yet
-	ConnRefused bool     // the connection was refused: no process listens
+	// Set by a protocol parser: number of bytes of the value that follow and are not read yet
+	UnreadBytes int
+	Trailer     string // set by a protocol parser: the bytes that follow the value
+
+	// The server redirected the request: servers that may serve it from now on; nil = unchanged
+	Owners []uint32
+	// The redirect holds for one attempt only, with ASKING, because the slot has not moved yet
+	Asking      bool
+	ConnRefused bool // the connection was refused: no process listens at the address
 }
 
-// maybeRan says whether a server has answered, whatever that was.
+// serverAnswered reports whether the server has answered at all, with whatever status.
 func (r *Reply) serverAnswered() bool {
 	return r.Status == decide.OK || r.Status == decide.Miss || r.Status == decide.Failed || r.Status == decide.QueueFull
 }
 
-// Backend knows the ways to servers.
+// Backend creates the endpoints through which servers are reached.
 type Backend interface {
-	Endpoint(s Server) Endpoint // a way to a server; it is not connected yet
+	Endpoint(s Server) Endpoint // returns an endpoint of a server, not connected yet
 }
 
-// Endpoint is the way to one server at one address. Its methods may be called from any goroutine.
+// Endpoint reaches one server at one address. Its methods may be called from any goroutine.
 type Endpoint interface {
-	// Attempt begins to make a request there once, never twice, and does not block. It says how that ended where it is known at
-	// once, with true; else the caller's Done is told, from another goroutine. stop gives the attempt up by closing its connection.
+	// Attempt starts one attempt of a request, never two, and does not block. It returns the reply and true
+	// if the result is known at once; otherwise it calls Done of the handler later, from another goroutine.
+	// Canceling stop aborts the attempt by closing its connection.
 	Attempt(stop *Canceler, r *Request, caller AttemptHandler) (Reply, bool)
+	// Probe asks the server for its load and blocks until it answers or ctx ends.
 	Probe(ctx context.Context) (decide.Status, decide.Load)
+	// CloseIdle closes the idle connections.
 	CloseIdle()
-	Remove() // no further attempt comes; those that are out end as they may
+	Remove() // no further attempt follows; those in flight run to their end
 }
 
-// AttemptHandler is who an attempt is made for.
+// AttemptHandler receives the events of an attempt.
 type AttemptHandler interface {
-	// Begin is asked once, just before the command is made and its first byte written, and does not block. What an attempt
-	// depends on may have changed while a connection was opened: false calls it off, and nothing is written.
+	// Begin is called once, just before the command is built and its first byte is written, and does not
+	// block. The conditions of an attempt may have changed while its connection was opened: false cancels the
+	// attempt, and nothing may be written.
 	Begin() (Try, bool)
-	Written()   // told once the last byte is written; it does not block
-	Done(Reply) // told once how the attempt ended, where Attempt has not said so; it may wait a moment
+	Written()   // called once after the last byte is written; does not block
+	Done(Reply) // called once with the result, unless Attempt has returned it; may block briefly
 }
 
-// Server is one server on a list.
+// Server is one server of a server list.
 type Server struct {
 	decide.Entry
 	Addr string
 }
 
-// Store keeps values that the origin has given, where the router does that by itself. Its methods run on the engine's
-// goroutine and don't block.
+// Store stores values that were fetched from the origin, if the router does that itself. Its methods run on
+// the engine's goroutine and must not block.
 type Store interface {
-	// Arrived tells of each request that is taken, and Over that it has its final answer.
+	// Arrived is called for each accepted request, and Finished when it has its final answer.
 	Arrived(q *Request)
 	Finished(q *Request)
-	// FillRequest makes the request that stores a value which the origin has given for q; nil = it is not kept.
+	// FillRequest returns the request that stores a value fetched from the origin for q, or nil if the value
+	// is not to be stored.
 	FillRequest(q *Request, value []byte) *Request
 }
 
-// TenantLimiter counts what tenants use, and says where requests stand with their limits. Its methods run on the engine's goroutine and
-// don't block.
+// TenantLimiter tracks what tenants use and classifies their requests by their limits. Its methods run on the
+// engine's goroutine and must not block, with the exception of ReleaseAnswer.
 type TenantLimiter interface {
-	// Arrived tells of each request of a client that is taken, at a time in ms, of a router that has a part of all traffic. With Beyond
-	// it is not counted, and Over is not told of it.
+	// Arrived is called for each accepted client request with the time in ms and this router's share of all
+	// traffic. It returns the standing of the request and, for a request beyond its limits, the ms after
+	// which a retry makes sense. A request that is decide.Beyond is not counted, and Finished is not called
+	// for it.
 	Arrived(now, portion float64, q *Request) (s decide.Standing, again float64)
-	Finished(now float64, q *Request) // has its final answer
-	// FetchStarted tells that a request which was counted goes to the origin, each time.
+	Finished(now float64, q *Request) // called when q has its final answer
+	// FetchStarted is called for each attempt at the origin that a counted request causes.
 	FetchStarted(now float64, q *Request)
-	// ReserveAnswer books the bytes of an answer to a request that its client has not taken yet, and says to whom they are booked; Paid gives them
-	// back, from any goroutine.
+	// ReserveAnswer charges the bytes of an answer that the client has not taken yet, and returns the party
+	// that they are charged to. ReleaseAnswer releases them; it may be called from any goroutine.
 	ReserveAnswer(q *Request, bytes int) (party string)
 	ReleaseAnswer(party string, bytes int)
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,5 +1,5 @@
-// Package guard checks at run time that a router keeps its rules, and counts by rule how often that was checked, how often something was
-// called off to keep a rule, and how often one was broken all the same.
+// Package guard checks at run time that a router keeps its invariants, called rules. For each rule it counts
+// the checks, how often an action was canceled to keep the rule, and how often the rule was violated.
 package guard
 
 import (
@@ -9,30 +9,32 @@
 	"sync/atomic"
 )
 
-// Rule is one of the rules that a router keeps for every request.
+// Rule is an invariant that a router keeps for every request.
 type Rule int
 
-// The rules.
+// Rules of a router.
 const (
 	Deadline   Rule = iota // no server is passed more time than the client has left
-	Abandoned              // no attempt begins for a client that has gone
-	Overlap                // one attempt of a request is out at a time, and no more than may be made in all
-	Repeat                 // what may have run is not repeated, or within its window alone
-	Promise                // a refusal says that a retry is harmless
-	Draining               // nothing new goes to a server that drains or is gone
-	InTime                 // the final answer comes by the client's deadline
-	Unanswered             // no connection is closed over a request that was read
-	NumRules               // how many there are
+	Abandoned              // no attempt begins for a client that has disconnected
+	Overlap                // a request has one attempt in flight at a time, and no more attempts than allowed in total
+	Repeat                 // an attempt that may have run is not repeated, or only within its window
+	Promise                // a refusal promises that a retry is harmless
+	Draining               // no new request goes to a server that drains or is gone
+	InTime                 // the final answer is given by the client's deadline
+	Unanswered             // no connection is closed while a request read from it is unanswered
+	NumRules               // number of rules
 )
 
 var ruleNames = [NumRules]string{"deadline", "abandoned", "overlap", "repeat", "promise", "draining", "in_time", "unanswered"}
 
+// String returns the name of the rule in logs and metrics.
 func (r Rule) String() string { return ruleNames[r] }
 
-// maxRecords bounds the log records of broken rules of a process; later ones are counted alone.
+// maxRecords limits the log records of violations by one process; later ones are only counted.
 const maxRecords = 1000
 
-// Guard counts for one process. It may be used from any goroutine; the zero value is ready, and a nil one counts nothing.
+// Guard counts for one process. It may be used from any goroutine. The zero value is ready to use, and a nil
+// Guard counts nothing.
 type Guard struct {
 	rules   [NumRules]counters
 	records atomic.Int64
@@ -41,38 +43,38 @@
 // counters are those of one rule.
 type counters struct{ checked, prevented, broken atomic.Uint64 }
 
-// Count is what a guard has counted of a rule.
+// Count is what a guard has counted for one rule.
 type Count struct {
 	Rule      Rule
-	Checked   uint64 // how often it was checked
-	Prevented uint64 // how often something was called off to keep it
-	Broken    uint64 // how often it was broken
+	Checked   uint64 // number of checks
+	Prevented uint64 // number of actions canceled to keep the rule
+	Broken    uint64 // number of violations
 }
 
-// Add adds the counts of another guard.
+// Add adds the counts of another guard for the same rule.
 func (c *Count) Add(o Count) {
 	c.Checked += o.Checked
 	c.Prevented += o.Prevented
 	c.Broken += o.Broken
 }
 
-// CountCheck books one check of a rule.
+// CountCheck counts one check of a rule.
 func (g *Guard) CountCheck(rule Rule) {
 	if g != nil {
 		g.rules[rule].checked.Add(1)
 	}
 }
 
-// CountPrevented books that something was called off to keep a rule.
+// CountPrevented counts an action that was canceled to keep a rule.
 func (g *Guard) CountPrevented(rule Rule, request, cause string) {
 	if g == nil {
 		return
 	}
 	g.rules[rule].prevented.Add(1)
-	slog.Debug("called off to keep an invariant", "rule", rule.String(), "request", request, "cause", cause)
+	slog.Debug("canceled to keep an invariant", "rule", rule.String(), "request", request, "cause", cause)
 }
 
-// RecordViolation books a broken rule, with one log record that names the request, this process and the cause.
+// RecordViolation counts a violation and logs one record with the request, this process and the cause.
 func (g *Guard) RecordViolation(rule Rule, request string, cause string, args ...any) {
 	if g == nil {
 		return
@@ -83,7 +85,7 @@
 	}
 }
 
-// Counts are the counts by rule.
+// Counts returns the counts of all rules, sorted by rule.
 func (g *Guard) Counts() []Count {
 	out := make([]Count, 0, NumRules)
 	for rule := range NumRules {
@@ -93,7 +95,7 @@
 	return out
 }
 
-// LogCounts writes the counts of the rules that were checked.
+// LogCounts logs the counts of the rules that were checked, prevented something or were violated.
 func (g *Guard) LogCounts() {
 	for _, c := range g.Counts() {
 		if c.Checked+c.Prevented+c.Broken > 0 {
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Guards against a rule whose violations nobody counts.
+// Guards against violations that are counted for the wrong rule or not at all.
 func TestCountsByRule(t *testing.T) {
 	var g Guard
 	g.CountCheck(Deadline)
