--- a/internal/engine/allocs_test.go
+++ b/internal/engine/allocs_test.go
@@ -15,8 +15,8 @@
 var instantReply = Reply{Status: decide.OK, Load: decide.NoLoad, CacheResult: 1, Body: []byte("v")}
 
 func (instantBackend) Endpoint(Server) Endpoint { return instantBackend{} }
-func (instantBackend) Attempt(_ *Canceler, _ *Request, caller AttemptHandler) (Reply, bool) {
-	caller.Begin()
+func (instantBackend) Attempt(_ *Canceler, _ *Request, handler AttemptHandler) (Reply, bool) {
+	handler.Begin()
 	return instantReply, true
 }
 func (instantBackend) Probe(context.Context) (decide.Status, decide.Load) {
@@ -96,16 +96,16 @@
 func BenchmarkFiguresRatio(b *testing.B) {
 	with, without := startInstantEngineWith(b, true), startInstantEngineWith(b, false)
 	var took [2]time.Duration
-	const part = 200
+	const batch = 200
 	for b.Loop() {
 		for i, ask := range []func(){without, with} {
 			began := time.Now()
-			for range part {
+			for range batch {
 				ask()
 			}
 			took[i] += time.Since(began)
 		}
 	}
 	b.ReportMetric(float64(took[1])/float64(took[0]), "with/without")
-	b.ReportMetric(float64(took[1])/float64(part*b.N), "ns/request")
+	b.ReportMetric(float64(took[1])/float64(batch*b.N), "ns/request")
 }
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -34,23 +34,23 @@
 }
 
 // Add adds the counts of another engine.
-func (c *Counts) Add(o Counts) {
-	c.Attempts, c.Open = c.Attempts+o.Attempts, c.Open+o.Open
-	c.KnownServers, c.AvoidedServers = c.KnownServers+o.KnownServers, c.AvoidedServers+o.AvoidedServers
-	c.Arrivals.Add(o.Arrivals)
-	for i, r := range o.Rules {
+func (c *Counts) Add(other Counts) {
+	c.Attempts, c.Open = c.Attempts+other.Attempts, c.Open+other.Open
+	c.KnownServers, c.AvoidedServers = c.KnownServers+other.KnownServers, c.AvoidedServers+other.AvoidedServers
+	c.Arrivals.Add(other.Arrivals)
+	for i, rule := range other.Rules {
 		if i == len(c.Rules) {
-			c.Rules = append(slices.Clip(c.Rules), guard.Count{Rule: r.Rule})
+			c.Rules = append(slices.Clip(c.Rules), guard.Count{Rule: rule.Rule})
 		}
-		c.Rules[i].Add(r)
+		c.Rules[i].Add(rule)
 	}
-	for _, k := range o.Classes {
-		i, there := slices.BinarySearchFunc(c.Classes, k, compareByClass)
-		if !there {
-			c.Classes = slices.Insert(c.Classes, i, ClassCounts{Class: k.Class})
+	for _, class := range other.Classes {
+		i, found := slices.BinarySearchFunc(c.Classes, class, compareByClass)
+		if !found {
+			c.Classes = slices.Insert(c.Classes, i, ClassCounts{Class: class.Class})
 		}
-		at := &c.Classes[i]
-		at.Served, at.Refused, at.Failed = at.Served+k.Served, at.Refused+k.Refused, at.Failed+k.Failed
+		sum := &c.Classes[i]
+		sum.Served, sum.Refused, sum.Failed = sum.Served+class.Served, sum.Refused+class.Refused, sum.Failed+class.Failed
 	}
 }
 
@@ -72,21 +72,21 @@
 }
 
 // countAnswer counts a final answer to a client. Requests whose client has disconnected are not counted.
-func (e *Engine) countAnswer(class string, got Result) {
+func (e *Engine) countAnswer(class string, result Result) {
 	if e.counter == nil {
 		return
 	}
-	k := e.counter.classes[class]
-	if k == nil { // the class was removed after the request arrived
+	counts := e.counter.classes[class]
+	if counts == nil { // the class was removed after the request arrived
 		return
 	}
-	switch got {
+	switch result {
 	case Served:
-		k.Served++
+		counts.Served++
 	case Refused:
-		k.Refused++
+		counts.Refused++
 	case Failed:
-		k.Failed++
+		counts.Failed++
 	}
 }
 
@@ -102,14 +102,14 @@
 // completely. It may be called from any goroutine, including the engine's, and does not block. The queue
 // still stays short: a connection has at most one such value at a time, and its other requests wait behind
 // it.
-func (e *Engine) StreamEnded(class string, whole bool) {
+func (e *Engine) StreamEnded(class string, complete bool) {
 	e.events.postUnbounded(func() {
 		e.streaming--
-		got := Served
-		if !whole {
-			got = Failed
+		result := Served
+		if !complete {
+			result = Failed
 		}
-		e.countAnswer(class, got)
+		e.countAnswer(class, result)
 	})
 }
 
@@ -125,15 +125,15 @@
 	if c == nil {
 		return
 	}
-	out := &Counts{Attempts: c.attempts.Load(), Open: len(e.openByID) + e.streaming, Arrivals: e.balancer.Demand()}
-	out.KnownServers, out.AvoidedServers = e.balancer.Fleet()
+	counts := &Counts{Attempts: c.attempts.Load(), Open: len(e.openByID) + e.streaming, Arrivals: e.balancer.Demand()}
+	counts.KnownServers, counts.AvoidedServers = e.balancer.Fleet()
 	if e.reportRules {
-		out.Rules = e.Guard.Counts()
+		counts.Rules = e.Guard.Counts()
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.classes)) {
-		out.Classes = append(out.Classes, *c.classes[name])
+		counts.Classes = append(counts.Classes, *c.classes[name])
 	}
-	c.published.Store(out)
+	c.published.Store(counts)
 }
 
 // Counts returns the latest published counts, or none if the engine does not count. It may be called from any
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -130,7 +130,7 @@
 )
 
 // Done implements AttemptHandler.
-func (a *attempt) Done(got Reply) { a.engine.Post(func() { a.engine.finishAttempt(a, got) }) }
+func (a *attempt) Done(reply Reply) { a.engine.Post(func() { a.engine.finishAttempt(a, reply) }) }
 
 // Budget limits the bytes held for one purpose. It may be used from any goroutine.
 type Budget struct {
@@ -228,8 +228,8 @@
 
 // SetTier passes on what is known about the routers that share the common capacity, see decide.Tier. until is
 // a wall clock time; zero means no end.
-func (e *Engine) SetTier(routers int, parts float64, until time.Time, then float64) error {
-	t := decide.Tier{Routers: routers, Parts: parts, Until: math.Inf(1), Then: then}
+func (e *Engine) SetTier(routers int, shares float64, until time.Time, then float64) error {
+	t := decide.Tier{Routers: routers, Parts: shares, Until: math.Inf(1), Then: then}
 	if !until.IsZero() {
 		t.Until = e.now() + float64(time.Until(until))/float64(time.Millisecond)
 	}
@@ -306,7 +306,7 @@
 
 // AtBatchEnd schedules a function for the end of the current batch of events, so that work requested by
 // several events, such as writing to a connection, is done once.
-func (e *Engine) AtBatchEnd(do func()) { e.batchEnd = append(e.batchEnd, do) }
+func (e *Engine) AtBatchEnd(action func()) { e.batchEnd = append(e.batchEnd, action) }
 
 // Run processes events and timers until ctx ends. Everything that is not documented as callable from any
 // goroutine has to run within its events.
@@ -373,8 +373,8 @@
 
 // runBatchEnd runs the functions scheduled with AtBatchEnd.
 func (e *Engine) runBatchEnd() {
-	for i, do := range e.batchEnd {
-		do()
+	for i, action := range e.batchEnd {
+		action()
 		e.batchEnd[i] = nil
 	}
 	e.batchEnd = e.batchEnd[:0]
@@ -383,9 +383,9 @@
 // runDeferred runs the work that Host methods have deferred.
 func (e *Engine) runDeferred() {
 	for len(e.deferred) > 0 {
-		do := e.deferred[0]
+		action := e.deferred[0]
 		e.deferred = e.deferred[1:]
-		do()
+		action()
 	}
 }
 
@@ -419,29 +419,29 @@
 }
 
 // Submit accepts a client's request that was read at the given time. The handle receives exactly one answer.
-func (e *Engine) Submit(q *Request, read float64, t *RequestHandle) {
+func (e *Engine) Submit(q *Request, readAt float64, handle *RequestHandle) {
 	if e.openByID[q.ID] != nil || !e.ids.acquire(q.ID) { // cache servers would take one for the other
 		e.HeldBytes.Release(q.HeldBytes)
-		t.OnAnswer(q, Answer{Result: Duplicate})
+		handle.OnAnswer(q, Answer{Result: Duplicate})
 		return
 	}
 	for e.lastID++; e.requests[e.lastID] != nil; e.lastID++ { // IDs are reused after 2^32 requests
 	}
 	now := e.now()
 	// A client can't extend the deadline of its class, so that no record is kept for longer.
-	c, _ := e.Class(q.Class)
-	left := max(0, min(q.Wait, c.Deadline)-(now-read))
-	left = max(0, min(left, e.shutdownAt-now))
-	r := &request{Request: q, id: e.lastID, readAt: read, deadline: now + left, class: c, client: t.Client, handle: t}
-	e.requests[r.id], e.openByID[q.ID], t.request = r, r, r
+	class, _ := e.Class(q.Class)
+	remaining := max(0, min(q.Wait, class.Deadline)-(now-readAt))
+	remaining = max(0, min(remaining, e.shutdownAt-now))
+	r := &request{Request: q, id: e.lastID, readAt: readAt, deadline: now + remaining, class: class, client: handle.Client, handle: handle}
+	e.requests[r.id], e.openByID[q.ID], handle.request = r, r, r
 	if e.store != nil {
 		e.store.Arrived(q)
 	}
-	e.traceTaken(r, left)
+	e.traceTaken(r, remaining)
 	r.timer = timer{kind: requestDeadline, request: r}
-	e.startTimer(&r.timer, left+answerGrace)
+	e.startTimer(&r.timer, remaining+answerGrace)
 	d := decide.Request{ID: r.id, Class: q.Class, Tenant: q.Tenant, Key: keyID(q.Key), HasKey: true,
-		Left: left, Hint: q.Hint, Size: q.Size, Retry: q.Retry, Write: q.Write, Owners: q.Owners, Stores: q.CacheFill}
+		Left: remaining, Hint: q.Hint, Size: q.Size, Retry: q.Retry, Write: q.Write, Owners: q.Owners, Stores: q.CacheFill}
 	if e.tenants != nil && !q.CacheFill {
 		d.Standing, d.Again = e.tenants.Arrived(now, e.balancer.Portion(), q)
 		r.countedByTenants = d.Standing != decide.Beyond
@@ -450,9 +450,9 @@
 }
 
 // ClientLeft reports that the client of a request has disconnected.
-func (e *Engine) ClientLeft(t *RequestHandle) {
-	if t.request != nil {
-		e.abandonRequest(t.request)
+func (e *Engine) ClientLeft(handle *RequestHandle) {
+	if handle.request != nil {
+		e.abandonRequest(handle.request)
 	}
 }
 
@@ -507,41 +507,41 @@
 }
 
 // finishAttempt ends an attempt once. Later results reach neither the client nor the Balancer.
-func (e *Engine) finishAttempt(a *attempt, got Reply) {
-	if got.Streamed != nil && (a.finished || a.request.finished) { // nobody takes it
-		defer got.Streamed.Discard()
+func (e *Engine) finishAttempt(a *attempt, reply Reply) {
+	if reply.Streamed != nil && (a.finished || a.request.finished) { // nobody takes it
+		defer reply.Streamed.Discard()
 	}
 	if a.finished {
 		return
 	}
-	a.finished, a.maybeRan = true, !got.Status.NeverRan() && a.phase.Load() == phaseWriting
+	a.finished, a.maybeRan = true, !reply.Status.NeverRan() && a.phase.Load() == phaseWriting
 	a.canceler.Cancel()
-	a.traceEnded(got)
+	a.traceEnded(reply)
 	e.timers.stop(&a.timer)
 	r := a.request
 	r.inFlight--
-	if got.Status == decide.OK {
-		keep := e.fillRequest(a, got)
-		e.finish(r, Answer{Result: Served, Body: got.Body, Content: got.Content, Absent: got.Absent, Streamed: got.Streamed})
-		e.submitFill(keep)
+	if reply.Status == decide.OK {
+		fill := e.fillRequest(a, reply)
+		e.finish(r, Answer{Result: Served, Body: reply.Body, Content: reply.Content, Absent: reply.Absent, Streamed: reply.Streamed})
+		e.submitFill(fill)
 	}
 	e.removeIfDone(r)
 	now := e.now()
-	e.inferRestart(a, got)
-	if r.askingServers = nil; got.Asking {
-		r.askingServers = got.Owners
+	e.inferRestart(a, reply)
+	if r.askingServers = nil; reply.Asking {
+		r.askingServers = reply.Owners
 	}
-	e.balancer.Outcome(now, decide.Outcome{ID: r.id, Attempt: a.index, Server: a.serverID, Status: got.Status, Latency: now - a.startedAt,
-		Final: r.finished, Note: got.CacheResult, Load: got.Load, Owners: got.Owners})
+	e.balancer.Outcome(now, decide.Outcome{ID: r.id, Attempt: a.index, Server: a.serverID, Status: reply.Status, Latency: now - a.startedAt,
+		Final: r.finished, Note: reply.CacheResult, Load: reply.Load, Owners: reply.Owners})
 }
 
 // fillRequest returns the request that stores the value which an attempt at the origin has fetched, nil if
 // there is nothing to store.
-func (e *Engine) fillRequest(a *attempt, got Reply) *Request {
-	if e.store == nil || a.request.finished || a.request.Write || got.Absent || a.target == nil || a.target.entry.Kind != e.originKind {
+func (e *Engine) fillRequest(a *attempt, reply Reply) *Request {
+	if e.store == nil || a.request.finished || a.request.Write || reply.Absent || a.target == nil || a.target.entry.Kind != e.originKind {
 		return nil
 	}
-	return e.store.FillRequest(a.request.Request, got.Body)
+	return e.store.FillRequest(a.request.Request, reply.Body)
 }
 
 // submitFill submits the request that stores a fetched value. By now the client that caused the fetch has its
@@ -556,40 +556,40 @@
 
 // inferRestart treats a server that refused connections and then answers again as restarted and cold, where
 // nobody reports starts. A wrong inference only limits its load for as long as that of a cold server.
-func (e *Engine) inferRestart(a *attempt, got Reply) {
+func (e *Engine) inferRestart(a *attempt, reply Reply) {
 	t := a.target
 	if !e.inferStarts || t == nil || e.targets[a.serverID] != t {
 		return
 	}
 	switch {
-	case got.ConnRefused:
+	case reply.ConnRefused:
 		t.refusedAt = e.now()
-	case t.refusedAt > 0 && a.startedAt > t.refusedAt && got.serverAnswered():
+	case t.refusedAt > 0 && a.startedAt > t.refusedAt && reply.serverAnswered():
 		t.started, t.inferredStart, t.refusedAt = t.refusedAt, t.refusedAt, 0
 		t.entry.Started = t.inferredStart
-		again := t.entry
+		entry := t.entry
 		e.deferred = append(e.deferred, func() {
 			if e.targets[a.serverID] == t {
 				slog.Info("server answers after it refused connections: taken as started anew, cold", "server", a.serverID, "addr", t.addr)
-				e.balancer.Servers(e.now(), decide.Changes, []decide.Entry{again})
+				e.balancer.Servers(e.now(), decide.Changes, []decide.Entry{entry})
 			}
 		})
 	}
 }
 
 // replyWithStatus returns a reply that has only a status.
-func replyWithStatus(st decide.Status) Reply { return Reply{Status: st, Load: decide.NoLoad} }
+func replyWithStatus(status decide.Status) Reply { return Reply{Status: status, Load: decide.NoLoad} }
 
 // timeOut ends an attempt whose time limit has passed.
 func (e *Engine) timeOut(a *attempt) {
 	if a.finished {
 		return
 	}
-	st := decide.TimedOut
+	status := decide.TimedOut
 	if a.phase.CompareAndSwap(phaseOpening, phaseCanceled) {
-		st = decide.ConnectError // the connection was never established, and nothing will be written
+		status = decide.ConnectError // the connection was never established, and nothing will be written
 	}
-	e.finishAttempt(a, replyWithStatus(st))
+	e.finishAttempt(a, replyWithStatus(status))
 }
 
 // cancel aborts an attempt by closing its connection.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -40,8 +40,8 @@
 func (missEndpoint) CloseIdle() {}
 func (missEndpoint) Remove()    {}
 
-func (l missEndpoint) Attempt(_ *Canceler, r *Request, caller AttemptHandler) (Reply, bool) {
-	caller.Begin()
+func (l missEndpoint) Attempt(_ *Canceler, r *Request, handler AttemptHandler) (Reply, bool) {
+	handler.Begin()
 	if l.origin || r.Key == "there" {
 		return Reply{Status: decide.OK, Load: decide.NoLoad}, true
 	}
--- a/internal/engine/gate.go
+++ b/internal/engine/gate.go
@@ -48,11 +48,11 @@
 	if !a.phase.CompareAndSwap(phaseOpening, phaseWriting) {
 		return Try{}, false
 	}
-	left := a.request.deadline - now
-	sending := min(maxSendShare*left, sendTimePerByte*float64(len(a.request.Value)))
-	try := Try{DeadlineMS: max(1, left-sending-deadlineMargin), WriteBy: time.Now().Add(milliseconds(sending + writeSlack)), Asking: a.asking}
+	remaining := a.request.deadline - now
+	sendTime := min(maxSendShare*remaining, sendTimePerByte*float64(len(a.request.Value)))
+	try := Try{DeadlineMS: max(1, remaining-sendTime-deadlineMargin), WriteBy: time.Now().Add(milliseconds(sendTime + writeSlack)), Asking: a.asking}
 	a.passedDeadline = try.DeadlineMS
-	a.traceBegun(left)
+	a.traceBegun(remaining)
 	return try, true
 }
 
@@ -94,24 +94,24 @@
 
 // mayRepeat reports whether a retry of a request is allowed after the earlier attempts, and returns the
 // latest time for it to begin, 0 = no limit.
-func (e *Engine) mayRepeat(r *request) (by float64, ok bool) {
+func (e *Engine) mayRepeat(r *request) (beginBy float64, ok bool) {
 	if r.class.Effect == decide.Repeatable {
 		return 0, true
 	}
 	e.Guard.CountCheck(guard.Repeat)
-	for _, before := range r.attempts {
-		if !before.mayHaveRun() {
+	for _, earlier := range r.attempts {
+		if !earlier.mayHaveRun() {
 			continue
 		}
 		if r.class.Effect == decide.Once {
-			e.Guard.RecordViolation(guard.Repeat, r.ID, "class %s: attempt %d may have run", r.Class, before.index)
+			e.Guard.RecordViolation(guard.Repeat, r.ID, "class %s: attempt %d may have run", r.Class, earlier.index)
 			return 0, false
 		}
-		if end := before.startedAt + r.class.Window - maxProcessPause; by == 0 || end < by {
-			by = end
+		if latest := earlier.startedAt + r.class.Window - maxProcessPause; beginBy == 0 || latest < beginBy {
+			beginBy = latest
 		}
 	}
-	return by, true
+	return beginBy, true
 }
 
 // mayRefuse reports whether a request may be refused, which promises that a retry is harmless.
@@ -151,8 +151,8 @@
 		a.engine.counter.attempts.Add(1)
 	}
 	a.engine.Guard.CountCheck(guard.Deadline)
-	if over := a.passedDeadline - (a.request.deadline - a.engine.now()); over > deadlineSlack {
-		a.engine.Guard.RecordViolation(guard.Deadline, a.request.ID, "attempt %d: the deadline passed to the server was %.0f ms too long when the last byte was written", a.index, over)
+	if excess := a.passedDeadline - (a.request.deadline - a.engine.now()); excess > deadlineSlack {
+		a.engine.Guard.RecordViolation(guard.Deadline, a.request.ID, "attempt %d: the deadline passed to the server was %.0f ms too long when the last byte was written", a.index, excess)
 	}
 }
 
--- a/internal/engine/gate_test.go
+++ b/internal/engine/gate_test.go
@@ -9,10 +9,10 @@
 
 // requestWithAttempt returns a request of a class with one attempt that began the given number of ms ago and
 // may have run.
-func requestWithAttempt(class decide.Class, ago float64) (*Engine, *request) {
+func requestWithAttempt(class decide.Class, agoMS float64) (*Engine, *request) {
 	e := &Engine{clock: newClock(), Guard: &guard.Guard{}, events: newEvents()}
 	r := &request{Request: &Request{ID: "a1", Class: class.Name}, class: class, deadline: e.now() + 5000, readAt: e.now()}
-	r.attempts = []*attempt{{engine: e, request: r, startedAt: e.now() - ago, finished: true, maybeRan: true}}
+	r.attempts = []*attempt{{engine: e, request: r, startedAt: e.now() - agoMS, finished: true, maybeRan: true}}
 	return e, r
 }
 
--- a/internal/engine/handed.go
+++ b/internal/engine/handed.go
@@ -72,17 +72,17 @@
 // convertClock converts the start times of a handover to this engine's clock. Each process counts from the
 // wall clock at its own start, which may have been stepped since.
 func (e *Engine) convertClock(h *HandoverState) {
-	by := e.now() - h.Now
-	if h.Now <= 0 || math.Abs(by) < clockTolerance {
-		by = 0
+	shift := e.now() - h.Now
+	if h.Now <= 0 || math.Abs(shift) < clockTolerance {
+		shift = 0
 	}
-	h.Learned.Shift(by)
-	at := map[uint32]float64{}
+	h.Learned.Shift(shift)
+	startedAt := map[uint32]float64{}
 	for _, s := range h.Starts {
-		at[s.ID] = s.At + by
+		startedAt[s.ID] = s.At + shift
 	}
 	for _, s := range h.Servers {
-		if t, ok := at[s.ID]; ok && s.Started > 0 && t <= e.now() {
+		if t, ok := startedAt[s.ID]; ok && s.Started > 0 && t <= e.now() {
 			e.starts.record(s.ID, startTime{s.Started, t})
 		}
 	}
--- a/internal/engine/history_test.go
+++ b/internal/engine/history_test.go
@@ -36,25 +36,25 @@
 func (l *randomEndpoint) Remove()    {}
 
 // Attempt ends as drawn, at once or later.
-func (l *randomEndpoint) Attempt(stop *Canceler, r *Request, caller AttemptHandler) (Reply, bool) {
+func (l *randomEndpoint) Attempt(canceler *Canceler, r *Request, handler AttemptHandler) (Reply, bool) {
 	l.backend.mu.Lock()
 	busy := l.backend.rng.IntN(10) == 0
 	l.backend.mu.Unlock()
 	if busy {
 		return Reply{Status: decide.Ignored, Load: decide.NoLoad}, true
 	}
-	go func() { caller.Done(l.attempt(stop, r, caller.Begin)) }()
+	go func() { handler.Done(l.attempt(canceler, r, handler.Begin)) }()
 	return Reply{}, false
 }
 
 // attempt is an attempt that takes time. It may have run once begin has been called.
-func (l *randomEndpoint) attempt(stop *Canceler, r *Request, begin func() (Try, bool)) Reply {
-	w, given := l.backend, make(chan struct{})
-	stop.OnCancel(func() { close(given) })
+func (l *randomEndpoint) attempt(canceler *Canceler, r *Request, begin func() (Try, bool)) Reply {
+	w, canceled := l.backend, make(chan struct{})
+	canceler.OnCancel(func() { close(canceled) })
 	w.mu.Lock()
 	status := []decide.Status{decide.OK, decide.OK, decide.OK, decide.Failed, decide.QueueFull, decide.ConnectError, decide.Reset, decide.Ignored, decide.Spoilt}[w.rng.IntN(9)]
 	pause := time.Duration(w.rng.IntN(4)) * time.Millisecond
-	never := w.rng.IntN(12) == 0
+	hangs := w.rng.IntN(12) == 0
 	var owners []uint32
 	if status == decide.Ignored && w.rng.IntN(2) == 0 {
 		owners = []uint32{uint32(w.rng.IntN(6) + 1)}
@@ -69,7 +69,7 @@
 	w.mu.Lock()
 	w.inFlight[r.ID]++
 	w.maxInFlight = max(w.maxInFlight, w.inFlight[r.ID])
-	if !status.NeverRan() || never {
+	if !status.NeverRan() || hangs {
 		w.ran[r.ID]++
 	}
 	w.mu.Unlock()
@@ -78,13 +78,13 @@
 		w.inFlight[r.ID]--
 		w.mu.Unlock()
 	}()
-	if never {
-		<-given
+	if hangs {
+		<-canceled
 		return Reply{Status: decide.Reset, Load: decide.NoLoad}
 	}
 	select {
 	case <-time.After(pause):
-	case <-given:
+	case <-canceled:
 	}
 	return Reply{Status: status, Body: []byte(r.ID), Load: decide.NoLoad, Owners: owners}
 }
@@ -94,9 +94,9 @@
 // has not run. No record of any request may remain.
 func TestOneFinalAnswer(t *testing.T) {
 	const requests = 3000
-	w := &randomBackend{rng: rand.New(rand.NewPCG(11, 3)), inFlight: map[string]int{}, ran: map[string]int{}}
+	backend := &randomBackend{rng: rand.New(rand.NewPCG(11, 3)), inFlight: map[string]int{}, ran: map[string]int{}}
 	e, err := New(Options{Seed: 5, MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1, FallMult: 3, FallFor: 1000, ConnIdle: 1000,
-		Classes: []decide.Class{{Name: "read", Aim: 150, Deadline: 200, Worth: 1}, {Name: "poll", Effect: decide.Once, Aim: 150, Deadline: 200, Worth: 1}}}}, w)
+		Classes: []decide.Class{{Name: "read", Aim: 150, Deadline: 200, Worth: 1}, {Name: "poll", Effect: decide.Once, Aim: 150, Deadline: 200, Worth: 1}}}}, backend)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,17 +121,17 @@
 		leaves := i%20 == 19
 		open.Add(1)
 		at := e.Now()
-		tick := &RequestHandle{}
-		tick.OnAnswer = func(q *Request, a Answer) {
+		handle := &RequestHandle{}
+		handle.OnAnswer = func(q *Request, a Answer) {
 			results[a.Result].Add(1)
 			if answers[i].Add(1) > 1 {
 				t.Errorf("request %d: a second answer", i)
 				return
 			}
 			defer open.Done()
-			w.mu.Lock()
-			ran := w.ran[q.ID]
-			w.mu.Unlock()
+			backend.mu.Lock()
+			ran := backend.ran[q.ID]
+			backend.mu.Unlock()
 			switch {
 			case a.Result == Served && string(a.Body) != q.ID:
 				t.Errorf("request %d: served with %q", i, a.Body)
@@ -141,27 +141,27 @@
 				t.Errorf("request %d: answered after %.0f ms", i, e.Now()-at)
 			}
 		}
-		e.Post(func() { e.Submit(q, at, tick) })
+		e.Post(func() { e.Submit(q, at, handle) })
 		if leaves {
-			e.Post(func() { e.ClientLeft(tick) })
+			e.Post(func() { e.ClientLeft(handle) })
 		}
 		if i%40 == 0 {
 			time.Sleep(time.Millisecond) // spreads the arrivals; nothing is waited for
 		}
 	}
 	open.Wait()
-	w.mu.Lock()
-	for id, n := range w.ran {
+	backend.mu.Lock()
+	for id, n := range backend.ran {
 		var i int
 		fmt.Sscan(id, &i)
 		if i%3 == 0 && n > 1 {
 			t.Errorf("poll %s: %d attempts may have run", id, n)
 		}
 	}
-	if w.maxInFlight > 1 {
-		t.Errorf("%d attempts of a request out at once", w.maxInFlight)
+	if backend.maxInFlight > 1 {
+		t.Errorf("%d attempts of a request out at once", backend.maxInFlight)
 	}
-	w.mu.Unlock()
+	backend.mu.Unlock()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		got := make(chan Size)
 		e.Post(func() { got <- e.Size() })
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -20,11 +20,11 @@
 		return
 	}
 	now := e.now()
-	left := r.deadline - now
+	remaining := r.deadline - now
 	if timeout != 0 {
-		left = min(left, timeout)
+		remaining = min(remaining, timeout)
 	}
-	by, repeats := e.mayRepeat(r)
+	beginBy, allowed := e.mayRepeat(r)
 	a := &r.firstAttempt // most requests need only one
 	if len(r.attempts) > 0 {
 		a = &attempt{}
@@ -33,24 +33,24 @@
 	}
 	a.engine, a.request, a.index, a.serverID, a.startedAt = e.Engine, r, len(r.attempts), to, now
 	r.attempts, r.inFlight = append(r.attempts, a), r.inFlight+1
-	t := e.targets[to]
-	a.target = t
-	a.counted, a.beginBy = e.counter != nil, by
+	target := e.targets[to]
+	a.target = target
+	a.counted, a.beginBy = e.counter != nil, beginBy
 	if r.inFlight > 1 && !e.hedging || a.index >= e.maxAttempts {
 		e.Guard.RecordViolation(guard.Overlap, r.ID, "attempt %d with %d in flight", a.index, r.inFlight-1)
 	}
-	if !repeats || r.finished || t == nil || left <= 0 || a.index >= e.maxAttempts || !e.hedging && r.inFlight > 1 {
+	if !allowed || r.finished || target == nil || remaining <= 0 || a.index >= e.maxAttempts || !e.hedging && r.inFlight > 1 {
 		e.deferred = append(e.deferred, func() { e.finishAttempt(a, replyWithStatus(decide.Ignored)) })
 		return
 	}
-	if r.countedByTenants && e.originKind != "" && t.entry.Kind == e.originKind {
+	if r.countedByTenants && e.originKind != "" && target.entry.Kind == e.originKind {
 		e.tenants.FetchStarted(now, r.Request)
 	}
 	a.timer = timer{kind: attemptTimeout, attempt: a}
-	e.startTimer(&a.timer, left)
+	e.startTimer(&a.timer, remaining)
 	a.asking = slices.Contains(r.askingServers, to)
-	if got, known := t.Attempt(&a.canceler, r.Request, a); known {
-		e.deferred = append(e.deferred, func() { e.finishAttempt(a, got) })
+	if reply, known := target.Attempt(&a.canceler, r.Request, a); known {
+		e.deferred = append(e.deferred, func() { e.finishAttempt(a, reply) })
 	}
 }
 
@@ -86,16 +86,16 @@
 
 // Probe asks a server for its load.
 func (e host) Probe(server uint32) {
-	t := e.targets[server]
-	if t == nil {
+	target := e.targets[server]
+	if target == nil {
 		e.deferred = append(e.deferred, func() { e.balancer.Probed(e.now(), server, decide.ConnectError, decide.NoLoad) })
 		return
 	}
 	go func() {
 		ctx, stop := context.WithTimeout(e.ctx, probeTimeout*time.Millisecond)
 		defer stop()
-		st, load := t.Probe(ctx)
-		e.Post(func() { e.balancer.Probed(e.now(), server, st, load) })
+		status, load := target.Probe(ctx)
+		e.Post(func() { e.balancer.Probed(e.now(), server, status, load) })
 	}()
 }
 
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -32,13 +32,13 @@
 	if s == nil {
 		return true
 	}
-	h := &s.shards[maphash.String(s.seed, id)%idShards]
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if _, ok := h.open[id]; ok {
+	shard := &s.shards[maphash.String(s.seed, id)%idShards]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	if _, ok := shard.open[id]; ok {
 		return false
 	}
-	h.open[id] = struct{}{}
+	shard.open[id] = struct{}{}
 	return true
 }
 
@@ -47,19 +47,19 @@
 	if s == nil {
 		return
 	}
-	h := &s.shards[maphash.String(s.seed, id)%idShards]
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.open, id)
+	shard := &s.shards[maphash.String(s.seed, id)%idShards]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	delete(shard.open, id)
 }
 
 // Len returns the number of IDs in use.
 func (s *RequestIDs) Len() (n int) {
 	for i := range s.shards {
-		h := &s.shards[i]
-		h.mu.Lock()
-		n += len(h.open)
-		h.mu.Unlock()
+		shard := &s.shards[i]
+		shard.mu.Lock()
+		n += len(shard.open)
+		shard.mu.Unlock()
 	}
 	return n
 }
--- a/internal/engine/ids_test.go
+++ b/internal/engine/ids_test.go
@@ -47,26 +47,26 @@
 // must be free again after the answer.
 func TestIDsOfTwoEngines(t *testing.T) {
 	ids := NewRequestIDs()
-	var es []*Engine
+	var engines []*Engine
 	for range 2 {
 		e, err := New(Options{MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, IDs: ids, Config: decide.Config{Routers: 2, Alone: true, MaxAttempts: 1, ColdFrom: 1, FallMult: 3, FallFor: 1000,
 			Classes: []decide.Class{{Name: "read", Aim: 100, Deadline: 100}}}}, &randomBackend{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		es = append(es, e)
+		engines = append(engines, e)
 	}
 	var got []Result
 	ask := func(e *Engine) *RequestHandle {
-		k := &RequestHandle{OnAnswer: func(_ *Request, a Answer) { got = append(got, a.Result) }}
-		e.Submit(&Request{ID: "same", Class: "read", Key: "k", Wait: 100, Owners: []uint32{}}, e.Now(), k)
-		return k
+		handle := &RequestHandle{OnAnswer: func(_ *Request, a Answer) { got = append(got, a.Result) }}
+		e.Submit(&Request{ID: "same", Class: "read", Key: "k", Wait: 100, Owners: []uint32{}}, e.Now(), handle)
+		return handle
 	}
 	ids.acquire("same") // as a request at another engine would
-	ask(es[0])
+	ask(engines[0])
 	ids.release("same")
-	ask(es[1]) // no server may serve the key, so the request is refused at once
-	ask(es[0])
+	ask(engines[1]) // no server may serve the key, so the request is refused at once
+	ask(engines[0])
 	if len(got) != 3 || got[0] != Duplicate || got[1] != Refused || got[2] != Refused || ids.Len() != 0 {
 		t.Errorf("%v, %d ids are left", got, ids.Len())
 	}
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -10,37 +10,37 @@
 // UpdateServers applies a complete server list or the changes to one.
 func (e *Engine) UpdateServers(kind decide.ListKind, servers []Server) {
 	entries := make([]decide.Entry, 0, len(servers))
-	named := map[uint32]bool{}
-	for _, d := range servers {
-		t := e.targets[d.ID]
-		d.Started = e.starts.onEngineClock(d.ID, d.Started, e.now())
-		if t != nil && t.addr == d.Addr {
-			d.Started = max(d.Started, t.inferredStart)
+	listed := map[uint32]bool{}
+	for _, listing := range servers {
+		t := e.targets[listing.ID]
+		listing.Started = e.starts.onEngineClock(listing.ID, listing.Started, e.now())
+		if t != nil && t.addr == listing.Addr {
+			listing.Started = max(listing.Started, t.inferredStart)
 		}
-		entries, named[d.ID] = append(entries, d.Entry), true
-		if t == nil && d.State == decide.Ready {
-			entries = append(entries, e.dropReplaced(d)...)
+		entries, listed[listing.ID] = append(entries, listing.Entry), true
+		if t == nil && listing.State == decide.Ready {
+			entries = append(entries, e.dropReplaced(listing)...)
 		}
 		switch {
-		case d.State == decide.Gone:
-			e.dropServer(d.ID)
-		case t == nil || t.addr != d.Addr:
-			e.dropServer(d.ID)
-			e.targets[d.ID] = &server{Endpoint: e.backend.Endpoint(d), addr: d.Addr, started: d.Started}
-			e.serversByAddr[d.Addr] = append(e.serversByAddr[d.Addr], d.ID)
+		case listing.State == decide.Gone:
+			e.dropServer(listing.ID)
+		case t == nil || t.addr != listing.Addr:
+			e.dropServer(listing.ID)
+			e.targets[listing.ID] = &server{Endpoint: e.backend.Endpoint(listing), addr: listing.Addr, started: listing.Started}
+			e.serversByAddr[listing.Addr] = append(e.serversByAddr[listing.Addr], listing.ID)
 		// Connections to the earlier process are dead, possibly without a FIN or RST.
-		case t.started != d.Started:
-			t.started = d.Started
+		case t.started != listing.Started:
+			t.started = listing.Started
 			t.CloseIdle()
 		}
-		if t := e.targets[d.ID]; t != nil {
-			t.entry = d.Entry
-			t.setClosing(d.State == decide.Draining, e.now())
+		if t := e.targets[listing.ID]; t != nil {
+			t.entry = listing.Entry
+			t.setClosing(listing.State == decide.Draining, e.now())
 		}
 	}
 	if kind == decide.Full || kind == decide.Remembered {
 		for id := range e.targets {
-			if !named[id] {
+			if !listed[id] {
 				e.dropServer(id)
 			}
 		}
@@ -58,11 +58,11 @@
 // dropReplaced removes the servers that were at the address of a new one, and returns their entries as gone.
 // The new server has replaced them, though the report of their end may be late; requests meant for them would
 // reach the new server while it is cold.
-func (e *Engine) dropReplaced(by Server) (gone []decide.Entry) {
-	for _, old := range slices.Clone(e.serversByAddr[by.Addr]) {
-		if by.Started > e.targets[old].started {
-			e.dropServer(old)
-			gone = append(gone, decide.Entry{ID: old, State: decide.Gone})
+func (e *Engine) dropReplaced(successor Server) (gone []decide.Entry) {
+	for _, id := range slices.Clone(e.serversByAddr[successor.Addr]) {
+		if successor.Started > e.targets[id].started {
+			e.dropServer(id)
+			gone = append(gone, decide.Entry{ID: id, State: decide.Gone})
 		}
 	}
 	return gone
@@ -71,8 +71,8 @@
 // SetListSource switches to another source of server lists, which watch asks to report changes. The current
 // list stays until the new source delivers a complete one. If there was a source before, the Balancer has
 // already asked that one, so the new source is asked now.
-func (e *Engine) SetListSource(watch func(), before bool) {
-	if before {
+func (e *Engine) SetListSource(watch func(), hadSource bool) {
+	if hadSource {
 		watch()
 	}
 	e.starts.lastListAt = 0 // the new source may list servers that have run for long
@@ -86,7 +86,7 @@
 		return
 	}
 	delete(e.targets, id)
-	if e.serversByAddr[t.addr] = slices.DeleteFunc(e.serversByAddr[t.addr], func(at uint32) bool { return at == id }); len(e.serversByAddr[t.addr]) == 0 {
+	if e.serversByAddr[t.addr] = slices.DeleteFunc(e.serversByAddr[t.addr], func(other uint32) bool { return other == id }); len(e.serversByAddr[t.addr]) == 0 {
 		delete(e.serversByAddr, t.addr)
 	}
 	t.setClosing(true, e.now())
@@ -95,9 +95,9 @@
 
 // setClosing records whether a server is known to drain or be gone. Attempts that are still connecting to it
 // check this.
-func (t *server) setClosing(yes bool, now float64) {
+func (t *server) setClosing(closing bool, now float64) {
 	switch {
-	case !yes:
+	case !closing:
 		t.closingBits.Store(0)
 	case t.closingBits.Load() == 0:
 		t.closingBits.Store(math.Float64bits(now))
--- a/internal/engine/starts.go
+++ b/internal/engine/starts.go
@@ -26,8 +26,8 @@
 	if !(listed > 0) {
 		return listed
 	}
-	if k, ok := s.known[id]; ok && k.listed == listed {
-		return k.at
+	if known, ok := s.known[id]; ok && known.listed == listed {
+		return known.at
 	}
 	at := listed
 	if listed > now || s.lastListAt > 0 && listed < s.lastListAt-maxListDelay {
--- a/internal/engine/starts_test.go
+++ b/internal/engine/starts_test.go
@@ -24,29 +24,29 @@
 // clock was stepped.
 func TestStartIsPutOnTheEnginesClockWhateverWallClocksSay(t *testing.T) {
 	e := newIdleEngine(t)
-	tell := func(kind decide.ListKind, started float64) float64 {
+	update := func(kind decide.ListKind, started float64) float64 {
 		e.UpdateServers(kind, []Server{{decide.Entry{ID: 7, Size: 1, Zone: "a", Started: started}, "127.0.0.1:7"}})
 		return e.targets[7].entry.Started
 	}
 	long := e.now() - hourMS
-	if got := tell(decide.Full, long); got != long {
+	if got := update(decide.Full, long); got != long {
 		t.Errorf("the first list's start is taken for %.0f ms ago", e.now()-got)
 	}
-	if got := tell(decide.Full, long); got != long {
+	if got := update(decide.Full, long); got != long {
 		t.Error("the same start is taken for another")
 	}
 	for name, listed := range map[string]float64{"behind": e.now() - hourMS + 5, "ahead": e.now() + hourMS} {
 		now := e.now()
-		got := tell(decide.Changes, listed)
+		got := update(decide.Changes, listed)
 		if age := now - got; age > 100 || age < -100 {
 			t.Errorf("clock an hour %s: a start of just now is taken for %.0f ms ago", name, age)
 		}
-		if again := tell(decide.Full, listed); again != got {
+		if again := update(decide.Full, listed); again != got {
 			t.Errorf("clock an hour %s: the same start is taken for another", name)
 		}
 	}
 	e.SetListSource(func() {}, false)
-	if got := tell(decide.Full, long); got != long {
+	if got := update(decide.Full, long); got != long {
 		t.Errorf("another source's list: taken for %.0f ms ago", e.now()-got)
 	}
 }
--- a/internal/engine/stop.go
+++ b/internal/engine/stop.go
@@ -13,25 +13,25 @@
 // Cancel cancels the attempt and runs the registered function, once.
 func (s *Canceler) Cancel() {
 	s.mu.Lock()
-	then := s.onCancel
+	onCancel := s.onCancel
 	s.canceled, s.onCancel = true, nil
 	s.mu.Unlock()
-	if then != nil {
-		then()
+	if onCancel != nil {
+		onCancel()
 	}
 }
 
 // OnCancel registers a function to run on cancellation, replacing the one registered before. If the attempt
 // is already canceled, the function runs at once.
-func (s *Canceler) OnCancel(do func()) {
+func (s *Canceler) OnCancel(action func()) {
 	s.mu.Lock()
-	over := s.canceled
-	if !over {
-		s.onCancel = do
+	canceled := s.canceled
+	if !canceled {
+		s.onCancel = action
 	}
 	s.mu.Unlock()
-	if over {
-		do()
+	if canceled {
+		action()
 	}
 }
 
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -66,17 +66,26 @@
 	}
 }
 
-func (h timerHeap) Len() int           { return len(h) }
+// Len implements heap.Interface.
+func (h timerHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+
+// Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i+1, j+1
 }
+
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	t := x.(*timer)
 	*h = append(*h, t)
 	t.heapIndex = len(*h)
 }
+
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -20,23 +20,23 @@
 func tracingEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
 // traceTaken logs an accepted request with what its client has left, in ms.
-func (e *Engine) traceTaken(r *request, left float64) {
+func (e *Engine) traceTaken(r *request, remaining float64) {
 	if e.traceRequests {
-		slog.Debug("request taken", "request", r.ID, "class", r.Class, "wait_ms", r.Wait, "left_ms", left)
+		slog.Debug("request taken", "request", r.ID, "class", r.Class, "wait_ms", r.Wait, "left_ms", remaining)
 	}
 }
 
 // traceBegun logs that an attempt begins, with the deadline passed to the server.
-func (a *attempt) traceBegun(left float64) {
+func (a *attempt) traceBegun(remaining float64) {
 	if a.engine.traceRequests {
-		slog.Debug("attempt begun", "request", a.request.ID, "attempt", a.index, "server", a.serverID, "passed_ms", a.passedDeadline, "left_ms", left, "since_decided_ms", a.engine.now()-a.startedAt)
+		slog.Debug("attempt begun", "request", a.request.ID, "attempt", a.index, "server", a.serverID, "passed_ms", a.passedDeadline, "left_ms", remaining, "since_decided_ms", a.engine.now()-a.startedAt)
 	}
 }
 
 // traceEnded logs the result of an attempt, which explains the next decision.
-func (a *attempt) traceEnded(got Reply) {
+func (a *attempt) traceEnded(reply Reply) {
 	if a.engine.traceRequests {
-		slog.Debug("attempt ended", "request", a.request.ID, "attempt", a.index, "server", a.serverID, "status", statusNames[got.Status], "may_have_run", a.maybeRan, "took_ms", a.engine.now()-a.startedAt)
+		slog.Debug("attempt ended", "request", a.request.ID, "attempt", a.index, "server", a.serverID, "status", statusNames[reply.Status], "may_have_run", a.maybeRan, "took_ms", a.engine.now()-a.startedAt)
 	}
 }
 
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -117,15 +117,16 @@
 
 // Backend creates the endpoints through which servers are reached.
 type Backend interface {
-	Endpoint(s Server) Endpoint // returns an endpoint of a server, not connected yet
+	// Endpoint returns an endpoint of a server, not connected yet.
+	Endpoint(s Server) Endpoint
 }
 
 // Endpoint reaches one server at one address. Its methods may be called from any goroutine.
 type Endpoint interface {
 	// Attempt starts one attempt of a request, never two, and does not block. It returns the reply and true
 	// if the result is known at once; otherwise it calls Done of the handler later, from another goroutine.
-	// Canceling stop aborts the attempt by closing its connection.
-	Attempt(stop *Canceler, r *Request, caller AttemptHandler) (Reply, bool)
+	// canceler aborts the attempt by closing its connection.
+	Attempt(canceler *Canceler, r *Request, handler AttemptHandler) (Reply, bool)
 	// Probe asks the server for its load and blocks until it answers or ctx ends.
 	Probe(ctx context.Context) (decide.Status, decide.Load)
 	// CloseIdle closes the idle connections.
@@ -167,7 +168,7 @@
 	// traffic. It returns the standing of the request and, for a request beyond its limits, the ms after
 	// which a retry makes sense. A request that is decide.Beyond is not counted, and Finished is not called
 	// for it.
-	Arrived(now, portion float64, q *Request) (s decide.Standing, again float64)
+	Arrived(now, share float64, q *Request) (standing decide.Standing, retryAfter float64)
 	Finished(now float64, q *Request) // called when q has its final answer
 	// FetchStarted is called for each attempt at the origin that a counted request causes.
 	FetchStarted(now float64, q *Request)
