--- a/internal/engine/allocs_test.go
+++ b/internal/engine/allocs_test.go
@@ -77,9 +77,9 @@
 		ask()
 	}
 	if n := testing.AllocsPerRun(2000, ask); n > maxAllocs {
-		t.Errorf("%v allocations for each request, %d at most", n, maxAllocs)
+		t.Errorf("%v allocations per request, want at most %d", n, maxAllocs)
 	} else {
-		t.Logf("%v allocations for each request", n)
+		t.Logf("%v allocations per request", n)
 	}
 }
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -14,7 +14,7 @@
 func TestClockFollowsUnixTime(t *testing.T) {
 	c := newClock()
 	if d := c.now() - float64(time.Now().UnixMilli()); d < -1000 || d > 1000 {
-		t.Errorf("the clock is %v ms off Unix time", d)
+		t.Errorf("the clock differs from Unix time by %v ms", d)
 	}
 }
 
@@ -23,7 +23,7 @@
 		t.Errorf("key %#x", got)
 	}
 	if keyID("a") == keyID("b") {
-		t.Error("other forms clash")
+		t.Error("two other keys map to the same number")
 	}
 }
 
@@ -102,7 +102,7 @@
 	<-ended
 	want := []string{"hit arrives", "hit is over", "miss arrives", "miss fetches", "miss is over", "write arrives", "write fetches", "write is over"}
 	if !slices.Equal(c.calls, want) {
-		t.Errorf("told %q", c.calls)
+		t.Errorf("calls %q", c.calls)
 	}
 }
 
@@ -114,14 +114,14 @@
 		a := &attempt{engine: e, request: &request{Request: &Request{Value: make([]byte, size)}, deadline: began + 1000}}
 		try, ok := a.Begin()
 		if !ok {
-			t.Fatal("called off")
+			t.Fatal("the attempt was canceled")
 		}
 		last := began + float64(time.Until(try.WriteBy))/float64(time.Millisecond) + (e.now() - began)
 		if left := began + 1000 - last; try.DeadlineMS > left+deadlineSlack {
-			t.Errorf("%d bytes: passed %v ms, %v are left when the last byte may still go out", size, try.DeadlineMS, left)
+			t.Errorf("%d bytes: passed a deadline of %v ms, but %v ms remain when the last byte may still be written", size, try.DeadlineMS, left)
 		}
 		if try.DeadlineMS < 400 {
-			t.Errorf("%d bytes: passed only %v ms of 1000", size, try.DeadlineMS)
+			t.Errorf("%d bytes: passed a deadline of only %v of 1000 ms", size, try.DeadlineMS)
 		}
 	}
 }
--- a/internal/engine/events_test.go
+++ b/internal/engine/events_test.go
@@ -18,7 +18,7 @@
 			for i := 1; i <= each; i++ {
 				e.post(func() {
 					if last[p] != i-1 {
-						t.Errorf("poster %d: event %d behind %d", p, i, last[p])
+						t.Errorf("poster %d: event %d after %d", p, i, last[p])
 					}
 					last[p] = i
 				})
@@ -29,7 +29,7 @@
 		<-e.wake
 		batch := e.take()
 		if len(batch) > maxEvents {
-			t.Fatalf("%d waited", len(batch))
+			t.Fatalf("%d events were queued", len(batch))
 		}
 		for _, event := range batch {
 			event()
@@ -38,7 +38,7 @@
 	}
 	wg.Wait()
 	if len(e.take()) != 0 {
-		t.Error("more events than were posted")
+		t.Error("more events were taken than posted")
 	}
 }
 
@@ -52,19 +52,19 @@
 	var wg sync.WaitGroup
 	for range 3 {
 		wg.Go(func() {
-			e.post(func() { t.Error("carried out") })
+			e.post(func() { t.Error("an event was run after the queue was closed") })
 			through.Add(1)
 		})
 	}
 	time.Sleep(10 * time.Millisecond) // gives the posters time to block; the result does not depend on it
 	if through.Load() != 0 {
-		t.Error("more than the bound are taken")
+		t.Error("more events than the limit were accepted")
 	}
 	e.close()
 	wg.Wait()
-	e.post(func() { t.Error("carried out") })
+	e.post(func() { t.Error("an event was run after the queue was closed") })
 	if len(e.take()) != 0 {
-		t.Error("events are left")
+		t.Error("events remain in the queue")
 	}
 }
 
@@ -81,14 +81,14 @@
 	e.take()
 	for _, f := range append(e.queue[:cap(e.queue)], e.lastBatch[:cap(e.lastBatch)]...) {
 		if f != nil {
-			t.Fatal("an event is held")
+			t.Fatal("an event is still referenced")
 		}
 	}
 	if n := testing.AllocsPerRun(100, func() {
 		e.post(func() {})
 		e.take()
 	}); n > 0 {
-		t.Errorf("%v allocations for each event", n)
+		t.Errorf("%v allocations per event", n)
 	}
 }
 
--- a/internal/engine/gate_test.go
+++ b/internal/engine/gate_test.go
@@ -24,11 +24,11 @@
 		e, r := requestWithAttempt(class, ago)
 		by, ok := e.mayRepeat(r)
 		if !ok {
-			t.Fatalf("%v ms after the first attempt: not to be repeated at all", ago)
+			t.Fatalf("%v ms after the first attempt: no repeat is allowed", ago)
 		}
 		a := &attempt{engine: e, request: r, index: 1, beginBy: by}
 		if _, begins := a.Begin(); begins != want {
-			t.Errorf("%v ms after the first attempt of a window of 1000: begins %v", ago, begins)
+			t.Errorf("%v ms after the first attempt, in a window of 1000 ms: begins = %v", ago, begins)
 		}
 	}
 }
@@ -38,18 +38,18 @@
 func TestUnsafeRequestIsNotRepeatedWhateverIsDecided(t *testing.T) {
 	e, r := requestWithAttempt(decide.Class{Name: "bill", Effect: decide.Once}, 10)
 	if _, ok := e.mayRepeat(r); ok {
-		t.Error("repeated, though the attempt before may have run")
+		t.Error("repeated, although the earlier attempt may have run")
 	}
 	if e.mayRefuse(r) {
 		t.Error("refused with the promise that a retry is harmless")
 	}
 	r.attempts[0].maybeRan = false
 	if _, ok := e.mayRepeat(r); !ok {
-		t.Error("not repeated, though the attempt before has never run")
+		t.Error("not repeated, although the earlier attempt has not run")
 	}
 	for _, c := range e.Guard.Counts() {
 		if want := map[guard.Rule]uint64{guard.Repeat: 1, guard.Promise: 1}[c.Rule]; c.Broken != want {
-			t.Errorf("%v: %d broken, want %d", c.Rule, c.Broken, want)
+			t.Errorf("%v: %d violations, want %d", c.Rule, c.Broken, want)
 		}
 	}
 }
--- a/internal/engine/history_test.go
+++ b/internal/engine/history_test.go
@@ -136,7 +136,7 @@
 			case a.Result == Served && string(a.Body) != q.ID:
 				t.Errorf("request %d: served with %q", i, a.Body)
 			case a.Result == Refused && q.Write && ran > 0:
-				t.Errorf("request %d: refused, and %d attempts may have run", i, ran)
+				t.Errorf("request %d: refused, although %d attempts may have run", i, ran)
 			case e.Now()-at > 200+answerGrace+150: // 150 ms for a busy machine
 				t.Errorf("request %d: answered after %.0f ms", i, e.Now()-at)
 			}
@@ -159,7 +159,7 @@
 		}
 	}
 	if backend.maxInFlight > 1 {
-		t.Errorf("%d attempts of a request out at once", backend.maxInFlight)
+		t.Errorf("%d attempts of a request in flight at once", backend.maxInFlight)
 	}
 	backend.mu.Unlock()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -170,12 +170,12 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%+v are left, %d bytes", s, e.HeldBytes.Used())
+			t.Fatalf("still held: %+v, %d bytes", s, e.HeldBytes.Used())
 		}
 	}
 	for r := Served; r <= ClientGone; r++ {
 		if r != Duplicate && results[r].Load() == 0 {
-			t.Errorf("no answer of kind %d: the test shows little", r)
+			t.Errorf("no request ended with result %d: the test does not cover it", r)
 		}
 	}
 }
--- a/internal/engine/ids_test.go
+++ b/internal/engine/ids_test.go
@@ -23,7 +23,7 @@
 					continue
 				}
 				if held[n].Add(1) != 1 {
-					t.Errorf("%s is taken twice", id)
+					t.Errorf("%s has two holders", id)
 				}
 				held[n].Add(-1)
 				s.release(id)
@@ -32,12 +32,12 @@
 	}
 	wg.Wait()
 	if s.Len() != 0 {
-		t.Errorf("%d are left", s.Len())
+		t.Errorf("%d IDs remain", s.Len())
 	}
 	var none *RequestIDs
 	for range 2 {
 		if !none.acquire("a") {
-			t.Error("without a register every id is free")
+			t.Error("a nil set must accept every ID")
 		}
 	}
 	none.release("a")
@@ -68,6 +68,6 @@
 	ask(engines[1]) // no server may serve the key, so the request is refused at once
 	ask(engines[0])
 	if len(got) != 3 || got[0] != Duplicate || got[1] != Refused || got[2] != Refused || ids.Len() != 0 {
-		t.Errorf("%v, %d ids are left", got, ids.Len())
+		t.Errorf("results %v, %d IDs remain", got, ids.Len())
 	}
 }
--- a/internal/engine/starts_test.go
+++ b/internal/engine/starts_test.go
@@ -30,24 +30,24 @@
 	}
 	long := e.now() - hourMS
 	if got := update(decide.Full, long); got != long {
-		t.Errorf("the first list's start is taken for %.0f ms ago", e.now()-got)
+		t.Errorf("the start in the first list is taken as %.0f ms ago", e.now()-got)
 	}
 	if got := update(decide.Full, long); got != long {
-		t.Error("the same start is taken for another")
+		t.Error("the same start is taken as a different one")
 	}
 	for name, listed := range map[string]float64{"behind": e.now() - hourMS + 5, "ahead": e.now() + hourMS} {
 		now := e.now()
 		got := update(decide.Changes, listed)
 		if age := now - got; age > 100 || age < -100 {
-			t.Errorf("clock an hour %s: a start of just now is taken for %.0f ms ago", name, age)
+			t.Errorf("clock an hour %s: a start just now is taken as %.0f ms ago", name, age)
 		}
 		if again := update(decide.Full, listed); again != got {
-			t.Errorf("clock an hour %s: the same start is taken for another", name)
+			t.Errorf("clock an hour %s: the same start is taken as a different one", name)
 		}
 	}
 	e.SetListSource(func() {}, false)
 	if got := update(decide.Full, long); got != long {
-		t.Errorf("another source's list: taken for %.0f ms ago", e.now()-got)
+		t.Errorf("list of another source: the start is taken as %.0f ms ago", e.now()-got)
 	}
 }
 
@@ -65,11 +65,11 @@
 		}
 		age := next.now() - next.targets[7].entry.Started
 		if age < 0 || age > 5000 {
-			t.Errorf("wall clock stepped %s: a start of half a second ago is taken for %.0f ms ago", name, age)
+			t.Errorf("wall clock stepped %s: a start half a second ago is taken as %.0f ms ago", name, age)
 		}
 		next.UpdateServers(decide.Full, []Server{{decide.Entry{ID: 7, Size: 1, Zone: "a", Started: listed}, "127.0.0.1:7"}})
 		if again := next.now() - next.targets[7].entry.Started; again < age || again > age+1000 {
-			t.Errorf("wall clock stepped %s: the same start is taken for another, %.0f ms ago", name, again)
+			t.Errorf("wall clock stepped %s: the same start is taken as a different one, %.0f ms ago", name, again)
 		}
 	}
 }
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -9,21 +9,21 @@
 func TestStop(t *testing.T) {
 	var s Canceler
 	n := 0
-	s.OnCancel(func() { t.Error("replaced, and done all the same") })
+	s.OnCancel(func() { t.Error("ran although it was replaced") })
 	s.OnCancel(func() { n++ })
 	s.Cancel()
 	s.Cancel()
 	if n != 1 || s.Detach() {
-		t.Errorf("done %d times, released %v", n, s.Detach())
+		t.Errorf("ran %d times, detached %v", n, s.Detach())
 	}
 	s.OnCancel(func() { n++ })
 	if n != 2 {
-		t.Error("given up already: not done at once")
+		t.Error("already canceled, but did not run at once")
 	}
 	var r Canceler
-	r.OnCancel(func() { t.Error("released, and done all the same") })
+	r.OnCancel(func() { t.Error("ran although it was detached") })
 	if !r.Detach() {
-		t.Error("not released")
+		t.Error("not detached")
 	}
 	r.Cancel()
 }
@@ -40,7 +40,7 @@
 		wg.Go(func() { released = s.Detach() })
 		wg.Wait()
 		if released != (done.Load() == 0) || done.Load() > 1 {
-			t.Fatalf("released %v, done %d times", released, done.Load())
+			t.Fatalf("detached %v, ran %d times", released, done.Load())
 		}
 	}
 }
