--- a/internal/engine/canceler_test.go
+++ b/internal/engine/canceler_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestStop(t *testing.T) {
+func TestCanceler(t *testing.T) {
 	var s Canceler
 	n := 0
 	s.OnCancel(func() { t.Error("ran although it was replaced") })
@@ -29,18 +29,18 @@
 }
 
 // Exactly one must happen: the registered function runs, or Detach reports that it will not.
-func TestStopRace(t *testing.T) {
+func TestCancelerRace(t *testing.T) {
 	for range 2000 {
 		var s Canceler
-		var done atomic.Int32
-		s.OnCancel(func() { done.Add(1) })
+		var runs atomic.Int32
+		s.OnCancel(func() { runs.Add(1) })
 		var wg sync.WaitGroup
-		released := false
+		detached := false
 		wg.Go(s.Cancel)
-		wg.Go(func() { released = s.Detach() })
+		wg.Go(func() { detached = s.Detach() })
 		wg.Wait()
-		if released != (done.Load() == 0) || done.Load() > 1 {
-			t.Fatalf("detached %v, ran %d times", released, done.Load())
+		if detached != (runs.Load() == 0) || runs.Load() > 1 {
+			t.Fatalf("detached %v, ran %d times", detached, runs.Load())
 		}
 	}
 }
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -23,12 +23,12 @@
 // changed.
 type Counts struct {
 	Classes []ClassCounts // sorted by name, including classes without requests
-	// Attempts that were written completely, to cache servers and to the origin
+	// Attempts that were written completely, to cache servers and to the origin.
 	Attempts uint64
 	Open     int // requests that are accepted and not answered
-	// Listed cache servers, and those of them that receive no requests at present
+	// Listed cache servers, and those of them that requests are kept away from.
 	KnownServers, AvoidedServers int
-	// Checks, preventions and violations of each rule; sorted by rule
+	// Checks, preventions and violations of each rule; sorted by rule.
 	Rules    []guard.Count
 	Arrivals decide.Demand // arrivals by worth; empty where routers don't exchange any
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -77,7 +77,7 @@
 	inferredStart float64      // start time inferred from refused connections; 0 = none
 	refusedAt     float64      // time of the last refused connection, 0 if the server has answered since
 	entry         decide.Entry // as passed to the Balancer
-	// Float64 bits of the time since which the server is known to drain or be gone; 0 = neither
+	// Float64 bits of the time since which the server is known to drain or be gone; 0 = neither.
 	closingBits atomic.Uint64
 }
 
@@ -110,12 +110,12 @@
 	startedAt float64
 	finished  bool // has its outcome; later results are dropped
 	counted   bool // counted in Counts.Attempts once it is written
-	// Deadline in ms passed to the server; used by the goroutine that writes the attempt
+	// Deadline in ms passed to the server; used by the goroutine that writes the attempt.
 	passedDeadline float64
 	asking         bool // sent with ASKING
 	maybeRan       bool // it may have run; valid once finished is set
 	// Latest time to begin: later the server may have forgotten the earlier attempt and would not drop this
-	// repeat as a duplicate; 0 = no limit
+	// repeat as a duplicate; 0 = no limit.
 	beginBy  float64
 	canceler Canceler
 	timer    timer
@@ -178,11 +178,11 @@
 	InferStarts    bool          // infer server starts from refused connections, as nobody reports them
 	Store          Store         // nil = the router does not store fetched values
 	Tenants        TenantLimiter // nil = tenants have no limits except the quotas of Config
-	// Request IDs shared by all engines of the pool; nil = this engine is the only one
+	// Request IDs shared by all engines of the pool; nil = this engine is the only one.
 	IDs           *RequestIDs
 	CollectCounts bool         // publish counts
 	Guard         *guard.Guard // nil = the engine creates its own
-	// Include the guard's counts in this engine's counts: set for one of the engines that share a guard
+	// Include the guard's counts in this engine's counts: set for one of the engines that share a guard.
 	ReportRules bool
 }
 
@@ -463,7 +463,7 @@
 	}
 	e.finish(r, Answer{Result: ClientGone})
 	e.balancer.Gone(e.now(), r.id)
-	for _, a := range r.attempts { // attempts that the Balancer leaves in flight have nobody waiting either
+	for _, a := range r.attempts { // also those that the Balancer does not cancel: nobody waits for them
 		a.cancel(e)
 	}
 }
--- a/internal/engine/events_test.go
+++ b/internal/engine/events_test.go
@@ -48,16 +48,16 @@
 	for range maxEvents {
 		e.post(func() {})
 	}
-	var through atomic.Int32
+	var unblocked atomic.Int32
 	var wg sync.WaitGroup
 	for range 3 {
 		wg.Go(func() {
 			e.post(func() { t.Error("an event was run after the queue was closed") })
-			through.Add(1)
+			unblocked.Add(1)
 		})
 	}
 	time.Sleep(10 * time.Millisecond) // gives the posters time to block; the result does not depend on it
-	if through.Load() != 0 {
+	if unblocked.Load() != 0 {
 		t.Error("more events than the limit were accepted")
 	}
 	e.close()
@@ -69,7 +69,7 @@
 }
 
 // The memory of a batch must be reused and must not keep events alive.
-func TestEventsHoldNothing(t *testing.T) {
+func TestTakenEventsAreReleased(t *testing.T) {
 	e := newEvents()
 	for range 3 {
 		for range 100 {
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -25,7 +25,7 @@
 	Retry  bool
 	Write  bool
 	Owners []uint32 // servers that may serve the request, the home server first; nil = any
-	// The command with its arguments, where the fields above don't describe it; read-only
+	// The command with its arguments, where the fields above don't describe it; read-only.
 	Args      [][]byte
 	CacheFill bool // made by the router itself to store a fetched value, see Store
 }
@@ -35,7 +35,7 @@
 	DeadlineMS float64 // deadline in ms that is passed to the server, at most what the client has left
 	// Latest time for writing the last byte: after that, DeadlineMS exceeds what the client has left.
 	WriteBy time.Time
-	// The slot is being migrated: the server takes the request only with ASKING, else it redirects it
+	// The slot is being migrated: the server takes the request only with ASKING, else it redirects it.
 	Asking bool
 }
 
@@ -57,7 +57,7 @@
 	Body    []byte // Served: the value
 	Content any    // Served: the answer in the backend's own representation, where Body can't express it
 	Absent  bool   // Served: the key has no value
-	// Served: the value, instead of Body; the front reports its end with Engine.StreamEnded
+	// Served: the value, instead of Body; the front reports its end with Engine.StreamEnded.
 	Streamed   StreamedValue
 	RetryAfter float64 // Refused: ms after which the client should retry; 0 = unspecified
 }
@@ -97,15 +97,15 @@
 	CacheResult int
 	Absent      bool // OK: the key has no value
 	Load        decide.Load
-	Content     any           // OK: the answer in the backend's own representation, where Body can't express it
+	Content     any           // OK: the answer in the backend's own form, where Body can't express it
 	Streamed    StreamedValue // OK: the value, instead of Body
-	// Set by a protocol parser: number of bytes of the value that follow and are not read yet
+	// Set by a protocol parser: number of bytes of the value that follow and are not read yet.
 	UnreadBytes int
 	Trailer     string // set by a protocol parser: the bytes that follow the value
 
-	// The server redirected the request: servers that may serve it from now on; nil = unchanged
+	// The server redirected the request: servers that may serve it from now on; nil = unchanged.
 	Owners []uint32
-	// The redirect holds for one attempt only, with ASKING, because the slot has not moved yet
+	// The redirect holds for one attempt only, with ASKING, because the slot has not moved yet.
 	Asking      bool
 	ConnRefused bool // the connection was refused: no process listens at the address
 }
@@ -161,13 +161,13 @@
 	FillRequest(q *Request, value []byte) *Request
 }
 
-// TenantLimiter tracks what tenants use and classifies their requests by their limits. Its methods run on the
-// engine's goroutine and must not block, with the exception of ReleaseAnswer.
+// TenantLimiter tracks what tenants use and classifies their requests by their limits. Its methods must not
+// block. They run on the engine's goroutine, except ReleaseAnswer.
 type TenantLimiter interface {
 	// Arrived is called for each accepted client request with the time in ms and this router's share of all
-	// traffic. It returns the standing of the request and, for a request beyond its limits, the ms after
-	// which a retry makes sense. A request that is decide.Beyond is not counted, and Finished is not called
-	// for it.
+	// traffic. It returns the standing of the request and the ms after which a retry would have a better
+	// standing, 0 = unknown. A request that is decide.Beyond is not counted, and Finished is not called for
+	// it.
 	Arrived(now, share float64, q *Request) (standing decide.Standing, retryAfter float64)
 	Finished(now float64, q *Request) // called when q has its final answer
 	// FetchStarted is called for each attempt at the origin that a counted request causes.
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -16,7 +16,7 @@
 const (
 	Deadline   Rule = iota // no server is passed more time than the client has left
 	Abandoned              // no attempt begins for a client that has disconnected
-	Overlap                // a request has one attempt in flight at a time, and no more attempts than allowed in total
+	Overlap                // one attempt of a request is in flight at a time; the total is limited
 	Repeat                 // an attempt that may have run is not repeated, or only within its window
 	Promise                // a refusal promises that a retry is harmless
 	Draining               // no new request goes to a server that drains or is gone
