--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -126,7 +126,7 @@
 		return
 	}
 	counts := &Counts{Attempts: c.attempts.Load(), Open: len(e.openByID) + e.streaming, Arrivals: e.balancer.Demand()}
-	counts.KnownServers, counts.AvoidedServers = e.balancer.Fleet()
+	counts.KnownServers, counts.AvoidedServers = e.balancer.ServerCounts()
 	if e.reportRules {
 		counts.Rules = e.Guard.Counts()
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -224,23 +224,23 @@
 }
 
 // SetProcesses sets the number of processes of this router that serve at the same time.
-func (e *Engine) SetProcesses(processes int) { e.balancer.Share(e.now(), processes) }
+func (e *Engine) SetProcesses(processes int) { e.balancer.SetProcesses(e.now(), processes) }
 
-// SetTier passes on what is known about the routers that share the common capacity, see decide.Tier. until is
+// SetTier passes on what is known about the routers that share the common capacity, see decide.SetTier. until is
 // a wall clock time; zero means no end.
 func (e *Engine) SetTier(routers int, shares float64, until time.Time, then float64) error {
-	t := decide.Tier{Routers: routers, Parts: shares, Until: math.Inf(1), Then: then}
+	t := decide.Tier{Routers: routers, Shares: shares, Until: math.Inf(1), SharesAfter: then}
 	if !until.IsZero() {
 		t.Until = e.now() + float64(time.Until(until))/float64(time.Millisecond)
 	}
-	return e.balancer.Tier(e.now(), t)
+	return e.balancer.SetTier(e.now(), t)
 }
 
 // SetAdmissionThreshold passes on what the routers of the tier admit while they can't serve all requests.
 // until is a wall clock time.
-func (e *Engine) SetAdmissionThreshold(l decide.Line, until time.Time) error {
+func (e *Engine) SetAdmissionThreshold(l decide.AdmissionThreshold, until time.Time) error {
 	l.Until = e.now() + float64(time.Until(until))/float64(time.Millisecond)
-	return e.balancer.Line(e.now(), l)
+	return e.balancer.SetAdmissionThreshold(e.now(), l)
 }
 
 // Tenants returns the TenantLimiter, nil if there is none.
@@ -443,8 +443,8 @@
 	d := decide.Request{ID: r.id, Class: q.Class, Tenant: q.Tenant, Key: keyID(q.Key), HasKey: true,
 		Left: remaining, Hint: q.Hint, Size: q.Size, Retry: q.Retry, Write: q.Write, Owners: q.Owners, Stores: q.CacheFill}
 	if e.tenants != nil && !q.CacheFill {
-		d.Standing, d.Again = e.tenants.Arrived(now, e.balancer.Portion(), q)
-		r.countedByTenants = d.Standing != decide.Beyond
+		d.Standing, d.Again = e.tenants.Arrived(now, e.balancer.TrafficShare(), q)
+		r.countedByTenants = d.Standing != decide.QuotaDenied
 	}
 	e.balancer.Request(now, d)
 }
@@ -462,7 +462,7 @@
 		return
 	}
 	e.finish(r, Answer{Result: ClientGone})
-	e.balancer.Gone(e.now(), r.id)
+	e.balancer.ClientGone(e.now(), r.id)
 	for _, a := range r.attempts { // also those that the Balancer does not cancel: nobody waits for them
 		a.cancel(e)
 	}
@@ -532,7 +532,7 @@
 		r.askingServers = reply.Owners
 	}
 	e.balancer.Outcome(now, decide.Outcome{ID: r.id, Attempt: a.index, Server: a.serverID, Status: reply.Status, Latency: now - a.startedAt,
-		Final: r.finished, Note: reply.CacheResult, Load: reply.Load, Owners: reply.Owners})
+		Final: r.finished, CacheResult: reply.CacheResult, Load: reply.Load, Owners: reply.Owners})
 }
 
 // fillRequest returns the request that stores the value which an attempt at the origin has fetched, nil if
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -51,12 +51,12 @@
 // recordingLimiter is a TenantLimiter that records its calls as texts. It runs on the engine's goroutine.
 type recordingLimiter struct{ calls []string }
 
-func (c *recordingLimiter) Arrived(_, _ float64, q *Request) (decide.Standing, float64) {
+func (c *recordingLimiter) Arrived(_, _ float64, q *Request) (decide.QuotaStatus, float64) {
 	if q.Tenant == "nobody" {
-		return decide.Beyond, 0
+		return decide.QuotaDenied, 0
 	}
 	c.calls = append(c.calls, q.ID+" arrives")
-	return decide.Within, 0
+	return decide.QuotaGuaranteed, 0
 }
 func (c *recordingLimiter) FetchStarted(_ float64, q *Request) {
 	c.calls = append(c.calls, q.ID+" fetches")
@@ -68,7 +68,7 @@
 func (c *recordingLimiter) ReleaseAnswer(string, int)          {}
 
 // A TenantLimiter must be informed of each attempt at the origin, whether a read that missed or a write,
-// between Arrived and Finished. A read that hits causes none, and a request that is decide.Beyond is not
+// between Arrived and Finished. A read that hits causes none, and a request that is decide.QuotaDenied is not
 // counted.
 func TestOriginFetchesAreReportedToTheTenantLimiter(t *testing.T) {
 	c := &recordingLimiter{}
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -29,7 +29,7 @@
 
 // ExportState returns the state to hand over to a successor.
 func (e *Engine) ExportState() HandoverState {
-	h := HandoverState{Learned: e.balancer.Learned(e.now()), Now: e.now()}
+	h := HandoverState{Learned: e.balancer.ExportLearned(e.now()), Now: e.now()}
 	for id, t := range e.targets {
 		s := Server{t.entry, t.addr}
 		if known, ok := e.starts.known[id]; ok && s.Started == known.at {
@@ -49,7 +49,7 @@
 		return fmt.Errorf("handover: %d servers, want 1 to %d", len(h.Servers), maxHandoverServers)
 	}
 	for _, s := range h.Servers {
-		if s.Addr == "" || s.State < decide.Ready || s.State >= decide.Gone || !(s.Size >= 0) || !(s.Started >= 0) {
+		if s.Addr == "" || s.State < decide.Ready || s.State >= decide.Removed || !(s.Size >= 0) || !(s.Started >= 0) {
 			return fmt.Errorf("handover: server %08x has an invalid address, state, size or start time", s.ID)
 		}
 	}
@@ -57,8 +57,8 @@
 		return errors.New("handover: a server list is already loaded")
 	}
 	e.convertClock(&h)
-	e.UpdateServers(decide.Remembered, h.Servers)
-	if err := e.balancer.Learn(e.now(), h.Learned); err != nil {
+	e.UpdateServers(decide.Restored, h.Servers)
+	if err := e.balancer.ImportLearned(e.now(), h.Learned); err != nil {
 		slog.Warn("handover: learned state rejected", "why", err)
 	}
 	e.publishCounts()
@@ -76,7 +76,7 @@
 	if h.Now <= 0 || math.Abs(shift) < clockTolerance {
 		shift = 0
 	}
-	h.Learned.Shift(shift)
+	h.Learned.ShiftTimes(shift)
 	startedAt := map[uint32]float64{}
 	for _, s := range h.Starts {
 		startedAt[s.ID] = s.At + shift
--- a/internal/engine/history_test.go
+++ b/internal/engine/history_test.go
@@ -52,7 +52,7 @@
 	w, canceled := l.backend, make(chan struct{})
 	canceler.OnCancel(func() { close(canceled) })
 	w.mu.Lock()
-	status := []decide.Status{decide.OK, decide.OK, decide.OK, decide.Failed, decide.QueueFull, decide.ConnectError, decide.Reset, decide.Ignored, decide.Spoilt}[w.rng.IntN(9)]
+	status := []decide.Status{decide.OK, decide.OK, decide.OK, decide.Failed, decide.QueueFull, decide.ConnectError, decide.Reset, decide.Ignored, decide.InvalidAnswer}[w.rng.IntN(9)]
 	pause := time.Duration(w.rng.IntN(4)) * time.Millisecond
 	hangs := w.rng.IntN(12) == 0
 	var owners []uint32
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -88,14 +88,14 @@
 func (e host) Probe(server uint32) {
 	target := e.targets[server]
 	if target == nil {
-		e.deferred = append(e.deferred, func() { e.balancer.Probed(e.now(), server, decide.ConnectError, decide.NoLoad) })
+		e.deferred = append(e.deferred, func() { e.balancer.ProbeResult(e.now(), server, decide.ConnectError, decide.NoLoad) })
 		return
 	}
 	go func() {
 		ctx, stop := context.WithTimeout(e.ctx, probeTimeout*time.Millisecond)
 		defer stop()
 		status, load := target.Probe(ctx)
-		e.Post(func() { e.balancer.Probed(e.now(), server, status, load) })
+		e.Post(func() { e.balancer.ProbeResult(e.now(), server, status, load) })
 	}()
 }
 
@@ -118,12 +118,12 @@
 }
 
 // Watch asks discovery to report changes from now on.
-func (e host) Watch() {
+func (e host) WatchList() {
 	e.watchList()
 }
 
 // Tell sends nothing, as the Balancer has nothing to announce to other routers.
-func (e host) Tell([]byte) {}
+func (e host) Broadcast([]byte) {}
 
 // Log writes a log line of the Balancer.
 func (e host) Log(text string) { slog.Info(text) }
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -22,7 +22,7 @@
 			entries = append(entries, e.dropReplaced(listing)...)
 		}
 		switch {
-		case listing.State == decide.Gone:
+		case listing.State == decide.Removed:
 			e.dropServer(listing.ID)
 		case t == nil || t.addr != listing.Addr:
 			e.dropServer(listing.ID)
@@ -38,7 +38,7 @@
 			t.setClosing(listing.State == decide.Draining, e.now())
 		}
 	}
-	if kind == decide.Full || kind == decide.Remembered {
+	if kind == decide.Full || kind == decide.Restored {
 		for id := range e.targets {
 			if !listed[id] {
 				e.dropServer(id)
@@ -62,7 +62,7 @@
 	for _, id := range slices.Clone(e.serversByAddr[successor.Addr]) {
 		if successor.Started > e.targets[id].started {
 			e.dropServer(id)
-			gone = append(gone, decide.Entry{ID: id, State: decide.Gone})
+			gone = append(gone, decide.Entry{ID: id, State: decide.Removed})
 		}
 	}
 	return gone
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -51,7 +51,7 @@
 	case requestDeadline: // fallback: the client gets an answer in time even if the Balancer has given none
 		slog.Error("request: no answer by its deadline", "id", t.request.ID)
 		host{e}.Fail(t.request.id)
-		e.balancer.Gone(e.now(), t.request.id)
+		e.balancer.ClientGone(e.now(), t.request.id)
 	}
 }
 
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -10,7 +10,7 @@
 // statusNames are the log names of the results of attempts.
 var statusNames = map[decide.Status]string{decide.OK: "ok", decide.Failed: "failed", decide.QueueFull: "queue_full", decide.TimedOut: "timed_out",
 	decide.ConnectError: "connect_error", decide.Reset: "reset", decide.Canceled: "canceled", decide.Ignored: "never_sent", decide.Miss: "miss",
-	decide.Spoilt: "spoilt"}
+	decide.InvalidAnswer: "spoilt"}
 
 // resultNames are the log names of final answers.
 var resultNames = map[Result]string{Served: "served", Refused: "refused", Failed: "failed", Duplicate: "doubled", ClientGone: "client_gone"}
