--- a/internal/engine/allocs_test.go
+++ b/internal/engine/allocs_test.go
@@ -15,8 +15,8 @@
 var instantReply = Reply{Status: decide.OK, Load: decide.NoLoad, CacheResult: 1, Body: []byte("v")}
 
 func (instantBackend) Endpoint(Server) Endpoint { return instantBackend{} }
-func (instantBackend) Attempt(_ *Canceler, _ *Request, caller AttemptHandler) (Reply, bool) {
-	caller.Begin()
+func (instantBackend) Attempt(_ *Canceler, _ *Request, handler AttemptHandler) (Reply, bool) {
+	handler.Begin()
 	return instantReply, true
 }
 func (instantBackend) Probe(context.Context) (decide.Status, decide.Load) {
@@ -25,11 +25,11 @@
 func (instantBackend) CloseIdle() {}
 func (instantBackend) Remove()    {}
 
-// startInstantEngine runs an engine of three servers that answer at once, and gives what asks it for one read and waits for the
-// answer.
+// startInstantEngine starts an engine with three servers that answer at once. The returned function submits
+// one read and waits for its answer.
 func startInstantEngine(tb testing.TB) (ask func()) { return startInstantEngineWith(tb, false) }
 
-// startInstantEngineWith counts or does not.
+// startInstantEngineWith is startInstantEngine with a choice whether counts are published.
 func startInstantEngineWith(tb testing.TB, counts bool) (ask func()) {
 	tb.Helper()
 	e, err := New(Options{CollectCounts: counts, Seed: 5, MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1, FallMult: 3, FallFor: 1000,
@@ -67,19 +67,19 @@
 	tb.Cleanup(func() { stop(); <-ended })
 }
 
-// maxAllocs bounds the allocations of a read that hits, from its arrival at the engine to its answer, with those of the
-// module. What a front and a backend allocate is bounded in their own tests.
+// maxAllocs limits the allocations of a read that hits, from its submission to its answer, including those of
+// package decide. The allocations of fronts and backends are limited by their own tests.
 const maxAllocs = 16
 
 func TestAllocationsForEachRequest(t *testing.T) {
 	ask := startInstantEngine(t)
-	for range 2000 { // maps and slices have their size, the key is known
+	for range 2000 { // warm-up: maps and slices reach their size and the key becomes known
 		ask()
 	}
 	if n := testing.AllocsPerRun(2000, ask); n > maxAllocs {
-		t.Errorf("%v allocations for each request, %d at most", n, maxAllocs)
+		t.Errorf("%v allocations per request, want at most %d", n, maxAllocs)
 	} else {
-		t.Logf("%v allocations for each request", n)
+		t.Logf("%v allocations per request", n)
 	}
 }
 
@@ -91,20 +91,21 @@
 	}
 }
 
-// BenchmarkFiguresRatio compares requests to an engine that counts with those to one that does not, in turn.
+// BenchmarkFiguresRatio alternates requests to an engine that publishes counts with requests to one that does
+// not, and reports the ratio of their times.
 func BenchmarkFiguresRatio(b *testing.B) {
 	with, without := startInstantEngineWith(b, true), startInstantEngineWith(b, false)
 	var took [2]time.Duration
-	const part = 200
+	const batch = 200
 	for b.Loop() {
 		for i, ask := range []func(){without, with} {
 			began := time.Now()
-			for range part {
+			for range batch {
 				ask()
 			}
 			took[i] += time.Since(began)
 		}
 	}
 	b.ReportMetric(float64(took[1])/float64(took[0]), "with/without")
-	b.ReportMetric(float64(took[1])/float64(part*b.N), "ns/request")
+	b.ReportMetric(float64(took[1])/float64(batch*b.N), "ns/request")
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -9,11 +9,12 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// Starts of servers lie on the router's clock, and no real start is 0 there.
+// The engine's clock starts at Unix time, so that start times of servers can be expressed on it and none is
+// 0.
 func TestClockFollowsUnixTime(t *testing.T) {
 	c := newClock()
 	if d := c.now() - float64(time.Now().UnixMilli()); d < -1000 || d > 1000 {
-		t.Errorf("the clock is %v ms off Unix time", d)
+		t.Errorf("the clock differs from Unix time by %v ms", d)
 	}
 }
 
@@ -22,11 +23,11 @@
 		t.Errorf("key %#x", got)
 	}
 	if keyID("a") == keyID("b") {
-		t.Error("other forms clash")
+		t.Error("two other keys map to the same number")
 	}
 }
 
-// missBackend is a fleet of one cache server, which has one key alone, and an origin that has all.
+// missBackend consists of one cache server, which holds a single key, and an origin that holds all keys.
 type missBackend struct{}
 
 type missEndpoint struct{ origin bool }
@@ -39,15 +40,15 @@
 func (missEndpoint) CloseIdle() {}
 func (missEndpoint) Remove()    {}
 
-func (l missEndpoint) Attempt(_ *Canceler, r *Request, caller AttemptHandler) (Reply, bool) {
-	caller.Begin()
+func (l missEndpoint) Attempt(_ *Canceler, r *Request, handler AttemptHandler) (Reply, bool) {
+	handler.Begin()
 	if l.origin || r.Key == "there" {
 		return Reply{Status: decide.OK, Load: decide.NoLoad}, true
 	}
 	return Reply{Status: decide.Miss, Load: decide.NoLoad}, true
 }
 
-// recordingLimiter tells what a Tenants is told, in words. It runs on the engine's goroutine.
+// recordingLimiter is a TenantLimiter that records its calls as texts. It runs on the engine's goroutine.
 type recordingLimiter struct{ calls []string }
 
 func (c *recordingLimiter) Arrived(_, _ float64, q *Request) (decide.QuotaStatus, float64) {
@@ -66,8 +67,9 @@
 func (c *recordingLimiter) ReserveAnswer(*Request, int) string { return "" }
 func (c *recordingLimiter) ReleaseAnswer(string, int)          {}
 
-// Who counts tenants is told of each way to the origin, of a read that missed and of a write, between its arrival and its end; a read that hits
-// has none, and what is not served is not counted.
+// A TenantLimiter must be informed of each attempt at the origin, whether a read that missed or a write,
+// between Arrived and Finished. A read that hits causes none, and a request that is decide.QuotaDenied is not
+// counted.
 func TestOriginFetchesAreReportedToTheTenantLimiter(t *testing.T) {
 	c := &recordingLimiter{}
 	e, err := New(Options{MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Tenants: c, Config: decide.Config{Routers: 1, Aside: true, OriginKind: "origin", MaxAttempts: 4, ColdFrom: 1, FallMult: 1,
@@ -100,11 +102,11 @@
 	<-ended
 	want := []string{"hit arrives", "hit is over", "miss arrives", "miss fetches", "miss is over", "write arrives", "write fetches", "write is over"}
 	if !slices.Equal(c.calls, want) {
-		t.Errorf("told %q", c.calls)
+		t.Errorf("calls %q", c.calls)
 	}
 }
 
-// Guards against a deadline ahead of a long value that leaves the value no time on its way.
+// Guards against a deadline, sent ahead of a long value, that leaves no time for transmitting the value.
 func TestDeadlineAheadOfALongValueAllowsForItsBytes(t *testing.T) {
 	for _, size := range []int{0, 64 << 10, 4 << 20} {
 		e := &Engine{clock: newClock()}
@@ -112,14 +114,14 @@
 		a := &attempt{engine: e, request: &request{Request: &Request{Value: make([]byte, size)}, deadline: began + 1000}}
 		try, ok := a.Begin()
 		if !ok {
-			t.Fatal("called off")
+			t.Fatal("the attempt was canceled")
 		}
 		last := began + float64(time.Until(try.WriteBy))/float64(time.Millisecond) + (e.now() - began)
 		if left := began + 1000 - last; try.DeadlineMS > left+deadlineSlack {
-			t.Errorf("%d bytes: passed %v ms, %v are left when the last byte may still go out", size, try.DeadlineMS, left)
+			t.Errorf("%d bytes: passed a deadline of %v ms, but %v ms remain when the last byte may still be written", size, try.DeadlineMS, left)
 		}
 		if try.DeadlineMS < 400 {
-			t.Errorf("%d bytes: passed only %v ms of 1000", size, try.DeadlineMS)
+			t.Errorf("%d bytes: passed a deadline of only %v of 1000 ms", size, try.DeadlineMS)
 		}
 	}
 }
--- a/internal/engine/events_test.go
+++ b/internal/engine/events_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Every event is taken once, those of one poster in order, and no more wait than the bound says.
+// Each event must be taken once, those of one poster in order, and the queue must not exceed its limit.
 func TestEvents(t *testing.T) {
 	e := newEvents()
 	const posters, each = 8, 5000
@@ -18,7 +18,7 @@
 			for i := 1; i <= each; i++ {
 				e.post(func() {
 					if last[p] != i-1 {
-						t.Errorf("poster %d: event %d behind %d", p, i, last[p])
+						t.Errorf("poster %d: event %d after %d", p, i, last[p])
 					}
 					last[p] = i
 				})
@@ -29,7 +29,7 @@
 		<-e.wake
 		batch := e.take()
 		if len(batch) > maxEvents {
-			t.Fatalf("%d waited", len(batch))
+			t.Fatalf("%d events were queued", len(batch))
 		}
 		for _, event := range batch {
 			event()
@@ -38,38 +38,38 @@
 	}
 	wg.Wait()
 	if len(e.take()) != 0 {
-		t.Error("more events than were posted")
+		t.Error("more events were taken than posted")
 	}
 }
 
-// Who waits for room goes on when the engine ends, and its event is dropped.
+// Posters blocked by a full queue must continue when the queue is closed, and their events must be dropped.
 func TestEventsEnd(t *testing.T) {
 	e := newEvents()
 	for range maxEvents {
 		e.post(func() {})
 	}
-	var through atomic.Int32
+	var unblocked atomic.Int32
 	var wg sync.WaitGroup
 	for range 3 {
 		wg.Go(func() {
-			e.post(func() { t.Error("carried out") })
-			through.Add(1)
+			e.post(func() { t.Error("an event was run after the queue was closed") })
+			unblocked.Add(1)
 		})
 	}
-	time.Sleep(10 * time.Millisecond) // they should be waiting; nothing depends on it
-	if through.Load() != 0 {
-		t.Error("more than the bound are taken")
+	time.Sleep(10 * time.Millisecond) // gives the posters time to block; the result does not depend on it
+	if unblocked.Load() != 0 {
+		t.Error("more events than the limit were accepted")
 	}
 	e.close()
 	wg.Wait()
-	e.post(func() { t.Error("carried out") })
+	e.post(func() { t.Error("an event was run after the queue was closed") })
 	if len(e.take()) != 0 {
-		t.Error("events are left")
+		t.Error("events remain in the queue")
 	}
 }
 
-// The memory of a batch is used again and holds nothing of it.
-func TestEventsHoldNothing(t *testing.T) {
+// The memory of a batch must be reused and must not keep events alive.
+func TestTakenEventsAreReleased(t *testing.T) {
 	e := newEvents()
 	for range 3 {
 		for range 100 {
@@ -81,14 +81,14 @@
 	e.take()
 	for _, f := range append(e.queue[:cap(e.queue)], e.lastBatch[:cap(e.lastBatch)]...) {
 		if f != nil {
-			t.Fatal("an event is held")
+			t.Fatal("an event is still referenced")
 		}
 	}
 	if n := testing.AllocsPerRun(100, func() {
 		e.post(func() {})
 		e.take()
 	}); n > 0 {
-		t.Errorf("%v allocations for each event", n)
+		t.Errorf("%v allocations per event", n)
 	}
 }
 
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// idShards spreads the ids, so that engines seldom wait for each other.
+// idShards is the number of shards, which keep lock contention between engines low.
 const idShards = 64
 
-// RequestIDs are those of the requests that are open at any of several engines. It may be used from any goroutine. Its memory is
-// that of the open requests. A nil one takes all ids.
+// RequestIDs is the set of the request IDs that are open at any of several engines. It may be used from any
+// goroutine. Its memory is proportional to the number of open requests. A nil set accepts every ID.
 type RequestIDs struct {
 	seed   maphash.Seed
 	shards [idShards]struct {
@@ -18,7 +18,7 @@
 	}
 }
 
-// NewRequestIDs holds no id.
+// NewRequestIDs returns an empty set.
 func NewRequestIDs() *RequestIDs {
 	s := &RequestIDs{seed: maphash.MakeSeed()}
 	for i := range s.shards {
@@ -27,39 +27,39 @@
 	return s
 }
 
-// acquire takes an id, and tells whether it was free.
+// acquire adds an ID and reports whether it was free.
 func (s *RequestIDs) acquire(id string) bool {
 	if s == nil {
 		return true
 	}
-	h := &s.shards[maphash.String(s.seed, id)%idShards]
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if _, ok := h.open[id]; ok {
+	shard := &s.shards[maphash.String(s.seed, id)%idShards]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	if _, ok := shard.open[id]; ok {
 		return false
 	}
-	h.open[id] = struct{}{}
+	shard.open[id] = struct{}{}
 	return true
 }
 
-// release gives an id back.
+// release removes an ID.
 func (s *RequestIDs) release(id string) {
 	if s == nil {
 		return
 	}
-	h := &s.shards[maphash.String(s.seed, id)%idShards]
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.open, id)
+	shard := &s.shards[maphash.String(s.seed, id)%idShards]
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	delete(shard.open, id)
 }
 
-// Len is how many ids are taken.
+// Len returns the number of IDs in use.
 func (s *RequestIDs) Len() (n int) {
 	for i := range s.shards {
-		h := &s.shards[i]
-		h.mu.Lock()
-		n += len(h.open)
-		h.mu.Unlock()
+		shard := &s.shards[i]
+		shard.mu.Lock()
+		n += len(shard.open)
+		shard.mu.Unlock()
 	}
 	return n
 }
