--- a/internal/fleet/lines.go
+++ b/internal/fleet/lines.go
@@ -54,7 +54,7 @@
 }
 
 // Send is line.Host's.
-func (p *poolLine) Send(to line.Peer, m []byte) { p.f.m.Carry(p.f.now(), to.Name, to.Start, m) }
+func (p *poolLine) Send(to line.Peer, m []byte) { p.f.m.SendPayload(p.f.now(), to.Name, to.Start, m) }
 
 // tick has each pool's machine take what has come, and tells what follows.
 func (l *lines) tick() {
@@ -62,9 +62,9 @@
 	if present := l.f.m.Present(); share == 0 { // who has no part yet uses half of an equal one
 		share = 0.5 / float64(max(1, present))
 	}
-	if l.changes != l.f.m.Changes()+1 {
-		l.changes, l.peers = l.f.m.Changes()+1, l.peers[:0]
-		l.f.m.Each(func(r fleet.Record) {
+	if l.changes != l.f.m.ChangeCount()+1 {
+		l.changes, l.peers = l.f.m.ChangeCount()+1, l.peers[:0]
+		l.f.m.ForEach(func(r fleet.Record) {
 			if r.State <= fleet.Suspect {
 				l.peers = append(l.peers, line.Peer{Name: r.Name, Start: r.Start})
 			}
--- a/internal/model/fleetnet/lines.go
+++ b/internal/model/fleetnet/lines.go
@@ -23,7 +23,7 @@
 
 func (m meeter) Send(to line.Peer, b []byte) {
 	nd := m.Node
-	nd.cargo = append(nd.cargo, func() { nd.Carry(nd.net.Now, to.Name, to.Start, b) })
+	nd.cargo = append(nd.cargo, func() { nd.SendPayload(nd.net.Now, to.Name, to.Start, b) })
 }
 
 // beginLine has a process begin without a word of anything; its servers and clients are those of before.
--- a/internal/router/tiers.go
+++ b/internal/router/tiers.go
@@ -25,7 +25,7 @@
 
 // NewTiers is for pools that have no part of anything before the first word, as the others may not know of them yet.
 func NewTiers(routers int) *Tiers {
-	return &Tiers{last: Tier{Routers: max(1, routers), Parts: fleet.Holding, Then: fleet.Holding}}
+	return &Tiers{last: Tier{Routers: max(1, routers), Parts: fleet.NoShare, Then: fleet.NoShare}}
 }
 
 // Tell tells all pools.
