--- a/internal/pure/fleet/machine.go
+++ b/internal/pure/fleet/machine.go
@@ -6,76 +6,81 @@
 	"math/rand/v2"
 )
 
-// Times, in milliseconds. Those of a probe are multiplied by 1 + the router's doubt in itself.
+// Durations in milliseconds. Probe timeouts are multiplied by 1 + the local health score.
 const (
-	probeIntervalMS       = 200.0 // between two probes
-	pingTimeoutMS         = 120.0 // for the answer to a ping, before others are asked
-	probeTimeoutMS        = 480.0 // for any answer to a probe
-	indirectPingTimeoutMS = 250.0 // for which a helper waits for the answer to the ping that it sends for another
-	maxSuspicionMS        = 3000.0
-	minSuspicionMS        = 1200.0 // of a suspicion that enough others share
-	extensionHoldMS       = 30e3   // for which a router asks for more patience, from the last accusation on, and doubled each time it is accused soon again
-	maxExtensionHoldMS    = 960e3
-	gossipIntervalMS      = 50.0   // between two rounds of fresh news
-	reconnectIntervalMS   = 500.0  // between two questions to members that are silent or gone, and to addresses to join by
-	minPingIntervalMS     = 400.0  // between two questions to one member
-	pushPullIntervalMS    = 300.0  // between two exchanges of whole views
-	minPauseMS            = 1000.0 // a gap between ticks of that length means that this process did not run
+	probeIntervalMS       = 200.0  // between two probes
+	pingTimeoutMS         = 120.0  // for a direct ping, before indirect pings are requested
+	probeTimeoutMS        = 480.0  // for a whole probe, indirect pings included
+	indirectPingTimeoutMS = 250.0  // for a ping that is sent on behalf of another member
+	maxSuspicionMS        = 3000.0 // suspicion timeout without confirmations
+	minSuspicionMS        = 1200.0 // suspicion timeout with all confirmations
+	// Time without accusations before the timeout extension shrinks by one step. It doubles whenever the
+	// router is accused again soon after that.
+	extensionHoldMS     = 30e3
+	maxExtensionHoldMS  = 960e3  // limit of that doubling
+	gossipIntervalMS    = 50.0   // between two rounds of gossip
+	reconnectIntervalMS = 500.0  // between two pings to unresponsive or dead members and join addresses
+	minPingIntervalMS   = 400.0  // between two pings outside the probe order to the same member
+	pushPullIntervalMS  = 300.0  // between two exchanges of whole views
+	minPauseMS          = 1000.0 // a longer gap between ticks means that this process was paused
 )
 
-// Numbers.
 const (
-	indirectPingers        = 3  // that are asked to ping a member
-	gossipFanout           = 3  // members that fresh news go to in a round
-	suspicionConfirmations = 3  // further accusers who shorten a suspicion to its least
-	maxHealthScore         = 8  // in oneself
-	maxPingsPerTick        = 16 // questions that may go out in a tick, beside probes
-	maxPendingProbes       = 16 // probes whose end is awaited
-	maxIndirectPings       = 64 // pings for others
+	indirectPingers        = 3  // members asked to ping a target indirectly
+	gossipFanout           = 3  // members that receive new updates in a round
+	suspicionConfirmations = 3  // confirmations that shorten a suspicion to its minimum
+	maxHealthScore         = 8  // worst local health score
+	maxPingsPerTick        = 16 // besides probes
+	maxPendingProbes       = 16 // probes outside the probe order; scheduled ones may exceed it
+	maxIndirectPings       = 64 // pending pings on behalf of others
 )
 
-// Config is what a router is told of itself and of the way into the fleet.
+// Config describes this router and how it joins the fleet.
 type Config struct {
 	Name, Site      string
-	Addr            Addr // by which the others reach it
+	Addr            Addr // address advertised to the other members
 	Start           uint64
-	Join            []Addr
-	ExpectedRouters int // routers that there are where none has been met, itself among them
-	Streams         bool
-	LeaseMS         float64 // ms for which a part may be lent: for as long nobody has the part of one that is gone, and one that joins waits; 0 = none is
-	PlainSWIM       bool    // SWIM without Lifeguard's measures: a baseline for tests and measurements
-	Seed            uint64
+	Join            []Addr // seed addresses
+	ExpectedRouters int    // fleet size to assume, this router included, until another router has been met
+	Streams         bool   // whether the host has streams besides datagrams
+	// LeaseMS is the maximum duration, in ms, for which a share may be leased. The share of a dead member
+	// stays unused, and a joining router waits, for that long. 0 = no leases.
+	LeaseMS   float64
+	PlainSWIM bool // SWIM without Lifeguard's measures: a baseline for tests and measurements
+	Seed      uint64
 }
 
-// Host carries out what a Machine wants. It may not call the Machine back before the method that it is in returns.
+// Host performs the I/O for a Machine. It must not call the Machine before the Machine's method returns.
 type Host interface {
-	Send(to Addr, m []byte) // a datagram
-	StreamPing(to Addr, m []byte)
-	PushPull(to Addr)       // exchanges Sums by a stream, and Pages of the buckets in which both differ: what comes to Receive
-	MemberChanged(c Change) // of the view
-	DeliverPayload(from Record, b []byte)
+	Send(to Addr, m []byte)       // sends a datagram
+	StreamPing(to Addr, m []byte) // sends a ping on a stream; the outcome goes to StreamPingDone
+	// PushPull exchanges BucketDigests on a stream, and then the Pages of the buckets that differ; received
+	// pages go to Receive.
+	PushPull(to Addr)
+	MemberChanged(c Change)               // reports a change of the view
+	DeliverPayload(from Record, b []byte) // delivers a payload that was sent by SendPayload
 }
 
-// Machine is one router's view of the fleet. Its methods take the time in milliseconds on a clock that never runs backwards; Tick wants
-// to be called every 50 ms.
+// Machine is one router's view of the fleet. Its methods take the time in ms on a monotonic clock; Tick
+// should be called every 50 ms.
 type Machine struct {
 	cfg       Config
 	host      Host
 	rng       *rand.Rand
 	now       float64
-	lastTick  float64 // tick before; 0 = none
+	lastTick  float64 // time of the previous tick; 0 = none
 	startedAt float64
 
 	self          Record
-	members       map[string]*member // all that are known, but this one
-	probeOrder    []*member          // those that are present, in the order of probes
-	nextProbe     int                // in order
-	departed      []string           // names of those that are gone or have left, the oldest first
-	stateCounts   [numStates]int     // of members, by state
+	members       map[string]*member // all known members except this router
+	probeOrder    []*member          // members that are present, in the order of probes
+	nextProbe     int                // index into probeOrder
+	departed      []string           // names of dead and departed members, the oldest first
+	stateCounts   [numStates]int     // members by state
 	viewDigest    uint64
-	bucketDigests bucketDigests // of buckets of the view
+	bucketDigests bucketDigests // per bucket of the view
 	rosterDigest  uint32
-	changedAt     float64 // when the view changed last
+	changedAt     float64 // time of the last change of the view
 	changeCount   uint64
 
 	updates      map[string]*queuedUpdate
@@ -86,47 +91,51 @@
 	nextProbeAt        float64
 	indirectPings      []indirectPing
 	healthScore        int
-	extensionChangedAt float64  // when the patience that is asked of the others changed last, 0 = never
-	extensionHold      float64  // how long it stays so
-	lastAckAt          float64  // when anybody has answered last
-	lastAckedPingAt    float64  // when the last question was asked that anybody has answered: what waited in a socket is no news of now
-	suspects           []string // names of those that are
+	extensionChangedAt float64 // time of the last change of the own timeout extension, 0 = never
+	extensionHold      float64 // how long the extension stays unchanged, in ms
+	lastAckAt          float64 // time of the last answer from any member
+	// lastAckedPingAt is the send time of the latest ping that was answered. Unlike lastAckAt it is not
+	// affected by answers that waited in a socket buffer.
+	lastAckedPingAt float64
+	suspects        []string // names of the suspect members
 
 	nextReconnectAt      float64
 	nextPushPullAt       float64
-	nextPage             int // next page where there are no streams
+	nextPage             int // next page to send where there are no streams; 0 = none
 	pageReceiver         Addr
-	surveyStartedAt      float64 // when the survey that runs began; 0 = none does
+	surveyStartedAt      float64 // 0 = no survey runs
 	falseAccusations     map[uint32]accusationScore
 	refused              error
-	nextDuplicateCheckAt float64 // when another process of this name was asked for last, and by which number
-	duplicateCheckSeq    uint32
+	nextDuplicateCheckAt float64 // earliest time of the next ping to a process with the same name
+	duplicateCheckSeq    uint32  // sequence number of the last such ping
 
-	onStream    bool // a message that came by a stream
+	// The message that is being handled came on a stream; the reply goes to streamReply.
+	onStream    bool
 	streamReply []byte
 
 	share shareState
 }
 
-// member is what is known of another router.
+// member holds what is known about another router.
 type member struct {
 	Record
 	since             float64
-	reporter          string  // whose the last change is
-	addrVerified      bool    // has answered a question of this router's from its address
-	lastAckAt         float64 // when last
-	lastMessageAt     float64 // when it said anything last, itself
-	lastPingAt        float64 // when it was asked last, beside probes
-	streamPingedStart uint64  // the start that a stream was last to look for
+	reporter          string  // source of the last change
+	addrVerified      bool    // has answered a ping of this router from its address
+	lastAckAt         float64 // time of its last answer
+	lastMessageAt     float64 // time of the last message from the member itself
+	lastPingAt        float64 // time of the last ping that this router started by itself
+	streamPingedStart uint64  // start that the last stream ping was meant for
 	confirmed         bool    // it counts this process
-	verifiedDown      bool    // gone or left, and this router has seen so itself
-	shareFreeAt       float64 // when its part is free, once shown
-	orderIndex        int     // in order; -1 = none
+	verifiedDown      bool    // dead or departed, and this router has verified that itself
+	shareFreeAt       float64 // time at which its share becomes available, once verifiedDown
+	orderIndex        int     // index in probeOrder; -1 = none
 	bucket            int
 	accusers          map[uint32]bool
-	suspicionDeadline float64 // of the suspicion
+	suspicionDeadline float64
 }
 
+// indirectPing is a pending ping on behalf of another member.
 type indirectPing struct {
 	target       string
 	requester    Addr
@@ -135,14 +144,14 @@
 	expiresAt    float64
 }
 
-// New is the view of a router that knows nobody, or an error that names what is impossible.
+// New returns the Machine of a router that knows no other member, or an error if cfg is invalid.
 func New(cfg Config, host Host) (*Machine, error) {
 	self := Record{Name: cfg.Name, Site: cfg.Site, Addr: cfg.Addr, Start: cfg.Start}
 	if err := self.Validate(); err != nil {
 		return nil, err
 	}
 	if cfg.ExpectedRouters < 1 {
-		return nil, fmt.Errorf("member %s: %d routers are expected; 1 is the least", cfg.Name, cfg.ExpectedRouters)
+		return nil, fmt.Errorf("member %s: %d routers are expected; the minimum is 1", cfg.Name, cfg.ExpectedRouters)
 	}
 	m := &Machine{cfg: cfg, host: host, rng: rand.New(rand.NewPCG(cfg.Seed, 2)), self: self, members: map[string]*member{}, updates: map[string]*queuedUpdate{},
 		falseAccusations: map[uint32]accusationScore{}}
@@ -151,13 +160,14 @@
 	return m, nil
 }
 
-// ErrDuplicateName is another running process that goes by this one's name.
-var ErrDuplicateName = errors.New("two routers go by one name")
+// ErrDuplicateName reports that another running process uses this router's name.
+var ErrDuplicateName = errors.New("two routers use the same name")
 
-// Refused is why this process may not take part, nil while it may: another of its name runs, and was there before.
+// Refused returns why this process may not take part, or nil if it may: an older process with its name still
+// runs.
 func (m *Machine) Refused() error { return m.refused }
 
-// Tick lets time pass.
+// Tick advances the time and performs all work that is due.
 func (m *Machine) Tick(now float64) {
 	m.advanceClock(now)
 	m.lastTick = now
@@ -189,8 +199,8 @@
 	}
 }
 
-// handlePause is told that this process did not run for a while: what it waited for in that time means nothing, and others may have
-// counted it out.
+// handlePause is called after this process did not run for gap ms. Pending probes prove nothing then, and
+// other members may have excluded this router.
 func (m *Machine) handlePause(gap float64) {
 	m.pendingProbes, m.indirectPings = nil, nil
 	for _, name := range m.suspects {
@@ -198,14 +208,15 @@
 	}
 	m.share.majoritySince = m.now
 	if m.expireShare(); !m.share.active {
-		m.rejoin() // what others confirmed before says nothing of now
+		m.rejoin() // earlier confirmations are no longer valid
 	}
 	m.adjustHealthScore(1)
 	m.surveyStartedAt = 0
 	m.startSurvey()
 }
 
-// Receive takes a message without its sum. An error says what is wrong with it; then nothing has changed.
+// Receive handles a message without its MAC. An error means that the message is malformed; then nothing has
+// changed.
 func (m *Machine) Receive(now float64, b []byte) error {
 	m.advanceClock(now)
 	if m.refused != nil {
@@ -241,10 +252,10 @@
 	return nil
 }
 
-// metAny takes what the sender says of itself.
+// handleSender merges the sender's record of itself.
 func (m *Machine) handleSender(q *message) {
 	if q.From.Name == m.self.Name && q.From.Start == m.self.Start && q.From.Addr == m.self.Addr {
-		return // a message of this process, come back
+		return // a message of this process that was sent back
 	}
 	m.merge(q.From, "")
 	if mem := m.members[q.From.Name]; mem != nil && mem.Start == q.From.Start && mem.Addr == q.From.Addr {
@@ -252,22 +263,24 @@
 	}
 }
 
-// handlePing answers a ping. To an address that has not proven itself no answer is longer than the question.
+// handlePing answers a ping. To an address that is not verified, no answer is longer than the ping, which
+// prevents amplification.
 func (m *Machine) handlePing(q *message, size int) {
 	if q.Target != "" && q.Target != m.self.Name {
-		return // meant for one that was here before
+		return // meant for an earlier process at this address
 	}
 	limit := MaxMessage
 	a := message{Type: ack, Seq: q.Seq, Target: m.self.Name, From: m.self}
 	old := m.members[q.From.Name]
-	if !m.onStream && (old == nil || !old.addrVerified || old.Addr != q.From.Addr) { // a stream has proven its address by itself
+	// A stream verifies its address by itself.
+	if !m.onStream && (old == nil || !old.addrVerified || old.Addr != q.From.Addr) {
 		if limit = min(limit, size+macBytes); len(a.head()) > size {
 			return
 		}
 	}
-	m.applyMemberChanges() // who is told that it counts does count from here on
+	m.applyMemberChanges() // the ack confirms that the sender is counted, so it must be counted from here on
 	if old != nil {
-		a.TargetStart = old.Start // whom this router knows by that name: the asker sees whether it counts
+		a.TargetStart = old.Start // tells the sender which start of it is counted
 		if old.Start != q.From.Start || old.State > Alive {
 			a.Updates = append(a.Updates, old.Record)
 		}
@@ -275,7 +288,8 @@
 	m.send(q.From.Addr, a, limit)
 }
 
-// handleAck takes the answer to a ping, of this router or of a helper.
+// handleAck handles the answer to a ping, whether sent by this router for itself or on behalf of another
+// member.
 func (m *Machine) handleAck(q *message) {
 	if i := m.indexOfIndirectPing(q.Seq, q.From.Name); i >= 0 {
 		h := m.indirectPings[i]
@@ -288,12 +302,12 @@
 	}
 	p := m.findProbe(q.Seq)
 	if p == nil {
-		return // late, doubled, or never asked
+		return // late, duplicate or unsolicited
 	}
 	p.answered = true
 	m.lastAckAt, m.lastAckedPingAt = m.now, max(m.lastAckedPingAt, p.began)
 	if q.From.Name != q.Target {
-		return // a helper says that the target answered
+		return // relayed: the target answered an indirect ping
 	}
 	if mem := m.members[q.From.Name]; mem != nil && mem.Addr == q.From.Addr && mem.Start == q.From.Start {
 		mem.addrVerified, mem.lastAckAt = true, m.now
@@ -304,7 +318,7 @@
 	}
 }
 
-// send sends a message with as much news as fits.
+// send sends a message with as many queued updates as fit.
 func (m *Machine) send(to Addr, q message, limit int) {
 	if b := m.encodeWithUpdates(q, limit, false); m.onStream && q.Type == ack {
 		m.streamReply = b
@@ -313,7 +327,8 @@
 	}
 }
 
-// Answer is what goes back on a stream for a question that came by it, nil for a message that is none. An error is Receive's.
+// Answer handles a message that came on a stream and returns the reply to it, nil if there is none. Errors
+// are those of Receive.
 func (m *Machine) Answer(now float64, b []byte) ([]byte, error) {
 	m.onStream = true
 	defer func() { m.onStream, m.streamReply = false, nil }()
@@ -323,7 +338,8 @@
 	return m.streamReply, nil
 }
 
-// encodeWithUpdates completes a message and gives its bytes, filled up to the limit with zeros if padded.
+// encodeWithUpdates completes a message with this router's state and queued updates and returns its bytes,
+// padded with zeros to the limit if padded is set.
 func (m *Machine) encodeWithUpdates(q message, limit int, padded bool) []byte {
 	q.ViewDigest, q.RosterDigest, q.From = m.viewDigest, m.rosterDigest, m.self
 	own := len(q.Updates)
@@ -338,29 +354,30 @@
 	switch {
 	case padded:
 		want = limit - macBytes
-	case q.Type == ping: // the other may not know yet that this is no forged address
+	case q.Type == ping: // an unverified sender gets no answer longer than its ping
 		want = min(len(q.head())+maxHeadGrowth, limit-macBytes)
 	}
 	return append(b, make([]byte, max(0, want-len(b)))...)
 }
 
-// maxHeadGrowth is by how much the head of an answer may be longer than that of its question.
+// maxHeadGrowth is the maximum number of bytes by which the head of an answer exceeds that of its ping.
 const maxHeadGrowth = MaxName + MaxSite + 1 + MaxMeta + 12
 
-// sendPing pings a member, or whoever is at an address. Where it has not proven itself the question is padded, so that the answer may
-// carry news.
+// sendPing pings a member, or whichever process is at an address if target is nil. Unless the address is
+// verified the ping is padded, so that the answer may carry updates.
 func (m *Machine) sendPing(to Addr, target *member, seq uint32) {
 	q := message{Type: ping, Seq: seq}
 	if target != nil {
 		q.Target, q.TargetStart = target.Name, target.Start
 		if target.State > Alive && !m.cfg.PlainSWIM {
-			q.Updates = append(q.Updates, target.Record) // it may want to deny that
+			q.Updates = append(q.Updates, target.Record) // allows the target to refute it
 		}
 	}
 	m.host.Send(to, m.encodeWithUpdates(q, MaxMessage, target == nil || !target.addrVerified))
 }
 
-// SendPayload has something brought to a member, and returns false where that is not heard. It may be lost, late, doubled or out of order.
+// SendPayload sends a payload to a member, best effort, and returns false if the member is not known to be
+// responsive. The payload may be lost, late, duplicated or out of order.
 func (m *Machine) SendPayload(now float64, to string, start uint64, b []byte) bool {
 	m.advanceClock(now)
 	mem := m.members[to]
@@ -371,7 +388,7 @@
 	return true
 }
 
-// handlePayload passes on what came for this very process from a member that is known by what it says of itself.
+// handlePayload delivers a payload that is meant for this very process and comes from a known member.
 func (m *Machine) handlePayload(q *message) {
 	mem := m.members[q.From.Name]
 	if q.Target != m.self.Name || q.TargetStart != m.self.Start || mem == nil || mem.Start != q.From.Start || mem.Addr != q.From.Addr || m.self.State == Left {
@@ -380,7 +397,7 @@
 	m.host.DeliverPayload(mem.Record, q.Payload)
 }
 
-// SetMeta has this router tell the others something of itself.
+// SetMeta sets the metadata that this router announces, or returns an error if it is too long.
 func (m *Machine) SetMeta(now float64, card string) error {
 	m.advanceClock(now)
 	r := m.self
@@ -394,7 +411,7 @@
 	return nil
 }
 
-// Leave says goodbye to as many as one round reaches; the caller ends the process soon after.
+// Leave announces the departure to a few members in one round; the caller ends the process soon after.
 func (m *Machine) Leave(now float64) {
 	m.advanceClock(now)
 	m.updateSelf(func(s *Record) { s.State = Left })
--- a/internal/pure/fleet/member.go
+++ b/internal/pure/fleet/member.go
@@ -1,10 +1,14 @@
-// Package fleet settles which routers there are: a view that every router keeps by itself and that all come to share, whatever is
-// lost on the way. It does no input or output and has no clock: what comes and the time go in, what to send goes out by Host.
+// Package fleet implements the membership protocol of the routers: SWIM with the measures of Lifeguard. Every
+// router keeps its own view of the fleet, and all views converge despite lost messages. The package does no
+// I/O and reads no clock: messages and the time are passed in, and everything to be sent goes out through
+// Host.
 //
-// Members are probed in turn, directly and by way of others; who does not answer is suspected, may say that it lives, and is
-// silent after a time that shortens as others agree. Who is proven not to run is gone. What is learned rides on the messages that
-// are sent anyway, none longer than MaxMessage bytes, and goes out at once to a few; digests show what was missed all the same.
-// Design and options compared: docs/design/view.md.
+// Members are probed in turn, by a direct ping and then by indirect pings through other members. A member
+// that does not answer becomes suspect, may refute that, and otherwise is declared unresponsive after a
+// timeout that shortens as other members confirm the suspicion. A member that is proven not to run is
+// declared dead. Updates are piggybacked on the messages that are sent anyway, none of which is longer than
+// MaxMessage bytes, and are also gossiped at once to a few members; view digests reveal updates that were
+// missed. Design and alternatives: docs/design/view.md.
 package fleet
 
 import (
@@ -14,20 +18,21 @@
 	"strings"
 )
 
-// Bounds on what a member says of itself, in bytes: one record fits every message, whoever sends it.
+// Limits, in bytes, on what a member states about itself. They ensure that one record fits into any message.
 const (
 	MaxName = 24
 	MaxSite = 16
 	MaxMeta = 14
 )
 
-// MaxMembers bounds the routers that are known at once, those that are silent among them.
+// MaxMembers limits the number of known members, unresponsive and excluded ones included.
 const MaxMembers = 2048
 
-// maxDeparted bounds the memory of members that have left or are gone.
+// maxDeparted limits the number of dead and departed members that are remembered.
 const maxDeparted = 1024
 
-// Addr is where a member is reached by datagrams and streams. An IPv4 address stands in its form of 16 bytes.
+// Addr is the address at which a member receives datagrams and accepts streams. An IPv4 address is held in
+// its 16-byte form.
 type Addr struct {
 	IP   [16]byte
 	Port uint16
@@ -35,7 +40,7 @@
 
 var ipv4Prefix = [12]byte{10: 0xff, 11: 0xff}
 
-// IPv4 is an IPv4 address.
+// IPv4 returns the Addr of an IPv4 address and a port.
 func IPv4(a, b, c, d byte, port uint16) Addr {
 	out := Addr{Port: port}
 	copy(out.IP[:], ipv4Prefix[:])
@@ -58,18 +63,18 @@
 	return "[" + strings.Join(groups, ":") + "]:" + port
 }
 
-// State is what the view says of a member.
+// State is the state of a member in a view.
 type State uint8
 
-// The states. Of two records of one start and incarnation the one with the higher state counts.
+// Member states. Of two records with the same start and incarnation, the one with the higher state wins.
 const (
-	Joining State = iota // it runs, and does not yet know that all count it
+	Joining State = iota // runs, but does not know yet whether all members count it
 	Alive
-	Suspect      // it did not answer, and may still say that it lives
-	Unresponsive // it is not heard and may still act
-	Excluded     // silent for so long that a majority does not count it any more
-	Dead         // known not to run
-	Left         // it said goodbye
+	Suspect      // failed a probe and can still refute the suspicion
+	Unresponsive // "silent": the suspicion timed out, but the process may still run
+	Excluded     // "lost": unresponsive for so long that a majority no longer counts it
+	Dead         // "gone": known not to run
+	Left         // announced that it leaves
 	numStates
 )
 
@@ -82,59 +87,61 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// present says whether the member belongs to the view; who is gone or has left does not.
+// present reports whether the member belongs to the view; dead and departed members do not.
 func (s State) present() bool { return s <= Excluded }
 
-// answered says whether the member is thought to answer.
+// responsive reports whether the member is expected to answer.
 func (s State) responsive() bool { return s <= Suspect }
 
-// Record is what is said of a member. Start grows with each start of the process, Inc with each word by which a running one denies
-// what is said of it.
+// Record describes a member. Start grows with every start of the process; Incarnation grows each time a
+// running process refutes a report or changes its own record.
 type Record struct {
-	Name             string
-	Site             string
-	Addr             Addr
-	Start            uint64
-	Incarnation      uint32
-	State            State
-	TimeoutExtension uint8  // by how many times longer the others wait for its answers: it is slow, and says so itself
-	Meta             string // what it tells the others' other parts of itself; nothing to this package
-	AccuserID        uint32 // whose word that it does not answer is; see nameID
+	Name        string
+	Site        string
+	Addr        Addr
+	Start       uint64
+	Incarnation uint32
+	State       State
+	// TimeoutExtension is the number of extra base timeouts that the others grant this member, which reports
+	// itself as slow.
+	TimeoutExtension uint8
+	Meta             string // metadata for other parts of the program; opaque to this package
+	AccuserID        uint32 // nameID of the member that reported the failure
 }
 
-// maxTimeoutExtension bounds what a member may ask for, so that one that dies is noticed in time all the same.
+// maxTimeoutExtension limits what a member may ask for, so that its failure is still detected in time.
 const maxTimeoutExtension = 3
 
-// supersedes says whether r counts over an older record of the same name.
+// supersedes reports whether r takes precedence over an older record of the same name.
 func (r Record) supersedes(old Record) bool {
 	switch {
 	case r.Start != old.Start:
 		return r.Start > old.Start
 	case (r.State == Left) != (old.State == Left):
-		return r.State == Left // the last word of a start
+		return r.State == Left // final for this start
 	case r.Incarnation != old.Incarnation:
 		return r.Incarnation > old.Incarnation
 	}
 	return r.State > old.State
 }
 
-// Validate reports what is wrong with what a member says of itself.
+// Validate returns an error that names the first invalid field of r.
 func (r Record) Validate() error {
 	switch {
 	case !printable(r.Name) || len(r.Name) > MaxName || r.Name == "":
-		return fmt.Errorf("name %.40q: 1 to %d printable bytes without blanks are right", r.Name, MaxName)
+		return fmt.Errorf("name %.40q: 1 to %d printable bytes without blanks are allowed", r.Name, MaxName)
 	case !printable(r.Site) || len(r.Site) > MaxSite:
-		return fmt.Errorf("member %s: site %.40q: up to %d printable bytes without blanks are right", r.Name, r.Site, MaxSite)
+		return fmt.Errorf("member %s: site %.40q: up to %d printable bytes without blanks are allowed", r.Name, r.Site, MaxSite)
 	case r.Addr.Port == 0:
 		return fmt.Errorf("member %s: no port", r.Name)
 	case r.Start == 0:
 		return fmt.Errorf("member %s: no start", r.Name)
 	case len(r.Meta) > MaxMeta:
-		return fmt.Errorf("member %s: a card of %d bytes; %d are the most", r.Name, len(r.Meta), MaxMeta)
+		return fmt.Errorf("member %s: metadata of %d bytes; the limit is %d", r.Name, len(r.Meta), MaxMeta)
 	case r.TimeoutExtension > maxTimeoutExtension:
-		return fmt.Errorf("member %s: %d times more patience; %d are the most", r.Name, r.TimeoutExtension, maxTimeoutExtension)
+		return fmt.Errorf("member %s: timeout extension %d; the limit is %d", r.Name, r.TimeoutExtension, maxTimeoutExtension)
 	case r.State >= numStates:
-		return fmt.Errorf("member %s: %v is unknown", r.Name, r.State)
+		return fmt.Errorf("member %s: unknown state: %v", r.Name, r.State)
 	}
 	return nil
 }
@@ -143,10 +150,11 @@
 	return !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// Change is what became of a member, and why.
+// Change describes a change of a member's record.
 type Change struct {
 	Record
 	Previous State
-	New      bool   // nobody of that name was known
-	Reporter string // whose word it is, "" = its own
+	New      bool // the name was not known before
+	// Reporter is the member that reported the change, "" = the member itself, "me" = this router.
+	Reporter string
 }
--- a/internal/pure/fleet/part.go
+++ b/internal/pure/fleet/part.go
@@ -5,55 +5,66 @@
 	"slices"
 )
 
-// What this router may use of what all share. Design and proof: docs/design/view.md, "What may be spent".
+// Constants of the share that this router may use of the common resources. Durations are in milliseconds.
+// Design and proof: docs/design/view.md, "What may be spent".
 const (
-	// shareValidMS is for how long a router's part stays its own without contact to half of those that it counts.
+	// shareValidMS is how long a router keeps its share without contact to half of the members that it
+	// counts.
 	shareValidMS = 60e3
-	// excludeAfterMS is the silence after which a majority counts a member out: longer than its right, with room for slow notice.
+	// excludeAfterMS is the time as unresponsive after which a majority excludes a member: longer than
+	// shareValidMS, because the member may notice late that its share has expired.
 	excludeAfterMS = 90e3
-	// lapsedFraction is the part of its part that a router keeps beyond that, and left what others leave to one that they count out: more, as
-	// they may have become more meanwhile.
+	// lapsedFraction is the fraction of its share that a router keeps after the share has expired.
+	// excludedFraction is what the others reserve for a member that they exclude: more, because the fleet may
+	// have grown since and their shares have shrunk.
 	lapsedFraction   = 1.0 / 8
 	excludedFraction = 1.0 / 4
-	// firstContactWaitMS is for how long a router that has met nobody waits for others before it counts with those that it was told to expect.
+	// firstContactWaitMS is how long a router that has met no other waits before it assumes a fleet of
+	// Config.ExpectedRouters.
 	firstContactWaitMS = 10e3
-	// noSeedWaitMS is the same where it knows of no address to join by.
+	// noSeedWaitMS is the same for a router without any other address to join by.
 	noSeedWaitMS = 3e3
-	// reactionTimeMS is what a router may take to heed that there is one more: that one waits for as long.
+	// reactionTimeMS is the maximum time that a router takes to reduce its share for a new member, which
+	// waits for as long before it uses its own.
 	reactionTimeMS = 250.0
 )
 
-// NoShare stands for so many routers that a part of anything is none.
+// NoShare is a value of Share.Routers so large that a share of any resource is zero.
 const NoShare = 1 << 20
 
-// Share is what a router may use: one of Routers equal parts of each common good until Until, one of Then from there on.
+// Share is what a router may use: 1/Routers of each common resource until the time Until, in ms, and
+// 1/RoutersAfter from then on.
 type Share struct {
 	Routers      float64
 	Until        float64
 	RoutersAfter float64
 }
 
-// Invariant: of all processes that have met, the sum of 1/Routers over those whose time has not run out, and of 1/Then over the others,
-// is at most 1, in any partition, whatever is lost, and whoever stops or dies.
+// shareState is the state from which a router derives its share.
 //
-// Why: who uses more than the lapsed part has had an answer from each that it counts, given while both knew the same processes; so any
-// two of them count each other, and each divides by as many as they are at least. A member is counted out when it is shown not to run,
-// has left, or has been silent for so long that its right has ended, and then by a majority alone, which goes on to leave it the
-// lapsed part.
+// Invariant: over all processes that have met, the sum of 1/Routers of those whose time has not run out, and
+// of 1/RoutersAfter of the others, is at most 1, under any partition, any message loss, and any pause or
+// death of processes.
+//
+// Reason: a router that uses more than the lapsed fraction has had an answer from each member that it counts,
+// given while both knew the same processes; so any two such routers count each other, and each divides by at
+// least their number. A member is no longer counted when it is verified to be dead, has left, or has been
+// unresponsive for so long that its share has expired; the last only by a majority, which then reserves the
+// excluded fraction for it.
 type shareState struct {
-	active         bool    // all count this router
-	hadShare       bool    // a part once
-	allConfirmedAt float64 // when all were first seen to count it; 0 = they do not yet
-	contactAt      float64 // when half of those counted were last in reach
-	majoritySince  float64 // since when more than half have been
-	metAny         bool    // anybody ever
-	recountNeeded  bool    // counted is to be found again
-	counted        int     // members that common goods are divided by, beside this router
-	recountAt      float64 // when a part becomes free; 0 = none does
+	active         bool    // all members count this router, so it may use a share
+	hadShare       bool    // has had a share before
+	allConfirmedAt float64 // time since which all members count it; 0 = they do not
+	contactAt      float64 // time when half of the counted members were last reachable
+	majoritySince  float64 // time since which more than half have been reachable
+	metAny         bool    // has met any other router
+	recountNeeded  bool    // counted is out of date
+	counted        int     // members that common resources are divided by, besides this router
+	recountAt      float64 // time when a share becomes available; 0 = none does
 	current        Share
 }
 
-// counted says whether the member is among those that common goods are divided by.
+// isCounted reports whether common resources are divided by a member, too.
 func (m *Machine) isCounted(mem *member) bool {
 	if mem.State.present() {
 		return mem.State != Excluded
@@ -61,16 +72,17 @@
 	return !mem.verifiedDown || m.now < mem.shareFreeAt
 }
 
-// markVerifiedDown notes that this router has seen itself that a member runs no more. What that one may have lent is not free before its loans have ended.
+// markVerifiedDown records that this router has verified that a member no longer runs. What the member may
+// have leased to others becomes available only after its leases have ended.
 func (m *Machine) markVerifiedDown(mem *member) {
 	mem.verifiedDown, mem.shareFreeAt = true, m.now+m.cfg.LeaseMS
 	m.share.recountNeeded = true
 	if m.cfg.LeaseMS > 0 {
-		m.share.recountAt = mem.shareFreeAt // of several the last
+		m.share.recountAt = mem.shareFreeAt // the latest, if there are several
 	}
 }
 
-// rejoin has this router use nothing until all count it again.
+// rejoin reduces this router's share until all members count it again.
 func (m *Machine) rejoin() {
 	m.share.active, m.share.allConfirmedAt = false, 0
 	for _, mem := range m.members {
@@ -82,7 +94,7 @@
 	m.share.recountNeeded = true
 }
 
-// updateShare finds what this router may use.
+// updateShare recomputes the share that this router may use.
 func (m *Machine) updateShare() {
 	p := &m.share
 	if p.recountAt > 0 && m.now >= p.recountAt {
@@ -92,7 +104,7 @@
 		m.recountMembers()
 	}
 	m.handleFirstContact()
-	m.expireShare() // before contact is seen anew: what was heard after it had ended does not bring a right back
+	m.expireShare() // before contactAt is updated: later contact does not revive an expired share
 	reach, voters := m.countReachable()
 	switch {
 	case reach == 1 && voters <= 2:
@@ -110,14 +122,15 @@
 	p.current = m.shareFor(whole)
 }
 
-// expireShare ends a right without contact for too long.
+// expireShare gives up the share after too long without contact.
 func (m *Machine) expireShare() {
 	if m.share.active && m.now-m.share.contactAt > shareValidMS {
 		m.rejoin()
 	}
 }
 
-// handleFirstContact has whoever was alone and meets others, who may be many and know nothing of it, take its part anew, as one that joins.
+// handleFirstContact makes a router that was alone join anew when it meets others: they may be many and do
+// not count it yet.
 func (m *Machine) handleFirstContact() {
 	if p := &m.share; !p.metAny && m.stateCounts[Joining]+m.stateCounts[Alive]+m.stateCounts[Suspect] > 0 {
 		p.metAny, p.hadShare = true, false
@@ -125,7 +138,7 @@
 	}
 }
 
-// applyMemberChanges has a change of members count at once.
+// applyMemberChanges makes membership changes take effect on the share at once.
 func (m *Machine) applyMemberChanges() {
 	m.handleFirstContact()
 	if m.share.recountNeeded {
@@ -134,8 +147,9 @@
 	}
 }
 
-// recountMembers counts those that common goods are divided by. A majority of the last whole counts out those that have been silent for so
-// long that their right has ended. Who is said to be gone and can't be reached to see it has had the time to deny it by then, too.
+// recountMembers counts the members that common resources are divided by. A majority of the members counted
+// last excludes those that have been unresponsive for so long that their share has expired. A member that is
+// reported dead, and cannot be reached to verify it, has had time to refute that by then, too.
 func (m *Machine) recountMembers() {
 	p := &m.share
 	for _, name := range m.departed {
@@ -143,7 +157,7 @@
 			m.markVerifiedDown(mem)
 		}
 	}
-	m.declareReplacedAt(m.self.Addr, m.self.Name, m.startedAt) // this process listens there
+	m.declareReplacedAt(m.self.Addr, m.self.Name, m.startedAt) // this process listens at that address
 	p.counted = m.countMembers()
 	p.recountNeeded = false
 	if m.stateCounts[Unresponsive] == 0 || !p.active {
@@ -159,13 +173,14 @@
 	p.counted = m.countMembers()
 }
 
-// countReachable counts those that are heard among those that have a part: who is still joining is not known to those that are not heard, so that
-// a majority with its help proves nothing.
+// countReachable returns the number of responsive members among those that have a share, and the number of
+// those. Joining members are left out: unresponsive ones do not know them, so a majority that includes them
+// proves nothing.
 func (m *Machine) countReachable() (reach, voters int) {
 	return 1 + m.stateCounts[Alive], 1 + m.share.counted - m.stateCounts[Joining]
 }
 
-// countMembers counts the members that common goods are divided by.
+// countMembers returns the number of members that common resources are divided by.
 func (m *Machine) countMembers() (n int) {
 	for _, mem := range m.probeOrder {
 		if m.isCounted(mem) {
@@ -180,8 +195,8 @@
 	return n
 }
 
-// requestConfirmations asks all that are counted whether they count this router, and has it take its part once all have said so. One that
-// has met nobody waits for a while.
+// requestConfirmations asks all counted members whether they count this router, and activates its share once
+// all have confirmed it. A router that has met no other waits for a while first.
 func (m *Machine) requestConfirmations(whole int) {
 	p := &m.share
 	if whole == 1 && !p.metAny {
@@ -220,7 +235,7 @@
 		p.allConfirmedAt = 0
 	case p.allConfirmedAt == 0:
 		p.allConfirmedAt = m.now
-	case m.now-p.allConfirmedAt >= reactionTimeMS+m.cfg.LeaseMS: // what the process before it has lent has ended by then, too
+	case m.now-p.allConfirmedAt >= reactionTimeMS+m.cfg.LeaseMS: // leases granted by this router's previous process have ended by then, too
 		p.active, p.hadShare, p.contactAt = true, true, m.now
 		if m.self.State == Joining {
 			m.updateSelf(func(s *Record) { s.State = Alive })
@@ -228,7 +243,8 @@
 	}
 }
 
-// recheckDead looks whether one that is said to be gone does not run: its address refuses, or somebody else answers there.
+// recheckDead verifies whether a member that is reported dead runs: its address refuses connections, or
+// another process answers there.
 func (m *Machine) recheckDead(mem *member) {
 	if m.now-mem.lastPingAt < minPingIntervalMS {
 		return
@@ -243,6 +259,7 @@
 	}
 }
 
+// hasNoSeed reports whether there is no address to join by other than this router's own.
 func (m *Machine) hasNoSeed() bool {
 	for _, a := range m.cfg.Join {
 		if a != m.self.Addr {
@@ -252,7 +269,7 @@
 	return true
 }
 
-// shareFor is what follows for a whole of so many.
+// shareFor returns the share when the given number of routers is counted, this one included.
 func (m *Machine) shareFor(whole int) Share {
 	p := &m.share
 	then := math.Ceil(float64(whole) / lapsedFraction)
@@ -273,7 +290,7 @@
 	return Share{n, until, then}
 }
 
-// Share is what this router may use now.
+// Share returns what this router may use now.
 func (m *Machine) Share() Share {
 	if m.refused != nil || m.share.current.Routers == 0 {
 		return Share{NoShare, math.Inf(1), NoShare}
--- a/internal/pure/fleet/probe.go
+++ b/internal/pure/fleet/probe.go
@@ -6,36 +6,38 @@
 	"strings"
 )
 
-// findProbe is a question to a member whose end is awaited.
+// probe is a pending probe of a member.
 type probe struct {
 	name      string
 	start     uint64
 	seq       uint32
 	began     float64
-	indirect  bool // others have been asked
-	answered  bool // it answered, or a helper heard it
-	nacked    bool // a helper at least answered: this router is not cut off
-	scheduled bool // a turn of the order, whose failure accuses
+	indirect  bool // indirect pings have been requested
+	answered  bool // acked by the member, directly or through another member
+	nacked    bool // another member answered that the target did not: this router is not cut off
+	scheduled bool // part of the probe order; a failure makes the member suspect
 }
 
+// newSeq returns the next sequence number.
 func (m *Machine) newSeq() uint32 {
 	m.seq++
 	return m.seq
 }
 
-// localTimeoutFactor is by how much times are stretched while this router doubts itself, or is known to be slow.
+// localTimeoutFactor is Lifeguard's local health multiplier: the factor by which probe timeouts grow while
+// this router's health score is poor or it has a timeout extension.
 func (m *Machine) localTimeoutFactor() float64 {
 	return float64(1 + max(m.healthScore, int(m.self.TimeoutExtension)))
 }
 
-// adjustHealthScore changes what this router thinks of itself: 0 is well.
+// adjustHealthScore changes the local health score; 0 is healthy.
 func (m *Machine) adjustHealthScore(by int) {
 	if !m.cfg.PlainSWIM {
 		m.healthScore = min(max(m.healthScore+by, 0), maxHealthScore)
 	}
 }
 
-// probeNext asks the next member in turn. One that everybody calls silent has no turn; see reconnect.
+// probeNext probes the next member in the probe order. Unresponsive members are skipped; see reconnect.
 func (m *Machine) probeNext() {
 	m.nextProbeAt = m.now + probeIntervalMS*float64(1+m.healthScore)
 	for range m.probeOrder {
@@ -51,6 +53,7 @@
 	}
 }
 
+// shuffleProbeOrder draws a new random probe order.
 func (m *Machine) shuffleProbeOrder() {
 	m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 	for i, mem := range m.probeOrder {
@@ -58,7 +61,7 @@
 	}
 }
 
-// startProbe asks a member. A failure accuses it where that is its turn.
+// startProbe probes a member. A failure makes the member suspect only if the probe is a scheduled one.
 func (m *Machine) startProbe(mem *member, turn bool) {
 	if len(m.pendingProbes) >= maxPendingProbes && !turn {
 		return
@@ -72,6 +75,7 @@
 	m.sendPing(mem.Addr, mem, p.seq)
 }
 
+// findProbe returns the pending probe with a sequence number, or nil.
 func (m *Machine) findProbe(seq uint32) *probe {
 	for _, p := range m.pendingProbes {
 		if p.seq == seq {
@@ -81,7 +85,8 @@
 	return nil
 }
 
-// expireProbes asks others where a member does not answer, and accuses it where they get no answer either.
+// expireProbes requests indirect pings for members that do not answer, and suspects a member that does not
+// answer those either.
 func (m *Machine) expireProbes() {
 	m.pendingProbes = slices.DeleteFunc(m.pendingProbes, func(p *probe) bool {
 		mem := m.members[p.name]
@@ -106,7 +111,8 @@
 	})
 }
 
-// probeTimeout is how long the answer to a probe counts. What is asked beside the turns accuses nobody by itself, and may take longer.
+// probeTimeout returns the timeout of a probe in ms. Probes outside the probe order accuse nobody by
+// themselves, and may take longer.
 func (m *Machine) probeTimeout(p *probe, mem *member) float64 {
 	wait := probeTimeoutMS * m.localTimeoutFactor() * mem.timeoutFactor()
 	if p.scheduled {
@@ -115,10 +121,11 @@
 	return max(surveyTimeoutMS, wait)
 }
 
-// timeoutFactor is by how much a member's answers may take longer, as it says itself.
+// timeoutFactor is the factor by which timeouts for this member grow, as requested by its record.
 func (mem *member) timeoutFactor() float64 { return float64(1 + mem.TimeoutExtension) }
 
-// requestIndirectPings asks others to ping a member, asks it once more, and looks by a stream whether it runs.
+// requestIndirectPings asks other members to ping a member, pings it again itself, and sends a ping on a
+// stream.
 func (m *Machine) requestIndirectPings(p *probe, mem *member) {
 	q := message{Type: pingReq, Seq: p.seq, Target: mem.Name, TargetStart: mem.Start, Updates: []Record{mem.Record}}
 	for _, other := range m.randomMembers(indirectPingers, func(o *member) bool { return o != mem && (o.State == Alive || o.State == Joining) }) {
@@ -128,7 +135,7 @@
 	m.streamPing(mem)
 }
 
-// randomMembers draws members.
+// randomMembers returns up to n different members that meet a condition.
 func (m *Machine) randomMembers(n int, fit func(*member) bool) (out []*member) {
 	for range 4 * n {
 		if len(m.probeOrder) == 0 || len(out) == n {
@@ -141,7 +148,8 @@
 	return out
 }
 
-// streamPing has a stream tell whether a member's process runs: who refuses does not.
+// streamPing pings a member on a stream, to find out whether its process runs: a refused connection proves
+// that it does not.
 func (m *Machine) streamPing(mem *member) {
 	if !m.cfg.Streams {
 		return
@@ -151,8 +159,8 @@
 	m.host.StreamPing(mem.Addr, b)
 }
 
-// StreamPingDone takes what came of a Check: whether there was an answer, which went to Receive, or a refusal, which proves that no process of
-// the fleet runs there. Neither proves nothing.
+// StreamPingDone takes the outcome of a StreamPing: an answer, which was passed to Receive, or a refused
+// connection, which proves that no process of the fleet runs there. With neither, nothing is known.
 func (m *Machine) StreamPingDone(now float64, to Addr, answered, refused bool) {
 	m.advanceClock(now)
 	if m.refused != nil {
@@ -172,7 +180,7 @@
 	}
 	for _, mem := range m.membersAt(to) {
 		if mem.streamPingedStart != mem.Start {
-			continue // the refusal was the process's before: this one has come since
+			continue // the refusal concerned an earlier process; this one started since
 		}
 		if mem.State.present() {
 			r := mem.Record
@@ -183,8 +191,8 @@
 	}
 }
 
-// declareReplacedAt takes that one process, which goes by a name, has listened at an address since a time: who was there before under another name
-// and has said nothing since does not run any more.
+// declareReplacedAt declares members dead that used to be at an address where a process of another name has
+// answered since the given time, if they sent nothing since.
 func (m *Machine) declareReplacedAt(addr Addr, name string, since float64) {
 	if m.stateCounts[Unresponsive]+m.stateCounts[Excluded]+len(m.departed)+m.stateCounts[Suspect] == 0 {
 		return
@@ -202,7 +210,8 @@
 	}
 }
 
-// membersAt are the members at an address, by name: more than one where a process has changed its name.
+// membersAt returns the members at an address, sorted by name: more than one if a process has changed its
+// name.
 func (m *Machine) membersAt(a Addr) (out []*member) {
 	for _, mem := range m.members {
 		if mem.Addr == a {
@@ -213,13 +222,13 @@
 	return out
 }
 
-// handleProbeFailure takes that neither a member nor anybody who asked it for this router has answered. Where nobody at all does, the fault is
-// looked for here first.
+// handleProbeFailure handles a probe that got no answer, neither directly nor indirectly. If no member at all
+// answers, this router itself is considered faulty first.
 func (m *Machine) handleProbeFailure(p *probe, mem *member) {
 	if !p.scheduled {
 		return
 	}
-	if mem.lastMessageAt > p.began { // late: that is no silence, and the fault may be here
+	if mem.lastMessageAt > p.began { // it sent something: it runs, and this router may be the slow one
 		m.adjustHealthScore(1)
 		if !m.cfg.PlainSWIM {
 			return
@@ -236,7 +245,7 @@
 	m.suspectMember(mem)
 }
 
-// suspectMember says that a member does not answer.
+// suspectMember marks a member as suspect, or confirms an existing suspicion.
 func (m *Machine) suspectMember(mem *member) {
 	if !mem.State.responsive() {
 		return
@@ -250,17 +259,17 @@
 	m.replaceRecord(mem, r, m.self.Name)
 }
 
-// startSuspicion begins a suspicion.
+// startSuspicion starts the suspicion of a member.
 func (m *Machine) startSuspicion(mem *member) {
 	mem.accusers = map[uint32]bool{mem.AccuserID: true}
 	m.suspects = append(m.suspects, mem.Name)
 	m.setSuspicionDeadline(mem)
 	if mem.AccuserID != nameID(m.self.Name) && m.rng.Float64()*float64(len(m.probeOrder)) < indirectPingers+1 {
-		m.startProbe(mem, true) // a few look for themselves
+		m.startProbe(mem, true) // a few members verify it themselves
 	}
 }
 
-// confirmSuspicion takes that another accuses a suspect too.
+// confirmSuspicion records that another member suspects a suspect, too.
 func (m *Machine) confirmSuspicion(mem *member, by uint32) {
 	if mem.State != Suspect || mem.accusers[by] || len(mem.accusers) > suspicionConfirmations || m.discredited(by) {
 		return
@@ -272,7 +281,7 @@
 	m.queueUpdate(r)
 }
 
-// setSuspicionDeadline sets when a suspect is called silent: the sooner the more accuse it.
+// setSuspicionDeadline sets when a suspect is declared unresponsive: the more accusers, the sooner.
 func (m *Machine) setSuspicionDeadline(mem *member) {
 	if m.cfg.PlainSWIM {
 		mem.suspicionDeadline = mem.since + minSuspicionMS
@@ -284,7 +293,7 @@
 	mem.suspicionDeadline = mem.since + maxSuspicionMS - (maxSuspicionMS-minSuspicionMS)*part
 }
 
-// expireSuspicions calls those silent who have not denied in time.
+// expireSuspicions declares suspects unresponsive that have not refuted in time.
 func (m *Machine) expireSuspicions() {
 	for _, name := range slices.Clone(m.suspects) {
 		mem := m.members[name]
@@ -297,25 +306,26 @@
 	}
 }
 
-// handlePingReq pings a member for another.
+// handlePingReq pings a member on behalf of another.
 func (m *Machine) handlePingReq(q *message) {
 	if len(q.Updates) == 0 || q.Updates[0].Name != q.Target || len(m.indirectPings) >= maxIndirectPings || q.Target == m.self.Name {
 		return
 	}
 	mem := m.members[q.Target]
 	if mem == nil || mem.Start != q.TargetStart || !mem.State.present() {
-		return // a fleet's member is asked, not whatever address a message names
+		return // only known members are pinged, not arbitrary addresses that a message names
 	}
 	seq := m.newSeq()
 	m.indirectPings = append(m.indirectPings, indirectPing{target: q.Target, requester: q.From.Addr, seq: seq, requesterSeq: q.Seq, expiresAt: m.now + indirectPingTimeoutMS*mem.timeoutFactor()})
 	m.sendPing(mem.Addr, mem, seq)
 }
 
+// indexOfIndirectPing returns the index of a pending indirect ping, or -1.
 func (m *Machine) indexOfIndirectPing(seq uint32, name string) int {
 	return slices.IndexFunc(m.indirectPings, func(h indirectPing) bool { return h.seq == seq && h.target == name })
 }
 
-// expireIndirectPings says that a member has not answered in time.
+// expireIndirectPings sends a nack for every indirect ping that was not answered in time.
 func (m *Machine) expireIndirectPings() {
 	m.indirectPings = slices.DeleteFunc(m.indirectPings, func(h indirectPing) bool {
 		if m.now < h.expiresAt {
@@ -326,25 +336,26 @@
 	})
 }
 
-// handleNack takes that a helper got no answer: it answers itself, so this router is not cut off.
+// handleNack handles the report that an indirect ping failed. The sender does answer, so this router is not
+// cut off.
 func (m *Machine) handleNack(q *message) {
 	if p := m.findProbe(q.Seq); p != nil {
 		p.nacked, m.lastAckAt = true, m.now
 	}
 }
 
-// startSurvey asks everybody: this router is cut off, or has not run for a while.
+// startSurvey starts to ping all members, because this router is cut off or was paused.
 func (m *Machine) startSurvey() {
 	if m.surveyStartedAt == 0 {
 		m.surveyStartedAt = m.now
 	}
 }
 
-// surveyTimeoutMS is how long a survey waits for answers, from its last question on.
+// surveyTimeoutMS is how long a survey waits for answers after its last ping.
 const surveyTimeoutMS = 1500.0
 
-// runSurvey asks all who have not answered since it began, some at a time. When all have had their time, those who did not answer are
-// accused.
+// runSurvey pings all members that have not answered since the survey began, a limited number per tick. When
+// all had time to answer, those that did not become suspect.
 func (m *Machine) runSurvey() {
 	if m.surveyStartedAt == 0 {
 		return
--- a/internal/pure/fleet/spread.go
+++ b/internal/pure/fleet/spread.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// queuedUpdate is news: a record that is told so many times more.
+// queuedUpdate is a record with the number of transmissions that remain and that were made.
 type queuedUpdate struct {
 	Record
 	remaining, sent int
 }
 
-// maxQueuedUpdates bounds the news that wait; the exchange of views makes good what was dropped.
+// maxQueuedUpdates limits the queued updates; push-pull exchanges make up for those that are dropped.
 const maxQueuedUpdates = 512
 
-// queueUpdate has a record ride on messages to come.
+// queueUpdate queues a record to be piggybacked on messages, a number of times that grows with the logarithm
+// of the fleet's size.
 func (m *Machine) queueUpdate(r Record) {
 	if len(m.updates) >= maxQueuedUpdates && m.updates[r.Name] == nil {
 		return
@@ -23,10 +24,10 @@
 	m.updates[r.Name] = &queuedUpdate{Record: r, remaining: 3 + int(math.Ceil(math.Log2(n+1)))}
 }
 
-// maxUpdatesPerMessage is more records than a message holds.
+// maxUpdatesPerMessage is more than the number of records that fit into a message.
 const maxUpdatesPerMessage = 8
 
-// selectUpdates are the records that are told next, those first that were told least.
+// selectUpdates returns the records to transmit next, those with the fewest transmissions first.
 func (m *Machine) selectUpdates(but []Record) []Record {
 	var best [maxUpdatesPerMessage + 1]*queuedUpdate
 	n := 0
@@ -51,7 +52,7 @@
 	return out
 }
 
-// before orders news: who was told least, the worse news, by name.
+// before orders updates: fewest transmissions first, then the higher state, then by name.
 func (it *queuedUpdate) before(o *queuedUpdate) bool {
 	switch {
 	case it.sent != o.sent:
@@ -62,7 +63,7 @@
 	return it.Name < o.Name
 }
 
-// countTransmissions counts what went out.
+// countTransmissions records that updates were transmitted and drops those with no transmissions left.
 func (m *Machine) countTransmissions(rs []Record) {
 	for _, r := range rs {
 		it := m.updates[r.Name]
@@ -76,7 +77,8 @@
 	}
 }
 
-// handleEqualView is told that a member has the same view: that is as good as having told it all news.
+// handleEqualView counts one transmission of every update, because a member with the same view knows them
+// all.
 func (m *Machine) handleEqualView() {
 	for name, it := range m.updates {
 		if it.remaining--; it.remaining <= 0 {
@@ -85,14 +87,15 @@
 	}
 }
 
-// sendGossip sends news to a few at once while there are any that nobody has heard often.
+// sendGossip sends updates to a few members at once while any update has had less than half of its
+// transmissions.
 func (m *Machine) sendGossip() {
 	if m.now < m.nextGossipAt || len(m.probeOrder) == 0 {
 		return
 	}
 	fresh := false
 	for _, it := range m.updates {
-		if it.sent < it.remaining { // the first half of its tellings is hurried
+		if it.sent < it.remaining { // the first half of its transmissions is not left to piggybacking alone
 			fresh = true
 			break
 		}
@@ -106,7 +109,8 @@
 	}
 }
 
-// reconnect asks addresses to join by, and members that are silent or gone: two halves that were apart find each other by that.
+// reconnect pings join addresses and unresponsive or dead members, so that the two sides of a healed
+// partition find each other.
 func (m *Machine) reconnect() {
 	if m.now < m.nextReconnectAt {
 		return
@@ -130,7 +134,7 @@
 			m.pingAddr(lost[m.rng.IntN(len(lost))])
 		}
 	}
-	for _, name := range m.departed { // those that still have a part come first
+	for _, name := range m.departed { // those that still hold a share come first
 		if mem := m.members[name]; mem.State == Dead && !mem.verifiedDown {
 			m.recheckDead(mem)
 			return
@@ -143,7 +147,7 @@
 	}
 }
 
-// pingAddr asks whoever is at an address, and tells it what is said of a member that was there.
+// pingAddr pings whichever process is at an address, and tells it the record of a member that was there.
 func (m *Machine) pingAddr(to Addr) {
 	q := message{Type: ping, Seq: m.newSeq()}
 	for _, mem := range m.probeOrder {
@@ -155,5 +159,5 @@
 	m.host.Send(to, m.encodeWithUpdates(q, MaxMessage, true))
 }
 
-// SetJoinAddrs takes other addresses to join by.
+// SetJoinAddrs replaces the addresses to join by.
 func (m *Machine) SetJoinAddrs(join []Addr) { m.cfg.Join = join }
--- a/internal/pure/fleet/view.go
+++ b/internal/pure/fleet/view.go
@@ -6,22 +6,26 @@
 	"slices"
 )
 
-// departedRetentionMS is how long who has left or is gone is remembered, in ms; who is silent stays while there is room.
+// departedRetentionMS is how long dead and departed members are remembered, in ms; unresponsive members stay
+// as long as there is capacity.
 const departedRetentionMS = 600e3
 
-// Words of one accuser that turn out wrong count against it; they are forgotten by half every accusationHalfLifeMS ms.
+// Accusations that turn out false count against their accuser; from maxFalseAccusations on, its accusations are
+// ignored. The count decays by half every accusationHalfLifeMS.
 const (
 	maxFalseAccusations  = 6.0
 	accusationHalfLifeMS = 30e3
 	maxTrackedAccusers   = 512
 )
 
+// accusationScore is the decaying count of an accuser's false accusations.
 type accusationScore struct {
 	count     float64
 	decayedAt float64
 }
 
-// merge takes what is said of a member by from, "" for the member itself. It tells whether that was news.
+// merge merges a record that was received from the named member, "" for the member itself. Reports whether
+// the view changed.
 func (m *Machine) merge(r Record, from string) bool {
 	if r.Name == m.self.Name {
 		m.mergeSelf(r, from)
@@ -35,7 +39,7 @@
 		return false
 	}
 	if r.State == Excluded && r.Start == old.Start && (old.State.responsive() || old.State == Unresponsive && m.now-old.since < shareValidMS) {
-		return false // this router's own clock says when
+		return false // each router decides that by its own clock
 	}
 	if !r.supersedes(old.Record) {
 		if r.State == Suspect && r.Start == old.Start && r.Incarnation == old.Incarnation {
@@ -44,7 +48,8 @@
 		return false
 	}
 	if r.Start != old.Start && r.Addr != old.Addr && old.State.responsive() && r.State != Left {
-		// Another process of that name, elsewhere, while the older one is thought to live: first it must be seen that it does not.
+		// Another process with that name at another address, while the older one is still responsive: the
+		// older one must first be verified to be dead.
 		m.streamPing(old)
 		return false
 	}
@@ -55,7 +60,7 @@
 	return true
 }
 
-// addMember takes a member that was not known.
+// addMember adds a member that was not known. Reports false if there is no capacity.
 func (m *Machine) addMember(r Record, from string) bool {
 	if len(m.members) >= MaxMembers && !m.evictMember() {
 		return false
@@ -77,7 +82,7 @@
 	return true
 }
 
-// replaceRecord puts a newer record in place of a member's old one.
+// replaceRecord replaces a member's record by a newer one.
 func (m *Machine) replaceRecord(mem *member, r Record, from string) {
 	was := mem.Record
 	if was.State.present() {
@@ -85,7 +90,7 @@
 	}
 	m.stateCounts[was.State]--
 	m.stateCounts[r.State]++
-	if mem.Record = r; r.State != Excluded { // that one counts from the silence on
+	if mem.Record = r; r.State != Excluded { // its age counts from the time it became unresponsive
 		mem.since = m.now
 	}
 	if r.Start != was.Start {
@@ -112,7 +117,7 @@
 	m.pruneDeparted()
 }
 
-// addToProbeOrder gives a member its turn in the order of probes, at a random place.
+// addToProbeOrder inserts a member at a random position in the probe order.
 func (m *Machine) addToProbeOrder(mem *member) {
 	m.toggleDigests(mem.Record)
 	m.probeOrder = append(m.probeOrder, mem)
@@ -122,8 +127,8 @@
 	m.probeOrder[i].orderIndex, m.probeOrder[last].orderIndex = i, last
 }
 
-// handleDeparture takes a member that is gone or has left out of the order, and remembers it for a while. Another's word that it does not run is
-// looked at before anything is made of it.
+// handleDeparture takes a dead or departed member out of the probe order and remembers it for a while. A
+// report that it is dead is verified before its share is reused.
 func (m *Machine) handleDeparture(mem *member) {
 	m.removeFromProbeOrder(mem)
 	m.departed = append(m.departed, mem.Name)
@@ -135,7 +140,7 @@
 	}
 }
 
-// removeFromProbeOrder takes a member out of the order of probes.
+// removeFromProbeOrder takes a member out of the probe order.
 func (m *Machine) removeFromProbeOrder(mem *member) {
 	last := len(m.probeOrder) - 1
 	m.probeOrder[mem.orderIndex] = m.probeOrder[last]
@@ -143,7 +148,7 @@
 	m.probeOrder, mem.orderIndex = m.probeOrder[:last], -1
 }
 
-// publishChange tells the host, and all others.
+// publishChange notifies the host and queues the update for the other members.
 func (m *Machine) publishChange(mem *member, c Change, from string) {
 	mem.reporter = from
 	if c.Reporter = from; from == m.self.Name {
@@ -155,27 +160,29 @@
 	m.host.MemberChanged(c)
 }
 
-// mergeSelf denies what is wrong. A record of a later start is another process of this name: it is asked whether it runs.
+// mergeSelf handles a record of this router's own name and refutes it if it is wrong. If the record is of an
+// older start at another address, that process is asked whether it still runs.
 func (m *Machine) mergeSelf(r Record, from string) {
 	switch {
 	case r.Start == m.self.Start && r.Addr == m.self.Addr:
 		if r.State > Alive && m.self.State != Left && r.supersedes(m.self) {
 			m.refute(r)
 		}
-	case r.Addr == m.self.Addr: // a start of this very place: older ones are gone
+	case r.Addr == m.self.Addr: // another start at this very address: its process is dead
 		if r.Start > m.self.Start || r.State.responsive() {
 			m.supersedeStart(r)
 		}
-	case r.Start < m.self.Start && r.State.responsive(): // it was there before, and may still run
+	case r.Start < m.self.Start && r.State.responsive(): // it is older than this process, and may still run
 		m.checkDuplicate(r)
-	case r.Start > m.self.Start && !r.State.responsive() && from != "": // a later one that is no more
+	case r.Start > m.self.Start && !r.State.responsive() && from != "": // a later process that no longer runs
 		m.supersedeStart(r)
 	case r.Start > m.self.Start:
 		m.queueUpdate(m.self)
 	}
 }
 
-// checkDuplicate asks the process that goes by this one's name whether it runs. Only its own answer to this very question counts.
+// checkDuplicate asks the process that uses this router's name whether it runs. Only its own answer to this
+// very ping counts.
 func (m *Machine) checkDuplicate(r Record) {
 	if m.now < m.nextDuplicateCheckAt {
 		return
@@ -188,14 +195,14 @@
 	}
 }
 
-// refuse ends this process's part in the fleet.
+// refuse ends this process's participation in the fleet, because r is an older process of its name.
 func (m *Machine) refuse(r Record) {
 	if m.refused == nil {
 		m.refused = fmt.Errorf("%w: %s runs at %v since before this one at %v; give this one a name of its own", ErrDuplicateName, r.Name, r.Addr, m.self.Addr)
 	}
 }
 
-// refute says that this process lives, over a word that it does not.
+// refute answers a false report about this process with a higher incarnation.
 func (m *Machine) refute(r Record) {
 	m.adjustHealthScore(1)
 	m.updateSelf(func(s *Record) {
@@ -206,13 +213,14 @@
 	})
 	if m.extensionChangedAt == 0 || m.now-m.extensionChangedAt > 4*m.extensionHold {
 		m.extensionHold = extensionHoldMS
-	} else { // again, soon after it asked for less: then it asks later
+	} else { // accused again soon after the extension shrank: wait longer before the next step
 		m.extensionHold = min(2*m.extensionHold, maxExtensionHoldMS)
 	}
 	m.extensionChangedAt = m.now
 }
 
-// reduceTimeoutExtension asks the others for less patience, a step at a time, once nobody has accused this router for a while.
+// reduceTimeoutExtension lowers the requested timeout extension by one step once nobody has accused this
+// router for a while.
 func (m *Machine) reduceTimeoutExtension() {
 	if m.self.TimeoutExtension == 0 || m.now-m.extensionChangedAt < m.extensionHold || m.self.State == Left {
 		return
@@ -221,7 +229,8 @@
 	m.updateSelf(func(s *Record) { s.Incarnation, s.TimeoutExtension = s.Incarnation+1, s.TimeoutExtension-1 })
 }
 
-// supersedeStart takes a start over that of a process that went by this name, whose clock may have run ahead.
+// supersedeStart moves this process's start past that of an earlier process of its name, whose clock may have
+// run ahead.
 func (m *Machine) supersedeStart(r Record) {
 	if r.Start < m.self.Start {
 		m.queueUpdate(m.self)
@@ -231,7 +240,7 @@
 	m.rejoin()
 }
 
-// updateSelf changes what this router says of itself.
+// updateSelf changes this router's own record and announces it.
 func (m *Machine) updateSelf(change func(*Record)) {
 	m.toggleDigests(m.self)
 	was := m.self.State
@@ -244,7 +253,7 @@
 	m.host.MemberChanged(Change{Record: m.self, Previous: was, Reporter: "me"})
 }
 
-// recordFalseAccusation counts that the word of an accuser was denied, discredited says whether that was so often that it counts for nothing.
+// recordFalseAccusation counts that an accusation by the given member was refuted.
 func (m *Machine) recordFalseAccusation(by uint32) {
 	if m.cfg.PlainSWIM || by == 0 {
 		return
@@ -255,6 +264,7 @@
 	m.falseAccusations[by] = accusationScore{m.falseAccusationsBy(by) + 1, m.now}
 }
 
+// falseAccusationsBy returns the decayed count of refuted accusations by a member.
 func (m *Machine) falseAccusationsBy(by uint32) float64 {
 	b, ok := m.falseAccusations[by]
 	if !ok {
@@ -271,9 +281,10 @@
 	return b.count
 }
 
+// discredited reports whether a member made so many false accusations that its reports are ignored.
 func (m *Machine) discredited(by uint32) bool { return m.falseAccusationsBy(by) >= maxFalseAccusations }
 
-// pruneDeparted lets go of who has left or is gone for long, the oldest first where there are too many.
+// pruneDeparted forgets members that departed or died long ago, and the oldest ones if there are too many.
 func (m *Machine) pruneDeparted() {
 	n := 0
 	for n < len(m.departed) && (len(m.departed)-n > maxDeparted || m.now-m.members[m.departed[n]].since > departedRetentionMS) {
@@ -286,7 +297,9 @@
 	m.departed = m.departed[n:]
 }
 
-// evictMember forgets somebody for one that is new: who is gone, else who has been silent for longest. Nobody who is heard gives way.
+// evictMember frees capacity for a new member: it forgets the oldest dead or departed member, or else the one
+// that has been excluded for longest. Responsive members are never evicted. Reports whether there was one to
+// evict.
 func (m *Machine) evictMember() bool {
 	if len(m.departed) > 0 {
 		m.deleteMember(m.departed[0])
@@ -308,7 +321,7 @@
 	return true
 }
 
-// deleteMember forgets a member that has no place in the order.
+// deleteMember forgets a member that is not in the probe order.
 func (m *Machine) deleteMember(name string) {
 	m.stateCounts[m.members[name].State]--
 	delete(m.members, name)
@@ -316,43 +329,44 @@
 	m.share.recountNeeded = true
 }
 
-// Member is a router as the view has it.
+// Member is a router in a View.
 type Member struct {
 	Record
-	SinceMS  float64 // for which it has been so
-	Reporter string  // whose word it is, "" = its own
-	Counted  bool    // among those that common goods are divided by
+	SinceMS  float64 // time in this state, in ms
+	Reporter string  // source of the last change, "" = the member itself
+	Counted  bool    // whether common resources are divided by it, too
 }
 
-// ViewDigest is what a router knows of the fleet.
+// View is a copy of what a router knows about the fleet.
 type View struct {
-	Name        string
-	Digest      uint64  // equal digests are equal views, of those that have neither left nor are gone
-	SettledS    float64 // for which nothing has changed
-	HealthScore int     // in oneself: 0 = none, to 8
+	Name string
+	// Digest covers all members that are neither dead nor departed: equal digests mean equal views.
+	Digest      uint64
+	SettledS    float64 // seconds since the last change
+	HealthScore int     // local health score: 0 = healthy, up to 8
 	Share       Share
-	Members     []Member // by name
+	Members     []Member // sorted by name
 }
 
-// Present counts the routers that are thought to run, this one among them.
+// Present returns the number of routers that are thought to run, this one included.
 func (m *Machine) Present() int {
 	return 1 + m.stateCounts[Joining] + m.stateCounts[Alive] + m.stateCounts[Suspect] + m.stateCounts[Unresponsive]
 }
 
-// ChangeCount counts those of what is known of any member, and of this router's own word.
+// ChangeCount returns the number of changes so far to the records of all members, this router included.
 func (m *Machine) ChangeCount() uint64 { return m.changeCount }
 
-// Self is what this router says of itself.
+// Self returns this router's own record.
 func (m *Machine) Self() Record { return m.self }
 
-// ForEach has something done with each other router that is known, in no order.
+// ForEach calls do for every other known router, in no particular order.
 func (m *Machine) ForEach(do func(Record)) {
 	for _, mem := range m.members {
 		do(mem.Record)
 	}
 }
 
-// ViewDigest is a copy of what the router knows.
+// View returns a copy of the current view.
 func (m *Machine) View(now float64) View {
 	v := View{Name: m.self.Name, Digest: m.viewDigest, SettledS: (now - m.changedAt) / 1000, HealthScore: m.healthScore, Share: m.Share()}
 	v.Members = append(v.Members, Member{Record: m.self, SinceMS: now - m.startedAt, Counted: true})
