--- a/internal/pure/fleet/codec.go
+++ b/internal/pure/fleet/codec.go
@@ -9,61 +9,63 @@
 	"github.com/zeebo/blake3"
 )
 
-// MaxMessage is the longest message in bytes, the sum of a key included.
+// MaxMessage is the maximum length of a message in bytes, the MAC included.
 const MaxMessage = 256
 
-// MaxPayload is the longest thing that another part of the program can have carried, in bytes.
+// MaxPayload is the maximum length in bytes of a payload for SendPayload.
 const MaxPayload = 64
 
-// macBytes is the room of the keyed sum at the end of a message.
+// macBytes is the length of the MAC at the end of a message.
 const macBytes = 16
 
-// protocolVersion begins every message; another one is not read.
+// protocolVersion is the first byte of every message; messages of other versions are rejected.
 const protocolVersion = 1
 
-// messageType says what a message is.
+// messageType is the type of a message.
 type messageType uint8
 
 const (
-	ping        messageType = iota + 1 // asks whether target is there
-	ack                                // the answer; target names who answers where that is not the sender
-	pingReq                            // asks the receiver to ping target, whose record comes first
-	nack                               // target did not answer the receiver of pingReq
-	gossip                             // records alone
-	viewPage                           // records of a whole view, part of an exchange
-	viewDigests                        // sums of a view, by buckets
-	payload                            // what another part of the program has to say to target
+	ping        messageType = iota + 1 // asks whether Target answers
+	ack                                // answers a ping; Target is the answering member if not the sender
+	pingReq                            // asks the receiver to ping Target, whose record is the first update
+	nack                               // Target did not answer the receiver of a pingReq
+	gossip                             // updates alone
+	viewPage                           // records of a whole view, part of a push-pull exchange
+	viewDigests                        // digests of a view, one per bucket
+	payload                            // data of another part of the program for Target
 	numMessageTypes
 )
 
-// message is what members send. Its bytes hold as many records as fit.
+// message is what members exchange. Its encoding holds as many updates as fit.
 type message struct {
 	Type          messageType
 	Seq           uint32
-	ViewDigest    uint64 // digest of the sender's view
-	RosterDigest  uint32 // digest of whom the sender counts
+	ViewDigest    uint64 // of the sender's view
+	RosterDigest  uint32 // of the processes that the sender knows as present
 	From          Record
-	Target        string        // who is meant
-	TargetStart   uint64        // ping: the start that the sender knows of target; ack: that of the asker
-	BucketDigests bucketDigests // compare: in place of records
-	Payload       []byte        // cargo: in place of records
+	Target        string        // name of the member that is meant
+	TargetStart   uint64        // as known to the sender; in an ack, the start of the member that pinged
+	BucketDigests bucketDigests // viewDigests: in place of updates
+	Payload       []byte        // payload: in place of updates
 	Updates       []Record
 }
 
-// maxRecordBytes is the longest record in bytes, maxHeadBytes the longest head.
+// Maximum encoded lengths, in bytes, of a record and of a message's head.
 const (
 	maxRecordBytes = 1 + MaxName + 1 + MaxSite + 1 + 16 + 2 + 8 + 4 + 1 + 1 + MaxMeta + 4
 	maxHeadBytes   = 2 + 4 + 8 + 4 + maxRecordBytes + 1 + MaxName + 8
 )
 
-// One record fits every message, and so do the sums: the arrays' lengths would be negative otherwise.
+// Compile-time checks that one record, the bucket digests or a payload fit into any message: otherwise an
+// array length would be negative.
 var (
 	_ [MaxMessage - macBytes - maxHeadBytes - maxRecordBytes]struct{}
 	_ [MaxMessage - macBytes - maxHeadBytes - 4*bucketCount]struct{}
 	_ [MaxMessage - macBytes - maxHeadBytes - 1 - MaxPayload]struct{}
 )
 
-// In the byte of a record's state stands its ease from extensionShift on, and metaFlag where a card follows.
+// Layout of a record's state byte: the state in the low bits, metaFlag if metadata follows, and the timeout
+// extension from extensionShift on.
 const (
 	extensionShift = 4
 	metaFlag       = 1 << 3
@@ -90,7 +92,7 @@
 	return binary.BigEndian.AppendUint32(b, r.AccuserID)
 }
 
-// head is the message without records.
+// head encodes the message without updates.
 func (m *message) head() []byte {
 	b := append(make([]byte, 0, MaxMessage), protocolVersion, byte(m.Type))
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
@@ -101,7 +103,8 @@
 	return binary.BigEndian.AppendUint64(b, m.TargetStart)
 }
 
-// encode is the message with the records of News that fit into limit bytes, and how many those are.
+// encode encodes the message with the updates that fit into limit bytes, MAC included, and returns their
+// number.
 func (m *message) encode(limit int) (b []byte, n int) {
 	b = m.head()
 	if m.Type == viewDigests {
@@ -123,10 +126,10 @@
 	return b, n
 }
 
-// errTruncated is an input that ends too early.
-var errTruncated = errors.New("the message is cut short")
+// errTruncated reports an input that ends too early.
+var errTruncated = errors.New("the message is truncated")
 
-// reader takes a message apart; after the first error it gives zeros.
+// reader decodes a message; after the first error it returns zeros.
 type reader struct {
 	b   []byte
 	err error
@@ -161,7 +164,7 @@
 		copy(out.Addr.IP[:], r.take(16))
 	default:
 		if r.err == nil {
-			r.err = fmt.Errorf("an address of %d bytes", n)
+			r.err = fmt.Errorf("an address has %d bytes; 4 or 16 are valid", n)
 		}
 	}
 	out.Addr.Port, out.Start, out.Incarnation = r.u16(), r.u64(), r.u32()
@@ -169,7 +172,7 @@
 	out.State, out.TimeoutExtension = State(word&stateMask), word>>extensionShift
 	if word&metaFlag != 0 {
 		if out.Meta = r.text(); out.Meta == "" && r.err == nil {
-			r.err = fmt.Errorf("member %.40q: an empty card", out.Name)
+			r.err = fmt.Errorf("member %.40q: the metadata is empty", out.Name)
 		}
 	}
 	out.AccuserID = r.u32()
@@ -179,22 +182,22 @@
 	return out
 }
 
-// decode reads a message without its sum. What is left behind the records must be zeros: a question is padded, so that its answer
-// is no longer than itself.
+// decode decodes a message without its MAC. The bytes behind the updates must be zeros: pings are padded, so
+// that the answer is no longer than the ping.
 func decode(b []byte) (m message, err error) {
 	if len(b) > MaxMessage-macBytes {
-		return m, fmt.Errorf("%d bytes, %d are the most", len(b), MaxMessage-macBytes)
+		return m, fmt.Errorf("the message has %d bytes; the limit is %d", len(b), MaxMessage-macBytes)
 	}
 	r := reader{b: b}
 	if v := r.u8(); r.err == nil && v != protocolVersion {
-		return m, fmt.Errorf("version %d, %d is spoken here", v, protocolVersion)
+		return m, fmt.Errorf("protocol version %d is not supported; this router uses %d", v, protocolVersion)
 	}
 	if m.Type = messageType(r.u8()); r.err == nil && (m.Type == 0 || m.Type >= numMessageTypes) {
-		return m, fmt.Errorf("a message of kind %d", m.Type)
+		return m, fmt.Errorf("unknown message type %d", m.Type)
 	}
 	m.Seq, m.ViewDigest, m.RosterDigest, m.From, m.Target, m.TargetStart = r.u32(), r.u64(), r.u32(), r.record(), r.text(), r.u64()
 	if r.err == nil && (len(m.Target) > MaxName || !printable(m.Target)) {
-		r.err = fmt.Errorf("target %.40q is no name", m.Target)
+		r.err = fmt.Errorf("target %.40q is not a valid name", m.Target)
 	}
 	for i := range m.BucketDigests {
 		if m.Type == viewDigests {
@@ -209,13 +212,14 @@
 	}
 	for _, c := range r.b {
 		if c != 0 && r.err == nil {
-			r.err = errors.New("bytes behind the records")
+			r.err = errors.New("non-zero bytes after the records")
 		}
 	}
 	return m, r.err
 }
 
-// AppendMAC gives a message its sum, under a key of 32 bytes or, for loopback alone, under none.
+// AppendMAC returns a copy of m followed by its MAC under a key of 32 bytes, or by an unkeyed hash if there
+// is no key, which is meant for loopback alone.
 func AppendMAC(key, m []byte) []byte {
 	h := newHasher(key)
 	h.Write(m) //nolint:errcheck // it never fails
@@ -224,13 +228,13 @@
 	return append(m[:len(m):len(m)], sum[:macBytes]...)
 }
 
-// ErrMAC is a message that was not made with the key.
-var ErrMAC = errors.New("the sum does not fit the message and this router's key")
+// ErrMAC reports that a message was not made with this router's key.
+var ErrMAC = errors.New("the MAC does not match the message and this router's key")
 
-// VerifyMAC takes the sum off a message that carries a right one.
+// VerifyMAC checks the MAC at the end of a message and returns the message without it.
 func VerifyMAC(key, m []byte) ([]byte, error) {
 	if len(m) < macBytes || len(m) > MaxMessage {
-		return nil, fmt.Errorf("%d bytes: %d to %d are possible", len(m), macBytes, MaxMessage)
+		return nil, fmt.Errorf("the message has %d bytes; %d to %d are valid", len(m), macBytes, MaxMessage)
 	}
 	body := m[:len(m)-macBytes]
 	want := AppendMAC(key, body)
@@ -240,6 +244,7 @@
 	return body, nil
 }
 
+// newHasher returns a hash that is keyed if there is a key of 32 bytes.
 func newHasher(key []byte) *blake3.Hasher {
 	if len(key) == 32 {
 		if h, err := blake3.NewKeyed(key); err == nil {
@@ -249,20 +254,22 @@
 	return blake3.New()
 }
 
-// digest is a record's part of the digest of a view: what all agree on once they have settled.
+// digest returns the record's contribution to the digest of a view. It covers what all members agree on once
+// their views have converged.
 func (r Record) digest() uint64 {
-	r.AccuserID = 0 // two may have noticed
+	r.AccuserID = 0 // members may have heard from different accusers
 	sum := blake3.Sum256(appendRecord(make([]byte, 0, maxRecordBytes), r))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// nameID is a name in four bytes, to say whose word something is.
+// nameID returns a hash of a member's name, which identifies an accuser in a record.
 func nameID(name string) uint32 {
 	sum := blake3.Sum256([]byte(name))
 	return binary.BigEndian.Uint32(sum[:])
 }
 
-// startDigest is a member's part of the digest of a roster: the process that is counted.
+// startDigest returns the member's contribution to the digest of a roster: its name and start, without its
+// state.
 func (r Record) startDigest() uint32 {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], r.Start)
--- a/internal/pure/fleet/part.go
+++ b/internal/pure/fleet/part.go
@@ -235,7 +235,8 @@
 		p.allConfirmedAt = 0
 	case p.allConfirmedAt == 0:
 		p.allConfirmedAt = m.now
-	case m.now-p.allConfirmedAt >= reactionTimeMS+m.cfg.LeaseMS: // leases granted by this router's previous process have ended by then, too
+	// Leases granted by this router's previous process have ended by then, too.
+	case m.now-p.allConfirmedAt >= reactionTimeMS+m.cfg.LeaseMS:
 		p.active, p.hadShare, p.contactAt = true, true, m.now
 		if m.self.State == Joining {
 			m.updateSelf(func(s *Record) { s.State = Alive })
--- a/internal/pure/fleet/repair.go
+++ b/internal/pure/fleet/repair.go
@@ -5,24 +5,26 @@
 	"slices"
 )
 
-// Two members whose views differ compare them part by part: members fall into buckets by their names, each bucket has a sum, and only
-// records of buckets whose sums differ are exchanged. Where one member of hundreds has changed that is a sixteenth of a view, not all.
+// Anti-entropy: two members whose views differ compare them bucket by bucket. Members are assigned to buckets
+// by a hash of their names, each bucket has a digest, and only the records of buckets whose digests differ
+// are exchanged. If one member of hundreds has changed, that is a sixteenth of the view.
 
-// bucketCount is how many buckets there are: their sums fit one message.
+// bucketCount is the number of buckets: their digests fit into one message.
 const bucketCount = 16
 
-// Buckets say which buckets are meant, a bit for each.
+// Buckets is a set of buckets, one bit for each.
 type Buckets uint16
 
-// AllBuckets is all buckets.
+// AllBuckets is the set of all buckets.
 const AllBuckets = ^Buckets(0)
 
-// bucketDigests are the buckets' parts of the digest of a view.
+// bucketDigests holds the digest of each bucket of a view.
 type bucketDigests [bucketCount]uint32
 
+// bucketOf returns the bucket of a member's name.
 func bucketOf(name string) int { return int(nameID(name) % bucketCount) }
 
-// toggleDigests has the digests count a record that they did not count, or count it no more.
+// toggleDigests adds a record to the digests, or removes it if they include it.
 func (m *Machine) toggleDigests(r Record) {
 	d := r.digest()
 	m.viewDigest ^= d
@@ -30,17 +32,19 @@
 	m.rosterDigest ^= r.startDigest()
 }
 
-// BucketDigests is the message that says what this router's view adds up to, by buckets.
+// BucketDigests returns a message with the digests of this router's view, one per bucket.
 func (m *Machine) BucketDigests() []byte {
 	q := message{Type: viewDigests, ViewDigest: m.viewDigest, RosterDigest: m.rosterDigest, From: m.self, BucketDigests: m.bucketDigests}
 	b, _ := q.encode(MaxMessage)
 	return b
 }
 
-// IsBucketDigests says whether a message is one of Sums.
+// IsBucketDigests reports whether a message has the type of those made by BucketDigests.
 func IsBucketDigests(b []byte) bool { return len(b) > 1 && messageType(b[1]) == viewDigests }
 
-// CompareDigests takes another's Sums, and tells in which buckets its view and this one differ: of those each wants the other's Pages.
+// CompareDigests takes a message of another router's BucketDigests and returns the buckets in which the views
+// differ; of those, each of the two needs the other's Pages. An error means that the message is malformed or
+// of another type.
 func (m *Machine) CompareDigests(now float64, b []byte) (Buckets, error) {
 	m.advanceClock(now)
 	if m.refused != nil {
@@ -51,7 +55,7 @@
 		return 0, err
 	}
 	if q.Type != viewDigests {
-		return 0, errors.New("sums of a view were asked for")
+		return 0, errors.New("the message holds no bucket digests")
 	}
 	if q.ViewDigest == m.viewDigest {
 		m.handleEqualView()
@@ -63,21 +67,22 @@
 			differ |= 1 << i
 		}
 	}
-	m.handleSender(&q) // after the sums, which it may change
+	m.handleSender(&q) // after the comparison, because it may change the digests
 	if differ == 0 {
-		return AllBuckets, nil // sums that only look alike
+		return AllBuckets, nil // the bucket digests collide
 	}
 	return differ, nil
 }
 
-// handleDifferentView is told that a member's view is another one.
+// handleDifferentView starts a push-pull exchange with a member whose view differs, unless one was started
+// shortly before.
 func (m *Machine) handleDifferentView(from Record) {
 	mem := m.members[from.Name]
 	if mem == nil || mem.Start != from.Start || !mem.State.responsive() || m.now < m.nextPushPullAt {
 		return
 	}
 	if m.now-m.changedAt < gossipIntervalMS && m.nextPushPullAt > 0 {
-		return // the news are on their way
+		return // the updates are probably on their way
 	}
 	m.nextPushPullAt = m.now + pushPullIntervalMS*(0.75+0.5*m.rng.Float64())
 	if m.cfg.Streams {
@@ -87,7 +92,8 @@
 	}
 }
 
-// Pages are some buckets of the view, and of the memory of those that are no more, as messages; none for no bucket.
+// Pages returns the records of some buckets as messages, those of dead and departed members included; none
+// for an empty set.
 func (m *Machine) Pages(of Buckets) [][]byte {
 	if of == 0 {
 		return nil
@@ -98,7 +104,7 @@
 			all = append(all, mem.Record)
 		}
 	}
-	slices.SortFunc(all, func(a, b Record) int { // who is here first
+	slices.SortFunc(all, func(a, b Record) int { // present members first
 		if a.State.present() != b.State.present() {
 			if a.State.present() {
 				return -1
@@ -121,7 +127,7 @@
 	}
 }
 
-// sendPages sends the next pages of a view to who has another one, where there are no streams.
+// sendPages sends the next pages of the view to a member with a different view, where there are no streams.
 func (m *Machine) sendPages() {
 	if m.nextPage == 0 {
 		return
--- a/internal/pure/fleet/snapshot.go
+++ b/internal/pure/fleet/snapshot.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// Snapshot is what a machine knows, for another process of the same router that goes on in its place: to the others it is the same member,
-// of the same start. Whoever takes one may not use the machine any more. Times are ages in ms.
+// Snapshot is the state of a Machine, for a new process of the same router that takes over: to the other
+// members it is the same member, with the same start. The Machine must not be used after its Snapshot was
+// taken. Times are ages in ms.
 type Snapshot struct {
-	Self             []byte           `json:"self"` // a record
+	Self             []byte           `json:"self"` // encoded record
 	Members          []MemberSnapshot `json:"members"`
 	HealthScore      int              `json:"doubt"`
 	ExtensionChanged float64          `json:"eased"` // -1 = never
@@ -18,7 +19,7 @@
 	Share            ShareSnapshot    `json:"part"`
 }
 
-// MemberSnapshot is a member as a Snapshot has it.
+// MemberSnapshot is a member in a Snapshot.
 type MemberSnapshot struct {
 	Record       []byte  `json:"record"`
 	Since        float64 `json:"since"`
@@ -30,17 +31,17 @@
 	VerifiedDown bool    `json:"shown"`
 }
 
-// ShareSnapshot is what the router may use as a Snapshot has it.
+// ShareSnapshot is the state of the router's share in a Snapshot.
 type ShareSnapshot struct {
 	Active       bool    `json:"spends"`
 	HadShare     bool    `json:"had"`
 	MetAny       bool    `json:"met"`
-	AllConfirmed float64 `json:"all"` // -1 = they do not
+	AllConfirmed float64 `json:"all"` // -1 = not all members count the router
 	Contact      float64 `json:"contact"`
 	Majority     float64 `json:"major"`
 }
 
-// age is how long ago a time was, -1 for never.
+// age returns how long ago a time was, in ms, or -1 for never.
 func (m *Machine) age(at float64) float64 {
 	if at == 0 {
 		return -1
@@ -48,7 +49,8 @@
 	return m.now - at
 }
 
-// Snapshot ends the machine's life here. A process that has been refused has nothing to hand on.
+// Snapshot returns the state for the process that takes over, and ends the use of this Machine. A process
+// that was refused returns the reason of that as an error.
 func (m *Machine) Snapshot(now float64) (Snapshot, error) {
 	m.advanceClock(now)
 	if m.refused != nil {
@@ -61,14 +63,15 @@
 		s.Members = append(s.Members, MemberSnapshot{appendRecord(nil, mem.Record), m.age(mem.since), mem.reporter, m.age(mem.lastAckAt), m.age(mem.lastMessageAt),
 			mem.addrVerified, mem.confirmed, mem.verifiedDown})
 	}
-	slices.SortFunc(s.Members, func(a, b MemberSnapshot) int { // who is remembered as gone for longest comes first, as in the memory
+	slices.SortFunc(s.Members, func(a, b MemberSnapshot) int { // the oldest first, as in Machine.departed
 		return int(math.Copysign(1, b.Since-a.Since))
 	})
 	return s, nil
 }
 
-// Resume is the view of a router whose process before has given a Snapshot, gap ms ago. It goes on as that would have after a pause of
-// that length. An error means that the snapshot is not this router's, or makes no sense: then the process begins anew.
+// Resume returns the Machine of a router whose previous process took a Snapshot gap ms ago. It continues like
+// that process after a pause of the same length. An error means that the snapshot is of another router or
+// invalid; the process should start with New then.
 func Resume(cfg Config, host Host, now, gap float64, s Snapshot) (*Machine, error) {
 	self, err := readRecord(s.Self)
 	if err != nil {
@@ -78,7 +81,7 @@
 		return nil, fmt.Errorf("a snapshot of %s at %v in %q: this is %s at %v in %q", self.Name, self.Addr, self.Site, cfg.Name, cfg.Addr, cfg.Site)
 	}
 	if self.State > Alive || len(s.Members) > MaxMembers || !(gap >= 0) || s.HealthScore < 0 || s.HealthScore > maxHealthScore || !(s.ExtensionHold >= 0 && s.ExtensionHold <= maxExtensionHoldMS) {
-		return nil, fmt.Errorf("a snapshot that makes no sense: state %v, %d members, doubt %d", self.State, len(s.Members), s.HealthScore)
+		return nil, fmt.Errorf("invalid snapshot: state %v, %d members, doubt %d", self.State, len(s.Members), s.HealthScore)
 	}
 	cfg.Start = self.Start
 	m, err := New(cfg, host)
@@ -111,7 +114,7 @@
 	return m, nil
 }
 
-// resumeMember takes a member of a snapshot.
+// resumeMember restores a member from a snapshot.
 func (m *Machine) resumeMember(sm MemberSnapshot, ago func(float64) float64) error {
 	r, err := readRecord(sm.Record)
 	if err != nil {
@@ -135,7 +138,7 @@
 	return nil
 }
 
-// readRecord reads one record that stands alone.
+// readRecord decodes a single record.
 func readRecord(b []byte) (Record, error) {
 	r := reader{b: b}
 	out := r.record()
--- a/internal/pure/fleet/view.go
+++ b/internal/pure/fleet/view.go
@@ -10,8 +10,8 @@
 // as long as there is capacity.
 const departedRetentionMS = 600e3
 
-// Accusations that turn out false count against their accuser; from maxFalseAccusations on, its accusations are
-// ignored. The count decays by half every accusationHalfLifeMS.
+// Accusations that turn out false count against their accuser; from maxFalseAccusations on, its accusations
+// are ignored. The count decays by half every accusationHalfLifeMS.
 const (
 	maxFalseAccusations  = 6.0
 	accusationHalfLifeMS = 30e3
