--- a/internal/pure/fleet/cases_test.go
+++ b/internal/pure/fleet/cases_test.go
@@ -10,16 +10,16 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// world is a network with what the cases ask of it. At the end no more than the whole was ever spent.
-type world struct {
+// testNet is a network with what the cases ask of it. At the end no more than the whole was ever spent.
+type testNet struct {
 	fleetnet.Watched
 	t *testing.T
 }
 
-func begin(t *testing.T, routers int) *world {
+func startNet(t *testing.T, routers int) *testNet {
 	t.Helper()
 	t.Parallel()
-	w := &world{fleetnet.Watched{Net: fleetnet.New(uint64(routers))}, t}
+	w := &testNet{fleetnet.Watched{Net: fleetnet.New(uint64(routers))}, t}
 	for i := range routers {
 		cfg := fleetnet.Config(i)
 		cfg.Join = cfg.Join[:1] // one seed address
@@ -33,8 +33,8 @@
 	return w
 }
 
-// settles waits for views that are equal and true, and for all of the whole to be in use.
-func (w *world) settles(within float64, why string) {
+// waitSettled waits for views that are equal and true, and for all of the whole to be in use.
+func (w *testNet) waitSettled(within float64, why string) {
 	w.t.Helper()
 	began := w.Now
 	for w.Settled() != nil && w.Now-began < within {
@@ -45,8 +45,8 @@
 	}
 }
 
-// shares waits until the routers that are up have equal parts of so many.
-func (w *world) shares(of int, within float64) {
+// waitShares waits until the routers that are up have equal parts of so many.
+func (w *testNet) waitShares(of int, within float64) {
 	w.t.Helper()
 	began := w.Now
 	for {
@@ -66,8 +66,8 @@
 	}
 }
 
-// deaths counts the words that a process which lives is silent or gone.
-func (w *world) deaths() *int {
+// countFalseDeaths counts the words that a process which lives is silent or gone.
+func (w *testNet) countFalseDeaths() *int {
 	n := new(int)
 	for _, nd := range w.Nodes {
 		nd.OnWord = func(_ float64, c fleet.Change) {
@@ -82,55 +82,55 @@
 }
 
 func TestTwelveStartAtOnceWithOneSeed(t *testing.T) {
-	w := begin(t, 12)
-	w.settles(2000, "start")
-	w.shares(12, 2000)
+	w := startNet(t, 12)
+	w.waitSettled(2000, "start")
+	w.waitShares(12, 2000)
 }
 
 func TestSeedIsTheFirstToDie(t *testing.T) {
-	w := begin(t, 12)
-	w.settles(2000, "start")
-	w.shares(12, 2000)
+	w := startNet(t, 12)
+	w.waitSettled(2000, "start")
+	w.waitShares(12, 2000)
 	w.Nodes[0].Kill()
-	w.settles(1500, "death of the seed")
-	w.shares(11, 1500)
+	w.waitSettled(1500, "death of the seed")
+	w.waitShares(11, 1500)
 	w.Nodes[0].Again() // knows no address to join by: the others find it
-	w.settles(5000, "the seed is back")
-	w.shares(12, 5000)
+	w.waitSettled(5000, "the seed is back")
+	w.waitShares(12, 5000)
 }
 
 func TestThirdKilledAtOnce(t *testing.T) {
-	w := begin(t, 24)
-	w.settles(2000, "start")
-	w.shares(24, 2000)
+	w := startNet(t, 24)
+	w.waitSettled(2000, "start")
+	w.waitShares(24, 2000)
 	for i := range 8 {
 		w.Nodes[3*i].Kill()
 	}
-	w.settles(1500, "a third is gone")
-	w.shares(16, 1500)
+	w.waitSettled(1500, "a third is gone")
+	w.waitShares(16, 1500)
 }
 
 func TestAllButOneKilled(t *testing.T) {
-	w := begin(t, 12)
-	w.settles(2000, "start")
-	w.shares(12, 2000)
+	w := startNet(t, 12)
+	w.waitSettled(2000, "start")
+	w.waitShares(12, 2000)
 	for _, nd := range w.Nodes[1:] {
 		nd.Kill()
 	}
-	w.settles(6000, "all but one are gone")
-	w.shares(1, 1000)
+	w.waitSettled(6000, "all but one are gone")
+	w.waitShares(1, 1000)
 }
 
 func TestSilenceIsNoDeath(t *testing.T) {
-	w := begin(t, 12)
-	w.settles(2000, "start")
-	w.shares(12, 2000)
+	w := startNet(t, 12)
+	w.waitSettled(2000, "start")
+	w.waitShares(12, 2000)
 	w.Nodes[4].Off()
-	w.settles(5000, "a machine is off")
+	w.waitSettled(5000, "a machine is off")
 	w.Pass(60e3)
-	w.shares(12, 0) // it may still act, for all that the others know
+	w.waitShares(12, 0) // it may still act, for all that the others know
 	w.Pass(40e3)
-	w.shares(12, 0) // a quarter of its part, rounded up, is left to it
+	w.waitShares(12, 0) // a quarter of its part, rounded up, is left to it
 	if v := w.Nodes[0].View(w.Now); v.Members[4].State != fleet.Excluded || v.Members[4].Counted {
 		t.Errorf("after 100 s: %+v", v.Members[4])
 	}
@@ -138,20 +138,20 @@
 		w.Nodes[i].Off()
 	}
 	w.Pass(110e3)
-	w.shares(9, 0) // 8 that are heard, and a quarter of 4
+	w.waitShares(9, 0) // 8 that are heard, and a quarter of 4
 }
 
 func TestStoppedProcessWakes(t *testing.T) {
 	for _, ms := range []float64{500, 3000, 30e3, 130e3} {
 		t.Run(fmt.Sprintf("%.1fs", ms/1000), func(t *testing.T) {
-			w := begin(t, 12)
-			w.settles(2000, "start")
-			w.shares(12, 2000)
+			w := startNet(t, 12)
+			w.waitSettled(2000, "start")
+			w.waitShares(12, 2000)
 			w.Nodes[5].Stop()
 			w.Pass(ms)
 			w.Nodes[5].Continue()
-			w.settles(3000, "it wakes")
-			w.shares(12, 3000)
+			w.waitSettled(3000, "it wakes")
+			w.waitShares(12, 3000)
 		})
 	}
 }
@@ -166,9 +166,9 @@
 	for name, side := range sides {
 		for _, ms := range []float64{1000, 20e3, 700e3} {
 			t.Run(fmt.Sprintf("%s/%.0fs", name, ms/1000), func(t *testing.T) {
-				w := begin(t, 12)
-				w.settles(2000, "start")
-				w.shares(12, 2000)
+				w := startNet(t, 12)
+				w.waitSettled(2000, "start")
+				w.waitShares(12, 2000)
 				cut := true
 				number := map[*fleetnet.Node]int{}
 				for i, nd := range w.Nodes {
@@ -191,8 +191,8 @@
 				w.Pass(ms / 2)
 				w.Nodes[5].Again()
 				cut = false
-				w.settles(3000, "healed")
-				w.shares(12, 3000)
+				w.waitSettled(3000, "healed")
+				w.waitShares(12, 3000)
 			})
 		}
 	}
@@ -206,10 +206,10 @@
 		"deaf":    func(a, b string) bool { return b == "r-003" && (a == "r-001" || a == "r-002") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := begin(t, 8)
-			w.settles(2000, "start")
-			w.shares(8, 2000)
-			n := w.deaths()
+			w := startNet(t, 8)
+			w.waitSettled(2000, "start")
+			w.waitShares(8, 2000)
+			n := w.countFalseDeaths()
 			w.Link = func(a, b *fleetnet.Node) fleetnet.Link {
 				return fleetnet.Link{Cut: cut(a.Cfg.Name, b.Cfg.Name), Delay: 1}
 			}
@@ -217,8 +217,8 @@
 			if *n > 0 {
 				t.Errorf("%d words that one who lives is dead", *n)
 			}
-			w.settles(1000, "under the cut")
-			w.shares(8, 0)
+			w.waitSettled(1000, "under the cut")
+			w.waitShares(8, 0)
 		})
 	}
 }
@@ -226,39 +226,39 @@
 func TestLoss(t *testing.T) {
 	for _, loss := range []float64{0.05, 0.2, 0.4} {
 		t.Run(fmt.Sprint(loss), func(t *testing.T) {
-			w := begin(t, 24)
+			w := startNet(t, 24)
 			w.Link = func(_, _ *fleetnet.Node) fleetnet.Link { return fleetnet.Link{Loss: loss, Delay: 1, Jitter: 2} }
-			w.settles(8000, "start")
-			n := w.deaths()
+			w.waitSettled(8000, "start")
+			n := w.countFalseDeaths()
 			w.Pass(120e3)
 			if *n > 0 && loss < 0.4 {
 				t.Errorf("%d words that one who lives is dead", *n)
 			}
 			w.Link = func(_, _ *fleetnet.Node) fleetnet.Link { return fleetnet.Link{Delay: 1} }
-			w.settles(5000, "no more loss")
-			w.shares(24, 5000)
+			w.waitSettled(5000, "no more loss")
+			w.waitShares(24, 5000)
 		})
 	}
 }
 
 // Everything that was sent in the first minute comes once more, an hour later, to everybody: nothing changes.
 func TestHourOldMessages(t *testing.T) {
-	w := begin(t, 8)
+	w := startNet(t, 8)
 	var old [][]byte
 	w.OnSend = func(m []byte) {
 		if len(old) < 20000 {
 			old = append(old, m)
 		}
 	}
-	w.settles(2000, "start")
+	w.waitSettled(2000, "start")
 	w.Nodes[3].Kill()
 	w.Pass(5000)
 	w.Nodes[3].Again()
 	w.Nodes[2].Stop()
 	w.Pass(10e3)
 	w.Nodes[2].Continue()
-	w.settles(5000, "a crash and a pause")
-	w.shares(8, 5000)
+	w.waitSettled(5000, "a crash and a pause")
+	w.waitShares(8, 5000)
 	w.OnSend = nil
 	w.Pass(3600e3)
 	before := w.Nodes[0].View(w.Now).Digest
@@ -272,16 +272,16 @@
 			w.Pass(50)
 		}
 	}
-	w.settles(3000, "old messages")
+	w.waitSettled(3000, "old messages")
 	if after := w.Nodes[0].View(w.Now).Digest; after != before {
 		t.Errorf("the view has become another one")
 	}
 }
 
 func TestRollingRestart(t *testing.T) {
-	w := begin(t, 20)
-	w.settles(2000, "start")
-	w.shares(20, 2000)
+	w := startNet(t, 20)
+	w.waitSettled(2000, "start")
+	w.waitShares(20, 2000)
 	for i := 0; i < 20; i += 2 {
 		w.Nodes[i].Goodbye()
 		w.Nodes[i+1].Kill() // one in two without a word
@@ -290,21 +290,21 @@
 		w.Nodes[i+1].Again()
 		w.Pass(1000)
 	}
-	w.settles(2000, "all are new")
-	w.shares(20, 2000)
+	w.waitSettled(2000, "all are new")
+	w.waitShares(20, 2000)
 }
 
 func TestRestartWithin100ms(t *testing.T) {
-	w := begin(t, 8)
-	w.settles(2000, "start")
-	w.shares(8, 2000)
-	n := w.deaths()
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
+	w.waitShares(8, 2000)
+	n := w.countFalseDeaths()
 	for range 5 {
 		w.Nodes[6].Kill()
 		w.Pass(90)
 		w.Nodes[6].Again()
-		w.settles(1500, "it is back")
-		w.shares(8, 2000)
+		w.waitSettled(1500, "it is back")
+		w.waitShares(8, 2000)
 	}
 	if *n > 0 {
 		t.Errorf("%d words that it was dead, about the process that had just started", *n)
@@ -315,18 +315,18 @@
 func TestRefusalOfTheProcessBefore(t *testing.T) {
 	for _, dead := range []float64{130, 150, 170} {
 		t.Run(fmt.Sprint(dead), func(t *testing.T) {
-			w := begin(t, 4)
+			w := startNet(t, 4)
 			w.Link = func(_, _ *fleetnet.Node) fleetnet.Link { return fleetnet.Link{Delay: 35} }
-			w.settles(4000, "start")
-			w.shares(4, 4000)
-			n := w.deaths()
+			w.waitSettled(4000, "start")
+			w.waitShares(4, 4000)
+			n := w.countFalseDeaths()
 			for i := range 100 {
 				w.Pass(float64(7 * i))
 				w.Nodes[3].Kill()
 				w.Pass(dead)
 				w.Nodes[3].Again()
-				w.settles(3000, "it is back")
-				w.shares(4, 4000)
+				w.waitSettled(3000, "it is back")
+				w.waitShares(4, 4000)
 			}
 			for _, nd := range w.Nodes {
 				if nd.Self().Incarnation > 0 {
@@ -342,42 +342,42 @@
 
 // The wall clock, which gives starts, has jumped back between two starts at one place: the newer process still replaces the older.
 func TestClockJumpsBackBetweenStarts(t *testing.T) {
-	w := begin(t, 8)
-	w.settles(2000, "start")
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
 	w.Nodes[6].Again()
-	w.settles(2000, "a restart")
+	w.waitSettled(2000, "a restart")
 	w.Nodes[6].Kill()
 	cfg := w.Nodes[6].Cfg
 	cfg.Start = 3
 	w.Start(cfg)
-	w.settles(3000, "a start with an old clock")
-	w.shares(8, 3000)
+	w.waitSettled(3000, "a start with an old clock")
+	w.waitShares(8, 3000)
 }
 
 func TestCopiedName(t *testing.T) {
-	w := begin(t, 8)
-	w.settles(2000, "start")
-	w.shares(8, 2000)
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
+	w.waitShares(8, 2000)
 	cfg := fleetnet.Config(20)
 	cfg.Name = "r-005"
-	double := w.Start(cfg)
+	duplicate := w.Start(cfg)
 	w.Pass(3000)
-	err := double.Refused()
+	err := duplicate.Refused()
 	if !errors.Is(err, fleet.ErrDuplicateName) || !strings.Contains(fmt.Sprint(err), "r-005 runs at 127.1.0.5:7946 since before this one at 127.1.0.20:7946") {
 		t.Errorf("the later one is told: %v", err)
 	}
-	if p := double.Share(); p.Routers < fleet.NoShare {
+	if p := duplicate.Share(); p.Routers < fleet.NoShare {
 		t.Errorf("the later one has a part: %+v", p)
 	}
 	if err := w.Nodes[5].Refused(); err != nil {
 		t.Errorf("the older one: %v", err)
 	}
-	w.settles(1000, "the older goes on")
-	w.shares2(8)
+	w.waitSettled(1000, "the older goes on")
+	w.checkShares(8)
 }
 
-// shares2 looks at the parts of those who are not refused.
-func (w *world) shares2(of int) {
+// checkShares looks at the parts of those who are not refused.
+func (w *testNet) checkShares(of int) {
 	w.t.Helper()
 	for _, nd := range w.Running() {
 		if p := nd.Share(); nd.Refused() == nil && p.Routers != float64(of) {
@@ -388,25 +388,25 @@
 
 // A name that moves: the machine is another one, the older process is gone. That is no double.
 func TestNameMoves(t *testing.T) {
-	w := begin(t, 8)
-	w.settles(2000, "start")
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
 	w.Nodes[5].Kill()
 	cfg := fleetnet.Config(20)
 	cfg.Name = "r-005"
 	w.Start(cfg)
-	w.settles(3000, "moved")
-	w.shares(8, 3000)
+	w.waitSettled(3000, "moved")
+	w.waitShares(8, 3000)
 }
 
 // A process is killed and another starts at its address at once under another name, so that nobody is ever refused there: who answers at
 // the address proves that the one before runs no more, and all have the whole again in seconds, not after a silence of 90 s.
 func TestNameChangesAtOneAddress(t *testing.T) {
-	w := begin(t, 8)
-	w.settles(2000, "start")
-	w.shares(8, 2000)
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
+	w.waitShares(8, 2000)
 	w.Nodes[4].Rename()
-	w.settles(5000, "renamed")
-	w.shares(8, 3000)
+	w.waitSettled(5000, "renamed")
+	w.waitShares(8, 3000)
 	for _, nd := range w.Nodes {
 		if nd.Cfg.Name == "r-004" {
 			t.Error("it has its old name")
@@ -417,12 +417,12 @@
 // 300 of them; 100 under the race detector, as in CI.
 func TestCrowdJoinsWithinASecond(t *testing.T) {
 	t.Parallel()
-	w := &world{fleetnet.Watched{Net: fleetnet.New(3)}, t}
-	for i := range crowd {
+	w := &testNet{fleetnet.Watched{Net: fleetnet.New(3)}, t}
+	for i := range crowdSize {
 		w.Start(fleetnet.Config(i))
-		w.For(1000.0 / crowd)
+		w.For(1000.0 / crowdSize)
 	}
-	w.settles(5000, "all are there")
+	w.waitSettled(5000, "all are there")
 	for w.Spent() < 0.999 && w.Now < 1e6+20e3 {
 		w.For(50)
 	}
@@ -432,9 +432,9 @@
 }
 
 func TestRubbish(t *testing.T) {
-	w := begin(t, 8)
-	w.settles(2000, "start")
-	w.shares(8, 2000)
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
+	w.waitShares(8, 2000)
 	before := w.Nodes[1].View(w.Now).Digest
 	for i := range 20000 {
 		b := make([]byte, w.Rng.IntN(300))
@@ -455,9 +455,9 @@
 
 // A member that claims again and again that everybody is dead is not believed for long, and nobody's part grows by its word.
 func TestLiarClaimsThatEverybodyIsDead(t *testing.T) {
-	w := begin(t, 12)
-	w.settles(2000, "start")
-	w.shares(12, 2000)
+	w := startNet(t, 12)
+	w.waitSettled(2000, "start")
+	w.waitShares(12, 2000)
 	lies := func() {
 		liar := w.Nodes[11].View(w.Now)
 		for _, m := range liar.Members {
@@ -482,11 +482,11 @@
 			}
 		}
 	}
-	n := w.deaths()
+	n := w.countFalseDeaths()
 	lies()
 	w.Pass(2000)
 	if *n > 0 {
 		t.Errorf("the 21st time it is still believed: %d words", *n)
 	}
-	w.settles(1000, "lies")
+	w.waitSettled(1000, "lies")
 }
--- a/internal/pure/fleet/codec.go
+++ b/internal/pure/fleet/codec.go
@@ -168,9 +168,9 @@
 		}
 	}
 	out.Addr.Port, out.Start, out.Incarnation = r.u16(), r.u64(), r.u32()
-	word := r.u8()
-	out.State, out.TimeoutExtension = State(word&stateMask), word>>extensionShift
-	if word&metaFlag != 0 {
+	stateByte := r.u8()
+	out.State, out.TimeoutExtension = State(stateByte&stateMask), stateByte>>extensionShift
+	if stateByte&metaFlag != 0 {
 		if out.Meta = r.text(); out.Meta == "" && r.err == nil {
 			r.err = fmt.Errorf("member %.40q: the metadata is empty", out.Name)
 		}
--- a/internal/pure/fleet/codec_test.go
+++ b/internal/pure/fleet/codec_test.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-var longest = Record{Name: strings.Repeat("n", MaxName), Site: strings.Repeat("s", MaxSite), Addr: Addr{IP: [16]byte{0x20, 1}, Port: 65535}, Start: 1 << 63,
+var longestRecord = Record{Name: strings.Repeat("n", MaxName), Site: strings.Repeat("s", MaxSite), Addr: Addr{IP: [16]byte{0x20, 1}, Port: 65535}, Start: 1 << 63,
 	Incarnation: 1 << 31, State: Left, TimeoutExtension: maxTimeoutExtension, Meta: strings.Repeat("\xff", MaxMeta), AccuserID: 77}
 
 func TestMessagesComeBackAsTheyWere(t *testing.T) {
 	short := Record{Name: "r-1", Addr: IPv4(127, 0, 0, 9, 7946), Start: 5, State: Unresponsive, AccuserID: 9}
 	for name, q := range map[string]message{
 		"plain":   {Type: ping, Seq: 7, ViewDigest: 1 << 60, RosterDigest: 3, From: short, Target: "r-2", TargetStart: 8},
-		"longest": {Type: ack, From: longest, Target: strings.Repeat("t", MaxName), Updates: []Record{longest}},
-		"cargo":   {Type: payload, From: longest, Target: strings.Repeat("t", MaxName), Payload: make([]byte, MaxPayload)},
-		"sums":    {Type: viewDigests, ViewDigest: 9, From: longest, Target: strings.Repeat("t", MaxName), BucketDigests: bucketDigests{0: 1, 15: 1 << 31}},
+		"longest": {Type: ack, From: longestRecord, Target: strings.Repeat("t", MaxName), Updates: []Record{longestRecord}},
+		"cargo":   {Type: payload, From: longestRecord, Target: strings.Repeat("t", MaxName), Payload: make([]byte, MaxPayload)},
+		"sums":    {Type: viewDigests, ViewDigest: 9, From: longestRecord, Target: strings.Repeat("t", MaxName), BucketDigests: bucketDigests{0: 1, 15: 1 << 31}},
 		"many":    {Type: gossip, From: short, Updates: []Record{short, short, short, short}},
 	} {
 		b, n := q.encode(MaxMessage)
@@ -89,24 +89,24 @@
 	}
 }
 
-type nobody struct{}
+type noopHost struct{}
 
-func (nobody) Send(Addr, []byte)             {}
-func (nobody) StreamPing(Addr, []byte)       {}
-func (nobody) PushPull(Addr)                 {}
-func (nobody) MemberChanged(Change)          {}
-func (nobody) DeliverPayload(Record, []byte) {}
+func (noopHost) Send(Addr, []byte)             {}
+func (noopHost) StreamPing(Addr, []byte)       {}
+func (noopHost) PushPull(Addr)                 {}
+func (noopHost) MemberChanged(Change)          {}
+func (noopHost) DeliverPayload(Record, []byte) {}
 
 // Whatever comes, a message is taken whole or refused, what is taken can be said again, and no answer is longer than its question.
 func FuzzReceive(f *testing.F) {
-	for _, q := range []message{{Type: ping, From: longest}, {Type: pingReq, From: longest, Target: "x", Updates: []Record{longest}}} {
+	for _, q := range []message{{Type: ping, From: longestRecord}, {Type: pingReq, From: longestRecord, Target: "x", Updates: []Record{longestRecord}}} {
 		b, _ := q.encode(MaxMessage)
 		f.Add(b)
 	}
-	b, _ := (&message{Type: viewDigests, From: longest, BucketDigests: bucketDigests{7: 5}}).encode(MaxMessage)
+	b, _ := (&message{Type: viewDigests, From: longestRecord, BucketDigests: bucketDigests{7: 5}}).encode(MaxMessage)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		h := &longestSent{}
+		h := &longestAckHost{}
 		m, err := New(Config{Name: "me", Addr: IPv4(127, 0, 0, 1, 1), Start: 5, ExpectedRouters: 1}, h)
 		if err != nil {
 			t.Fatal(err)
@@ -131,19 +131,19 @@
 	})
 }
 
-type longestSent struct {
-	nobody
+type longestAckHost struct {
+	noopHost
 	n int
 }
 
-func (l *longestSent) Send(_ Addr, b []byte) {
+func (l *longestAckHost) Send(_ Addr, b []byte) {
 	if messageType(b[1]) == ack {
 		l.n = max(l.n, len(b))
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	m, err := New(Config{Name: "me", Addr: IPv4(127, 0, 0, 1, 1), Start: 5, ExpectedRouters: 1}, nobody{})
+	m, err := New(Config{Name: "me", Addr: IPv4(127, 0, 0, 1, 1), Start: 5, ExpectedRouters: 1}, noopHost{})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/pure/fleet/machine.go
+++ b/internal/pure/fleet/machine.go
@@ -342,22 +342,22 @@
 // padded with zeros to the limit if padded is set.
 func (m *Machine) encodeWithUpdates(q message, limit int, padded bool) []byte {
 	q.ViewDigest, q.RosterDigest, q.From = m.viewDigest, m.rosterDigest, m.self
-	own := len(q.Updates)
+	given := len(q.Updates)
 	if q.Type == payload {
 		b, _ := q.encode(limit)
 		return b
 	}
 	q.Updates = append(q.Updates, m.selectUpdates(q.Updates)...)
 	b, n := q.encode(limit)
-	m.countTransmissions(q.Updates[min(own, n):n])
-	want := len(b)
+	m.countTransmissions(q.Updates[min(given, n):n])
+	length := len(b)
 	switch {
 	case padded:
-		want = limit - macBytes
+		length = limit - macBytes
 	case q.Type == ping: // an unverified sender gets no answer longer than its ping
-		want = min(len(q.head())+maxHeadGrowth, limit-macBytes)
+		length = min(len(q.head())+maxHeadGrowth, limit-macBytes)
 	}
-	return append(b, make([]byte, max(0, want-len(b)))...)
+	return append(b, make([]byte, max(0, length-len(b)))...)
 }
 
 // maxHeadGrowth is the maximum number of bytes by which the head of an answer exceeds that of its ping.
--- a/internal/pure/fleet/part.go
+++ b/internal/pure/fleet/part.go
@@ -105,21 +105,21 @@
 	}
 	m.handleFirstContact()
 	m.expireShare() // before contactAt is updated: later contact does not revive an expired share
-	reach, voters := m.countReachable()
+	reachable, voters := m.countReachable()
 	switch {
-	case reach == 1 && voters <= 2:
+	case reachable == 1 && voters <= 2:
 		p.contactAt = m.now
-	case 2*reach >= voters:
+	case 2*reachable >= voters:
 		p.contactAt = max(p.contactAt, m.lastAckedPingAt)
 	}
-	if 2*reach <= voters {
+	if 2*reachable <= voters {
 		p.majoritySince = m.now
 	}
-	whole := 1 + p.counted
+	routers := 1 + p.counted
 	if !p.active {
-		m.requestConfirmations(whole)
+		m.requestConfirmations(routers)
 	}
-	p.current = m.shareFor(whole)
+	p.current = m.shareFor(routers)
 }
 
 // expireShare gives up the share after too long without contact.
@@ -176,7 +176,7 @@
 // countReachable returns the number of responsive members among those that have a share, and the number of
 // those. Joining members are left out: unresponsive ones do not know them, so a majority that includes them
 // proves nothing.
-func (m *Machine) countReachable() (reach, voters int) {
+func (m *Machine) countReachable() (reachable, voters int) {
 	return 1 + m.stateCounts[Alive], 1 + m.share.counted - m.stateCounts[Joining]
 }
 
@@ -197,9 +197,9 @@
 
 // requestConfirmations asks all counted members whether they count this router, and activates its share once
 // all have confirmed it. A router that has met no other waits for a while first.
-func (m *Machine) requestConfirmations(whole int) {
+func (m *Machine) requestConfirmations(routers int) {
 	p := &m.share
-	if whole == 1 && !p.metAny {
+	if routers == 1 && !p.metAny {
 		wait := firstContactWaitMS
 		if m.hasNoSeed() {
 			wait = noSeedWaitMS
@@ -208,10 +208,10 @@
 			return
 		}
 	}
-	all, sent := true, 0
+	allConfirmed, sent := true, 0
 	for _, name := range m.departed {
 		if mem := m.members[name]; !mem.verifiedDown {
-			all = false
+			allConfirmed = false
 			m.recheckDead(mem)
 		}
 	}
@@ -219,7 +219,7 @@
 		if mem.confirmed || !m.isCounted(mem) {
 			continue
 		}
-		all = false
+		allConfirmed = false
 		if sent >= maxPingsPerTick || m.now-mem.lastPingAt < minPingIntervalMS {
 			continue
 		}
@@ -231,7 +231,7 @@
 		}
 	}
 	switch {
-	case !all:
+	case !allConfirmed:
 		p.allConfirmedAt = 0
 	case p.allConfirmedAt == 0:
 		p.allConfirmedAt = m.now
@@ -271,24 +271,24 @@
 }
 
 // shareFor returns the share when the given number of routers is counted, this one included.
-func (m *Machine) shareFor(whole int) Share {
+func (m *Machine) shareFor(routers int) Share {
 	p := &m.share
-	then := math.Ceil(float64(whole) / lapsedFraction)
+	lapsedRouters := math.Ceil(float64(routers) / lapsedFraction)
 	switch {
 	case !p.active && p.hadShare:
-		return Share{then, math.Inf(1), then}
+		return Share{lapsedRouters, math.Inf(1), lapsedRouters}
 	case !p.active:
 		return Share{NoShare, math.Inf(1), NoShare}
 	}
-	n := float64(whole) + math.Ceil(float64(m.stateCounts[Excluded])*excludedFraction)
-	if whole == 1 && !p.metAny {
+	n := float64(routers) + math.Ceil(float64(m.stateCounts[Excluded])*excludedFraction)
+	if routers == 1 && !p.metAny {
 		n = float64(m.cfg.ExpectedRouters)
 	}
 	until := p.contactAt + shareValidMS
-	if whole == 1 && m.stateCounts[Excluded] == 0 {
+	if routers == 1 && m.stateCounts[Excluded] == 0 {
 		until = math.Inf(1)
 	}
-	return Share{n, until, then}
+	return Share{n, until, lapsedRouters}
 }
 
 // Share returns what this router may use now.
--- a/internal/pure/fleet/probe.go
+++ b/internal/pure/fleet/probe.go
@@ -62,14 +62,14 @@
 }
 
 // startProbe probes a member. A failure makes the member suspect only if the probe is a scheduled one.
-func (m *Machine) startProbe(mem *member, turn bool) {
-	if len(m.pendingProbes) >= maxPendingProbes && !turn {
+func (m *Machine) startProbe(mem *member, scheduled bool) {
+	if len(m.pendingProbes) >= maxPendingProbes && !scheduled {
 		return
 	}
 	if len(m.pendingProbes) >= 4*maxPendingProbes {
 		m.pendingProbes = m.pendingProbes[1:]
 	}
-	p := &probe{name: mem.Name, start: mem.Start, seq: m.newSeq(), began: m.now, scheduled: turn}
+	p := &probe{name: mem.Name, start: mem.Start, seq: m.newSeq(), began: m.now, scheduled: scheduled}
 	m.pendingProbes = append(m.pendingProbes, p)
 	mem.lastPingAt = m.now
 	m.sendPing(mem.Addr, mem, p.seq)
@@ -136,12 +136,12 @@
 }
 
 // randomMembers returns up to n different members that meet a condition.
-func (m *Machine) randomMembers(n int, fit func(*member) bool) (out []*member) {
+func (m *Machine) randomMembers(n int, match func(*member) bool) (out []*member) {
 	for range 4 * n {
 		if len(m.probeOrder) == 0 || len(out) == n {
 			break
 		}
-		if mem := m.probeOrder[m.rng.IntN(len(m.probeOrder))]; fit(mem) && !slices.Contains(out, mem) {
+		if mem := m.probeOrder[m.rng.IntN(len(m.probeOrder))]; match(mem) && !slices.Contains(out, mem) {
 			out = append(out, mem)
 		}
 	}
@@ -287,10 +287,10 @@
 		mem.suspicionDeadline = mem.since + minSuspicionMS
 		return
 	}
-	most := max(1, min(suspicionConfirmations, len(m.probeOrder)-2))
-	k := min(len(mem.accusers)-1, most)
-	part := math.Log(float64(k+1)) / math.Log(float64(most+1))
-	mem.suspicionDeadline = mem.since + maxSuspicionMS - (maxSuspicionMS-minSuspicionMS)*part
+	maxConfirmations := max(1, min(suspicionConfirmations, len(m.probeOrder)-2))
+	confirmations := min(len(mem.accusers)-1, maxConfirmations)
+	fraction := math.Log(float64(confirmations+1)) / math.Log(float64(maxConfirmations+1))
+	mem.suspicionDeadline = mem.since + maxSuspicionMS - (maxSuspicionMS-minSuspicionMS)*fraction
 }
 
 // expireSuspicions declares suspects unresponsive that have not refuted in time.
@@ -360,7 +360,7 @@
 	if m.surveyStartedAt == 0 {
 		return
 	}
-	sent, waits := 0, false
+	sent, waiting := 0, false
 	for _, mem := range m.probeOrder {
 		if !mem.State.responsive() || mem.lastAckAt >= m.surveyStartedAt || mem.lastMessageAt >= m.surveyStartedAt {
 			continue
@@ -372,18 +372,18 @@
 				mem.lastPingAt = m.now
 				m.sendPing(mem.Addr, mem, m.seq)
 			}
-			waits = true
+			waiting = true
 		} else if m.now-mem.lastPingAt < surveyTimeoutMS {
-			waits = true
+			waiting = true
 		}
 	}
-	if waits {
+	if waiting {
 		return
 	}
-	began := m.surveyStartedAt
+	startedAt := m.surveyStartedAt
 	m.surveyStartedAt = 0
 	for _, mem := range slices.Clone(m.probeOrder) {
-		if mem.State.responsive() && mem.lastAckAt < began && mem.lastMessageAt < began {
+		if mem.State.responsive() && mem.lastAckAt < startedAt && mem.lastMessageAt < startedAt {
 			m.suspectMember(mem)
 		}
 	}
--- a/internal/pure/fleet/race_off_test.go
+++ b/internal/pure/fleet/race_off_test.go
@@ -2,5 +2,5 @@
 
 package fleet_test
 
-// crowd is what joins within a second.
-const crowd = 300
+// crowdSize is what joins within a second.
+const crowdSize = 300
--- a/internal/pure/fleet/repair.go
+++ b/internal/pure/fleet/repair.go
@@ -61,17 +61,17 @@
 		m.handleEqualView()
 		return 0, nil
 	}
-	var differ Buckets
+	var differing Buckets
 	for i, s := range q.BucketDigests {
 		if s != m.bucketDigests[i] {
-			differ |= 1 << i
+			differing |= 1 << i
 		}
 	}
 	m.handleSender(&q) // after the comparison, because it may change the digests
-	if differ == 0 {
+	if differing == 0 {
 		return AllBuckets, nil // the bucket digests collide
 	}
-	return differ, nil
+	return differing, nil
 }
 
 // handleDifferentView starts a push-pull exchange with a member whose view differs, unless one was started
@@ -94,17 +94,17 @@
 
 // Pages returns the records of some buckets as messages, those of dead and departed members included; none
 // for an empty set.
-func (m *Machine) Pages(of Buckets) [][]byte {
-	if of == 0 {
+func (m *Machine) Pages(buckets Buckets) [][]byte {
+	if buckets == 0 {
 		return nil
 	}
-	all := []Record{}
+	records := []Record{}
 	for _, mem := range m.members {
-		if of&(1<<mem.bucket) != 0 {
-			all = append(all, mem.Record)
+		if buckets&(1<<mem.bucket) != 0 {
+			records = append(records, mem.Record)
 		}
 	}
-	slices.SortFunc(all, func(a, b Record) int { // present members first
+	slices.SortFunc(records, func(a, b Record) int { // present members first
 		if a.State.present() != b.State.present() {
 			if a.State.present() {
 				return -1
@@ -118,10 +118,10 @@
 	})
 	var out [][]byte
 	for {
-		q := message{Type: viewPage, ViewDigest: m.viewDigest, RosterDigest: m.rosterDigest, From: m.self, Updates: all}
+		q := message{Type: viewPage, ViewDigest: m.viewDigest, RosterDigest: m.rosterDigest, From: m.self, Updates: records}
 		b, n := q.encode(MaxMessage)
 		out = append(out, b)
-		if all = all[n:]; len(all) == 0 {
+		if records = records[n:]; len(records) == 0 {
 			return out
 		}
 	}
@@ -132,13 +132,13 @@
 	if m.nextPage == 0 {
 		return
 	}
-	all := m.Pages(AllBuckets)
+	pages := m.Pages(AllBuckets)
 	for range 4 {
-		if m.nextPage > len(all) {
+		if m.nextPage > len(pages) {
 			m.nextPage = 0
 			return
 		}
-		m.host.Send(m.pageReceiver, all[m.nextPage-1])
+		m.host.Send(m.pageReceiver, pages[m.nextPage-1])
 		m.nextPage++
 	}
 }
--- a/internal/pure/fleet/slow_test.go
+++ b/internal/pure/fleet/slow_test.go
@@ -10,9 +10,9 @@
 
 // One in twenty hears everything up to a second late: no other is called dead for that.
 func TestStarvedOfCPU(t *testing.T) {
-	w := begin(t, 20)
-	w.settles(2000, "start")
-	w.shares(20, 2000)
+	w := startNet(t, 20)
+	w.waitSettled(2000, "start")
+	w.waitShares(20, 2000)
 	n := 0
 	for _, nd := range w.Nodes {
 		nd.OnWord = func(_ float64, c fleet.Change) {
@@ -27,8 +27,8 @@
 		t.Errorf("%d words that one who is well is dead", n)
 	}
 	w.Nodes[7].Slow = 0
-	w.settles(5000, "it has its processor again")
-	w.shares(20, 5000)
+	w.waitSettled(5000, "it has its processor again")
+	w.waitShares(20, 5000)
 }
 
 // One in twenty of many hears everything up to a second late, and finds itself cut off now and then: its survey takes late answers for answers.
@@ -54,7 +54,7 @@
 // A member that hears everything late asks for patience in its denial. Then it is left in peace, and accuses nobody, with far fewer words
 // than under plain SWIM; and once it is well it asks for none any more.
 func TestSlowMemberAsksForPatience(t *testing.T) {
-	words := func(w *world) *int {
+	words := func(w *testNet) *int {
 		n := 0
 		w.Nodes[0].OnWord = func(_ float64, c fleet.Change) {
 			if c.State == fleet.Suspect {
@@ -63,8 +63,8 @@
 		}
 		return &n
 	}
-	w := begin(t, 8)
-	w.settles(2000, "start")
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
 	w.Nodes[5].Slow = 500
 	w.Pass(60e3) // here it learns that it is slow
 	n := words(w)
@@ -88,8 +88,8 @@
 
 // Whoever asks for patience is noticed in time all the same when it dies or falls silent.
 func TestDeathOfOneThatAskedForPatience(t *testing.T) {
-	w := begin(t, 24)
-	w.settles(2000, "start")
+	w := startNet(t, 24)
+	w.waitSettled(2000, "start")
 	for _, i := range []int{7, 8} {
 		w.Nodes[i].Slow = 500
 	}
@@ -129,20 +129,20 @@
 	peers := [2]*fleet.Machine{}
 	for i := range peers {
 		cfg := fleetnet.Config(i)
-		m, err := fleet.New(cfg, deaf{})
+		m, err := fleet.New(cfg, discardHost{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		peers[i] = m
 		other := fleet.Record{Name: fleetnet.Config(1 - i).Name, Site: fleetnet.Config(1 - i).Site, Addr: fleetnet.Config(1 - i).Addr, Start: fleetnet.Config(1 - i).Start}
-		give(t, m, other)
+		receiveRecord(t, m, other)
 		for j := 2; j < 300; j++ {
 			c := fleetnet.Config(j)
-			give(t, m, fleet.Record{Name: c.Name, Site: c.Site, Addr: c.Addr, Start: c.Start, State: fleet.Alive})
+			receiveRecord(t, m, fleet.Record{Name: c.Name, Site: c.Site, Addr: c.Addr, Start: c.Start, State: fleet.Alive})
 		}
 	}
 	late := fleet.Record{Name: "late", Addr: fleet.IPv4(127, 9, 9, 9, 1), Start: 7}
-	give(t, peers[0], late)
+	receiveRecord(t, peers[0], late)
 	compare := func() (here, there fleet.Buckets) {
 		t.Helper()
 		var errs [2]error
@@ -180,18 +180,18 @@
 	}
 }
 
-// give has a machine hear of a member, from itself.
-func give(t *testing.T, m *fleet.Machine, r fleet.Record) {
+// receiveRecord has a machine hear of a member, from itself.
+func receiveRecord(t *testing.T, m *fleet.Machine, r fleet.Record) {
 	t.Helper()
 	if err := m.Receive(1e6, fleet.Encode(r, r)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-type deaf struct{}
+type discardHost struct{}
 
-func (deaf) Send(fleet.Addr, []byte)             {}
-func (deaf) StreamPing(fleet.Addr, []byte)       {}
-func (deaf) PushPull(fleet.Addr)                 {}
-func (deaf) MemberChanged(fleet.Change)          {}
-func (deaf) DeliverPayload(fleet.Record, []byte) {}
+func (discardHost) Send(fleet.Addr, []byte)             {}
+func (discardHost) StreamPing(fleet.Addr, []byte)       {}
+func (discardHost) PushPull(fleet.Addr)                 {}
+func (discardHost) MemberChanged(fleet.Change)          {}
+func (discardHost) DeliverPayload(fleet.Record, []byte) {}
--- a/internal/pure/fleet/snapshot_test.go
+++ b/internal/pure/fleet/snapshot_test.go
@@ -12,9 +12,9 @@
 // Each process is replaced by another in turn, while one joins and one is killed. To the others the router is the same member throughout: no
 // word of it, the same start, and its part is its own again at once.
 func TestReplacedProcessIsOneMember(t *testing.T) {
-	w := begin(t, 12)
-	w.settles(2000, "start")
-	w.shares(12, 2000)
+	w := startNet(t, 12)
+	w.waitSettled(2000, "start")
+	w.waitShares(12, 2000)
 	starts := map[string]uint64{}
 	for _, nd := range w.Nodes {
 		starts[nd.Cfg.Name] = nd.Self().Start
@@ -39,8 +39,8 @@
 		}
 		w.Pass(500)
 	}
-	w.settles(3000, "all are replaced")
-	w.shares(12, 3000)
+	w.waitSettled(3000, "all are replaced")
+	w.waitShares(12, 3000)
 	for _, nd := range w.Nodes[:11] {
 		if got := nd.Self().Start; got != starts[nd.Cfg.Name] {
 			t.Errorf("%s has start %d, and had %d", nd.Cfg.Name, got, starts[nd.Cfg.Name])
@@ -51,20 +51,20 @@
 // One process gives way and the next comes late: the others may call the router silent meanwhile, as one that hangs, and it has its part again
 // once it is back.
 func TestReplacedProcessThatComesLate(t *testing.T) {
-	w := begin(t, 8)
-	w.settles(2000, "start")
-	w.shares(8, 2000)
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
+	w.waitShares(8, 2000)
 	w.Nodes[3].Replace(5000)
 	w.Pass(5100)
-	w.settles(3000, "it is back")
-	w.shares(8, 3000)
+	w.waitSettled(3000, "it is back")
+	w.waitShares(8, 3000)
 }
 
 // A snapshot that went the way between processes is the same, and one that is another router's or makes no sense is refused.
 func TestSnapshots(t *testing.T) {
-	w := begin(t, 5)
-	w.settles(2000, "start")
-	w.shares(5, 2000)
+	w := startNet(t, 5)
+	w.waitSettled(2000, "start")
+	w.waitShares(5, 2000)
 	nd := w.Nodes[2]
 	nd.SetMeta(w.Now, "\xff\x00door") //nolint:errcheck // it fits
 	w.Nodes[4].Kill()
@@ -83,7 +83,7 @@
 		}
 		return got
 	}
-	m, err := fleet.Resume(nd.Cfg, deaf{}, 77, 5, read())
+	m, err := fleet.Resume(nd.Cfg, discardHost{}, 77, 5, read())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,11 +100,11 @@
 	} {
 		cfg, s := nd.Cfg, read()
 		change(&cfg, &s)
-		if _, err := fleet.Resume(cfg, deaf{}, 77, 5, s); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := fleet.Resume(cfg, discardHost{}, 77, 5, s); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	if _, err := fleet.Resume(nd.Cfg, deaf{}, 77, -1, read()); err == nil {
+	if _, err := fleet.Resume(nd.Cfg, discardHost{}, 77, -1, read()); err == nil {
 		t.Error("a snapshot of the future is taken")
 	}
 }
--- a/internal/pure/fleet/spread.go
+++ b/internal/pure/fleet/spread.go
@@ -28,11 +28,11 @@
 const maxUpdatesPerMessage = 8
 
 // selectUpdates returns the records to transmit next, those with the fewest transmissions first.
-func (m *Machine) selectUpdates(but []Record) []Record {
+func (m *Machine) selectUpdates(exclude []Record) []Record {
 	var best [maxUpdatesPerMessage + 1]*queuedUpdate
 	n := 0
 	for _, it := range m.updates {
-		if slices.ContainsFunc(but, func(r Record) bool { return r.Name == it.Name }) {
+		if slices.ContainsFunc(exclude, func(r Record) bool { return r.Name == it.Name }) {
 			continue
 		}
 		at := n
@@ -93,14 +93,14 @@
 	if m.now < m.nextGossipAt || len(m.probeOrder) == 0 {
 		return
 	}
-	fresh := false
+	urgent := false
 	for _, it := range m.updates {
 		if it.sent < it.remaining { // the first half of its transmissions is not left to piggybacking alone
-			fresh = true
+			urgent = true
 			break
 		}
 	}
-	if !fresh {
+	if !urgent {
 		return
 	}
 	m.nextGossipAt = m.now + gossipIntervalMS
@@ -116,22 +116,22 @@
 		return
 	}
 	m.nextReconnectAt = m.now + reconnectIntervalMS*(0.75+0.5*m.rng.Float64())
-	var lost []Addr
+	var addrs []Addr
 	known := map[Addr]bool{m.self.Addr: true}
 	for _, mem := range m.probeOrder {
 		known[mem.Addr] = true
 		if !mem.State.responsive() {
-			lost = append(lost, mem.Addr)
+			addrs = append(addrs, mem.Addr)
 		}
 	}
 	for _, a := range m.cfg.Join {
 		if !known[a] {
-			lost = append(lost, a)
+			addrs = append(addrs, a)
 		}
 	}
 	for range 2 {
-		if len(lost) > 0 {
-			m.pingAddr(lost[m.rng.IntN(len(lost))])
+		if len(addrs) > 0 {
+			m.pingAddr(addrs[m.rng.IntN(len(addrs))])
 		}
 	}
 	for _, name := range m.departed { // those that still hold a share come first
