--- a/internal/pure/fleet/cases_test.go
+++ b/internal/pure/fleet/cases_test.go
@@ -121,7 +121,7 @@
 	w.waitShares(1, 1000)
 }
 
-func TestSilenceIsNoDeath(t *testing.T) {
+func TestUnresponsiveMemberKeepsShare(t *testing.T) {
 	w := startNet(t, 12)
 	w.waitSettled(2000, "start")
 	w.waitShares(12, 2000)
@@ -141,7 +141,7 @@
 	w.waitShares(9, 0) // 8 that are heard, and a quarter of 4
 }
 
-func TestStoppedProcessWakes(t *testing.T) {
+func TestPausedProcessResumes(t *testing.T) {
 	for _, ms := range []float64{500, 3000, 30e3, 130e3} {
 		t.Run(fmt.Sprintf("%.1fs", ms/1000), func(t *testing.T) {
 			w := startNet(t, 12)
@@ -199,7 +199,7 @@
 }
 
 // A pair that can't speak, or hears in one direction alone, is kept by what the others say.
-func TestCutsBetweenTwoKillNobody(t *testing.T) {
+func TestCutsBetweenTwoCauseNoFalseDeaths(t *testing.T) {
 	for name, cut := range map[string]func(a, b string) bool{
 		"pair":    func(a, b string) bool { return a+b == "r-001r-002" || a+b == "r-002r-001" },
 		"one way": func(a, b string) bool { return a+b == "r-001r-002" },
@@ -354,7 +354,7 @@
 	w.waitShares(8, 3000)
 }
 
-func TestCopiedName(t *testing.T) {
+func TestDuplicateName(t *testing.T) {
 	w := startNet(t, 8)
 	w.waitSettled(2000, "start")
 	w.waitShares(8, 2000)
@@ -431,7 +431,7 @@
 	}
 }
 
-func TestRubbish(t *testing.T) {
+func TestMalformedMessages(t *testing.T) {
 	w := startNet(t, 8)
 	w.waitSettled(2000, "start")
 	w.waitShares(8, 2000)
--- a/internal/pure/fleet/codec_test.go
+++ b/internal/pure/fleet/codec_test.go
@@ -10,7 +10,7 @@
 var longestRecord = Record{Name: strings.Repeat("n", MaxName), Site: strings.Repeat("s", MaxSite), Addr: Addr{IP: [16]byte{0x20, 1}, Port: 65535}, Start: 1 << 63,
 	Incarnation: 1 << 31, State: Left, TimeoutExtension: maxTimeoutExtension, Meta: strings.Repeat("\xff", MaxMeta), AccuserID: 77}
 
-func TestMessagesComeBackAsTheyWere(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	short := Record{Name: "r-1", Addr: IPv4(127, 0, 0, 9, 7946), Start: 5, State: Unresponsive, AccuserID: 9}
 	for name, q := range map[string]message{
 		"plain":   {Type: ping, Seq: 7, ViewDigest: 1 << 60, RosterDigest: 3, From: short, Target: "r-2", TargetStart: 8},
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestSums(t *testing.T) {
+func TestMAC(t *testing.T) {
 	key, other := make([]byte, 32), make([]byte, 32)
 	other[31] = 1
 	sealed := AppendMAC(key, []byte("said"))
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestImpossibleNames(t *testing.T) {
+func TestInvalidConfig(t *testing.T) {
 	good := Config{Name: "r-1", Addr: IPv4(127, 0, 0, 1, 1), Start: 1, ExpectedRouters: 1}
 	for want, change := range map[string]func(*Config){
 		`name "": 1 to 24 printable bytes`:           func(c *Config) { c.Name = "" },
--- a/internal/pure/fleet/slow_test.go
+++ b/internal/pure/fleet/slow_test.go
@@ -40,7 +40,7 @@
 }
 
 // Where messages wait longer than plain SWIM's suspicions last, at most a tenth of its false words are left.
-func TestTenthOfPlainFalseDeaths(t *testing.T) {
+func TestFalseDeathsAreATenthOfPlainSWIM(t *testing.T) {
 	t.Parallel()
 	c := fleetnet.Calm{Routers: 60, Hours: 0.03, SlowShare: 0.05, SlowMS: 2000, Seed: 1}
 	ours, _ := c.FalseDeaths()
@@ -53,7 +53,7 @@
 
 // A member that hears everything late asks for patience in its denial. Then it is left in peace, and accuses nobody, with far fewer words
 // than under plain SWIM; and once it is well it asks for none any more.
-func TestSlowMemberAsksForPatience(t *testing.T) {
+func TestSlowMemberRequestsTimeoutExtension(t *testing.T) {
 	words := func(w *testNet) *int {
 		n := 0
 		w.Nodes[0].OnWord = func(_ float64, c fleet.Change) {
@@ -87,7 +87,7 @@
 }
 
 // Whoever asks for patience is noticed in time all the same when it dies or falls silent.
-func TestDeathOfOneThatAskedForPatience(t *testing.T) {
+func TestDeathOfMemberWithTimeoutExtension(t *testing.T) {
 	w := startNet(t, 24)
 	w.waitSettled(2000, "start")
 	for _, i := range []int{7, 8} {
@@ -124,7 +124,7 @@
 }
 
 // Views that differ in one member of 300 exchange the buckets that differ, not all of the view.
-func TestRepairSendsWhatDiffers(t *testing.T) {
+func TestPushPullSendsDifferingBuckets(t *testing.T) {
 	t.Parallel()
 	peers := [2]*fleet.Machine{}
 	for i := range peers {
--- a/internal/pure/fleet/snapshot_test.go
+++ b/internal/pure/fleet/snapshot_test.go
@@ -50,7 +50,7 @@
 
 // One process gives way and the next comes late: the others may call the router silent meanwhile, as one that hangs, and it has its part again
 // once it is back.
-func TestReplacedProcessThatComesLate(t *testing.T) {
+func TestReplacedProcessThatStartsLate(t *testing.T) {
 	w := startNet(t, 8)
 	w.waitSettled(2000, "start")
 	w.waitShares(8, 2000)
