--- a/internal/pure/fleet/cases_test.go
+++ b/internal/pure/fleet/cases_test.go
@@ -10,12 +10,14 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// testNet is a network with what the cases ask of it. At the end no more than the whole was ever spent.
+// testNet is a simulated network with helpers for the test cases. When a test ends, the shares in use must
+// never have exceeded the whole.
 type testNet struct {
 	fleetnet.Watched
 	t *testing.T
 }
 
+// startNet starts the given number of routers, which join by one seed address.
 func startNet(t *testing.T, routers int) *testNet {
 	t.Helper()
 	t.Parallel()
@@ -33,7 +35,7 @@
 	return w
 }
 
-// waitSettled waits for views that are equal and true, and for all of the whole to be in use.
+// waitSettled waits until all views are equal and correct and the whole is in use, or fails the test.
 func (w *testNet) waitSettled(within float64, why string) {
 	w.t.Helper()
 	began := w.Now
@@ -45,7 +47,7 @@
 	}
 }
 
-// waitShares waits until the routers that are up have equal parts of so many.
+// waitShares waits until all running routers have the share 1/of, or fails the test.
 func (w *testNet) waitShares(of int, within float64) {
 	w.t.Helper()
 	began := w.Now
@@ -53,20 +55,20 @@
 		bad := ""
 		for _, nd := range w.Running() {
 			if p := nd.Share(); p.Routers != float64(of) {
-				bad = fmt.Sprintf("%s has one of %v parts", nd.Cfg.Name, p.Routers)
+				bad = fmt.Sprintf("%s has the share 1/%v", nd.Cfg.Name, p.Routers)
 			}
 		}
 		if bad == "" {
 			return
 		}
 		if w.Now-began > within {
-			w.t.Fatalf("%s, not one of %d, after %.0f ms", bad, of, within)
+			w.t.Fatalf("%s, not 1/%d, after %.0f ms", bad, of, within)
 		}
 		w.Pass(50)
 	}
 }
 
-// countFalseDeaths counts the words that a process which lives is silent or gone.
+// countFalseDeaths counts reports that a running process is unresponsive or dead.
 func (w *testNet) countFalseDeaths() *int {
 	n := new(int)
 	for _, nd := range w.Nodes {
@@ -92,9 +94,9 @@
 	w.waitSettled(2000, "start")
 	w.waitShares(12, 2000)
 	w.Nodes[0].Kill()
-	w.waitSettled(1500, "death of the seed")
+	w.waitSettled(1500, "the seed was killed")
 	w.waitShares(11, 1500)
-	w.Nodes[0].Again() // knows no address to join by: the others find it
+	w.Nodes[0].Again() // has no join address: the others find it
 	w.waitSettled(5000, "the seed is back")
 	w.waitShares(12, 5000)
 }
@@ -126,11 +128,11 @@
 	w.waitSettled(2000, "start")
 	w.waitShares(12, 2000)
 	w.Nodes[4].Off()
-	w.waitSettled(5000, "a machine is off")
+	w.waitSettled(5000, "a machine was switched off")
 	w.Pass(60e3)
-	w.waitShares(12, 0) // it may still act, for all that the others know
+	w.waitShares(12, 0) // it may still run, so its share is kept
 	w.Pass(40e3)
-	w.waitShares(12, 0) // a quarter of its part, rounded up, is left to it
+	w.waitShares(12, 0) // a quarter of its share, rounded up, stays reserved for it
 	if v := w.Nodes[0].View(w.Now); v.Members[4].State != fleet.Excluded || v.Members[4].Counted {
 		t.Errorf("after 100 s: %+v", v.Members[4])
 	}
@@ -138,7 +140,7 @@
 		w.Nodes[i].Off()
 	}
 	w.Pass(110e3)
-	w.waitShares(9, 0) // 8 that are heard, and a quarter of 4
+	w.waitShares(9, 0) // 8 responsive members, and a quarter of 4 excluded ones
 }
 
 func TestPausedProcessResumes(t *testing.T) {
@@ -150,7 +152,7 @@
 			w.Nodes[5].Stop()
 			w.Pass(ms)
 			w.Nodes[5].Continue()
-			w.waitSettled(3000, "it wakes")
+			w.waitSettled(3000, "it resumes")
 			w.waitShares(12, 3000)
 		})
 	}
@@ -178,7 +180,7 @@
 					return fleetnet.Link{Cut: cut && side(number[a]) != side(number[b]), Delay: 1}
 				}
 				w.Pass(ms / 2)
-				w.Nodes[4].Kill() // crashes on both sides, one comes back, somebody joins, and one changes its name
+				w.Nodes[4].Kill() // a crash on each side, one restart, one join, one change of name
 				w.Nodes[5].Kill()
 				joined := fleetnet.Config(12)
 				joined.Join = []fleet.Addr{w.Nodes[6].Cfg.Addr}
@@ -198,7 +200,7 @@
 	}
 }
 
-// A pair that can't speak, or hears in one direction alone, is kept by what the others say.
+// Two members that can't reach each other, or only in one direction, stay alive through indirect pings.
 func TestCutsBetweenTwoCauseNoFalseDeaths(t *testing.T) {
 	for name, cut := range map[string]func(a, b string) bool{
 		"pair":    func(a, b string) bool { return a+b == "r-001r-002" || a+b == "r-002r-001" },
@@ -215,9 +217,9 @@
 			}
 			w.Pass(300e3)
 			if *n > 0 {
-				t.Errorf("%d words that one who lives is dead", *n)
+				t.Errorf("%d false reports that a running process is dead", *n)
 			}
-			w.waitSettled(1000, "under the cut")
+			w.waitSettled(1000, "while the links are cut")
 			w.waitShares(8, 0)
 		})
 	}
@@ -232,7 +234,7 @@
 			n := w.countFalseDeaths()
 			w.Pass(120e3)
 			if *n > 0 && loss < 0.4 {
-				t.Errorf("%d words that one who lives is dead", *n)
+				t.Errorf("%d false reports that a running process is dead", *n)
 			}
 			w.Link = func(_, _ *fleetnet.Node) fleetnet.Link { return fleetnet.Link{Delay: 1} }
 			w.waitSettled(5000, "no more loss")
@@ -241,7 +243,7 @@
 	}
 }
 
-// Everything that was sent in the first minute comes once more, an hour later, to everybody: nothing changes.
+// Messages that are replayed to all members an hour later change nothing.
 func TestHourOldMessages(t *testing.T) {
 	w := startNet(t, 8)
 	var old [][]byte
@@ -274,7 +276,7 @@
 	}
 	w.waitSettled(3000, "old messages")
 	if after := w.Nodes[0].View(w.Now).Digest; after != before {
-		t.Errorf("the view has become another one")
+		t.Errorf("old messages changed the view")
 	}
 }
 
@@ -284,13 +286,13 @@
 	w.waitShares(20, 2000)
 	for i := 0; i < 20; i += 2 {
 		w.Nodes[i].Goodbye()
-		w.Nodes[i+1].Kill() // one in two without a word
+		w.Nodes[i+1].Kill() // every second one without announcing it
 		w.Pass(500)
 		w.Nodes[i].Again()
 		w.Nodes[i+1].Again()
 		w.Pass(1000)
 	}
-	w.waitSettled(2000, "all are new")
+	w.waitSettled(2000, "all are restarted")
 	w.waitShares(20, 2000)
 }
 
@@ -307,11 +309,12 @@
 		w.waitShares(8, 2000)
 	}
 	if *n > 0 {
-		t.Errorf("%d words that it was dead, about the process that had just started", *n)
+		t.Errorf("%d false reports that the process that had just started was dead", *n)
 	}
 }
 
-// The refusal that the old process's address gave is still on its way when the new one is there: it says nothing of that one.
+// A refused connection to the previous process is reported only after the new process has started at the same
+// address. It must not be taken as proof that the new process is dead.
 func TestRefusalOfTheProcessBefore(t *testing.T) {
 	for _, dead := range []float64{130, 150, 170} {
 		t.Run(fmt.Sprint(dead), func(t *testing.T) {
@@ -330,17 +333,18 @@
 			}
 			for _, nd := range w.Nodes {
 				if nd.Self().Incarnation > 0 {
-					t.Errorf("%s had to deny %d times that it was dead", nd.Cfg.Name, nd.Self().Incarnation)
+					t.Errorf("%s had to refute %d times that it was dead", nd.Cfg.Name, nd.Self().Incarnation)
 				}
 			}
 			if *n > 0 {
-				t.Errorf("%d words that it was dead", *n)
+				t.Errorf("%d false reports that it was dead", *n)
 			}
 		})
 	}
 }
 
-// The wall clock, which gives starts, has jumped back between two starts at one place: the newer process still replaces the older.
+// The wall clock, from which starts are taken, jumps back between two starts at one address: the newer
+// process still replaces the older one.
 func TestClockJumpsBackBetweenStarts(t *testing.T) {
 	w := startNet(t, 8)
 	w.waitSettled(2000, "start")
@@ -364,29 +368,29 @@
 	w.Pass(3000)
 	err := duplicate.Refused()
 	if !errors.Is(err, fleet.ErrDuplicateName) || !strings.Contains(fmt.Sprint(err), "r-005 runs at 127.1.0.5:7946 since before this one at 127.1.0.20:7946") {
-		t.Errorf("the later one is told: %v", err)
+		t.Errorf("error of the later process: %v", err)
 	}
 	if p := duplicate.Share(); p.Routers < fleet.NoShare {
-		t.Errorf("the later one has a part: %+v", p)
+		t.Errorf("the later process has a share: %+v", p)
 	}
 	if err := w.Nodes[5].Refused(); err != nil {
-		t.Errorf("the older one: %v", err)
+		t.Errorf("the older process is refused: %v", err)
 	}
-	w.waitSettled(1000, "the older goes on")
+	w.waitSettled(1000, "the older process continues")
 	w.checkShares(8)
 }
 
-// checkShares looks at the parts of those who are not refused.
+// checkShares checks the shares of all running routers that are not refused.
 func (w *testNet) checkShares(of int) {
 	w.t.Helper()
 	for _, nd := range w.Running() {
 		if p := nd.Share(); nd.Refused() == nil && p.Routers != float64(of) {
-			w.t.Errorf("%s has one of %v parts, not of %d", nd.Cfg.Name, p.Routers, of)
+			w.t.Errorf("%s has the share 1/%v, not 1/%d", nd.Cfg.Name, p.Routers, of)
 		}
 	}
 }
 
-// A name that moves: the machine is another one, the older process is gone. That is no double.
+// A name moves to another address after the older process has died: that is not a duplicate name.
 func TestNameMoves(t *testing.T) {
 	w := startNet(t, 8)
 	w.waitSettled(2000, "start")
@@ -394,12 +398,13 @@
 	cfg := fleetnet.Config(20)
 	cfg.Name = "r-005"
 	w.Start(cfg)
-	w.waitSettled(3000, "moved")
+	w.waitSettled(3000, "the name has moved")
 	w.waitShares(8, 3000)
 }
 
-// A process is killed and another starts at its address at once under another name, so that nobody is ever refused there: who answers at
-// the address proves that the one before runs no more, and all have the whole again in seconds, not after a silence of 90 s.
+// A process is killed and another starts at its address at once under another name, so that no connection to
+// the address is ever refused. The answer of the new process proves that the old one is dead, and the whole
+// is in use again within seconds, not after the 90 s until an unresponsive member is excluded.
 func TestNameChangesAtOneAddress(t *testing.T) {
 	w := startNet(t, 8)
 	w.waitSettled(2000, "start")
@@ -409,12 +414,12 @@
 	w.waitShares(8, 3000)
 	for _, nd := range w.Nodes {
 		if nd.Cfg.Name == "r-004" {
-			t.Error("it has its old name")
+			t.Error("the node still has its old name")
 		}
 	}
 }
 
-// 300 of them; 100 under the race detector, as in CI.
+// 300 routers join within a second; 100 under the race detector, as in CI.
 func TestCrowdJoinsWithinASecond(t *testing.T) {
 	t.Parallel()
 	w := &testNet{fleetnet.Watched{Net: fleetnet.New(3)}, t}
@@ -422,7 +427,7 @@
 		w.Start(fleetnet.Config(i))
 		w.For(1000.0 / crowdSize)
 	}
-	w.waitSettled(5000, "all are there")
+	w.waitSettled(5000, "all have joined")
 	for w.Spent() < 0.999 && w.Now < 1e6+20e3 {
 		w.For(50)
 	}
@@ -445,15 +450,16 @@
 			b[0], b[1] = 1, byte(1+i%6)
 		}
 		if err := w.Nodes[1].Receive(w.Now, b); err == nil {
-			t.Fatalf("%x is taken", b)
+			t.Fatalf("malformed message %x is accepted", b)
 		}
 	}
 	if after := w.Nodes[1].View(w.Now); after.Digest != before {
-		t.Errorf("rubbish has changed the view: %+v", after)
+		t.Errorf("malformed messages changed the view: %+v", after)
 	}
 }
 
-// A member that claims again and again that everybody is dead is not believed for long, and nobody's part grows by its word.
+// A member that repeatedly reports all others as dead is soon discredited, and no share grows because of its
+// reports.
 func TestLiarClaimsThatEverybodyIsDead(t *testing.T) {
 	w := startNet(t, 12)
 	w.waitSettled(2000, "start")
@@ -478,7 +484,7 @@
 		w.Pass(300)
 		for _, nd := range w.Running() {
 			if p := nd.Share(); p.Routers < 12 {
-				t.Fatalf("%s takes one of %v parts by a liar's word", nd.Cfg.Name, p.Routers)
+				t.Fatalf("%s takes the share 1/%v because of false reports", nd.Cfg.Name, p.Routers)
 			}
 		}
 	}
@@ -486,7 +492,7 @@
 	lies()
 	w.Pass(2000)
 	if *n > 0 {
-		t.Errorf("the 21st time it is still believed: %d words", *n)
+		t.Errorf("false reports are still believed the 21st time: %d", *n)
 	}
-	w.waitSettled(1000, "lies")
+	w.waitSettled(1000, "after the false reports")
 }
--- a/internal/pure/fleet/codec_test.go
+++ b/internal/pure/fleet/codec_test.go
@@ -29,7 +29,7 @@
 		}
 		for cut := range len(b) {
 			if m, err := decode(b[:cut]); err == nil && len(m.Updates) == len(q.Updates) && m.BucketDigests == q.BucketDigests && len(m.Payload) == len(q.Payload) {
-				t.Errorf("%s: the first %d of %d bytes are taken for all", name, cut, len(b))
+				t.Errorf("%s: the first %d of %d bytes are accepted as the whole message", name, cut, len(b))
 			}
 		}
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	if _, err := VerifyMAC(key, []byte("short")); err == nil {
-		t.Error("a message without a sum is taken")
+		t.Error("a message without a MAC is accepted")
 	}
 }
 
@@ -65,7 +65,7 @@
 	for i, a := range up {
 		for j, b := range up {
 			if a.supersedes(b) != (i > j) {
-				t.Errorf("%+v over %+v: %v", a, b, a.supersedes(b))
+				t.Errorf("%+v supersedes %+v: %v", a, b, a.supersedes(b))
 			}
 		}
 	}
@@ -89,6 +89,7 @@
 	}
 }
 
+// noopHost discards everything.
 type noopHost struct{}
 
 func (noopHost) Send(Addr, []byte)             {}
@@ -97,7 +98,8 @@
 func (noopHost) MemberChanged(Change)          {}
 func (noopHost) DeliverPayload(Record, []byte) {}
 
-// Whatever comes, a message is taken whole or refused, what is taken can be said again, and no answer is longer than its question.
+// Any input is either accepted whole or rejected, an accepted message can be encoded again, and no answer is
+// longer than its ping.
 func FuzzReceive(f *testing.F) {
 	for _, q := range []message{{Type: ping, From: longestRecord}, {Type: pingReq, From: longestRecord, Target: "x", Updates: []Record{longestRecord}}} {
 		b, _ := q.encode(MaxMessage)
@@ -119,18 +121,19 @@
 			t.Fatalf("decode: %v; compare: %v", err, got)
 		}
 		if h.n > len(b) {
-			t.Fatalf("%d bytes answered to %d", h.n, len(b))
+			t.Fatalf("an answer of %d bytes to a message of %d", h.n, len(b))
 		}
 		if err != nil {
 			return
 		}
 		again, n := q.encode(MaxMessage)
 		if got, err := decode(again); n == len(q.Updates) && (err != nil || !reflect.DeepEqual(got, q)) {
-			t.Fatalf("%+v comes back as %+v, %v", q, got, err)
+			t.Fatalf("%+v is decoded as %+v, %v", q, got, err)
 		}
 	})
 }
 
+// longestAckHost records the length of the longest ack.
 type longestAckHost struct {
 	noopHost
 	n int
--- a/internal/pure/fleet/race_off_test.go
+++ b/internal/pure/fleet/race_off_test.go
@@ -2,5 +2,5 @@
 
 package fleet_test
 
-// crowdSize is what joins within a second.
+// crowdSize is the number of routers that join within a second.
 const crowdSize = 300
--- a/internal/pure/fleet/race_on_test.go
+++ b/internal/pure/fleet/race_on_test.go
@@ -2,5 +2,6 @@
 
 package fleet_test
 
-// crowd is what joins within a second: the race detector makes each ten times as slow.
-const crowd = 100
+// crowdSize is the number of routers that join within a second; the race detector makes each ten times as
+// slow.
+const crowdSize = 100
--- a/internal/pure/fleet/slow_test.go
+++ b/internal/pure/fleet/slow_test.go
@@ -8,7 +8,8 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// One in twenty hears everything up to a second late: no other is called dead for that.
+// One of twenty members handles every message up to a second late: no other member is declared dead because
+// of it.
 func TestStarvedOfCPU(t *testing.T) {
 	w := startNet(t, 20)
 	w.waitSettled(2000, "start")
@@ -24,22 +25,24 @@
 	w.Nodes[7].Slow = 500
 	w.Pass(300e3)
 	if n > 0 {
-		t.Errorf("%d words that one who is well is dead", n)
+		t.Errorf("%d false reports that a healthy member is dead", n)
 	}
 	w.Nodes[7].Slow = 0
-	w.waitSettled(5000, "it has its processor again")
+	w.waitSettled(5000, "it is no longer slow")
 	w.waitShares(20, 5000)
 }
 
-// One in twenty of many hears everything up to a second late, and finds itself cut off now and then: its survey takes late answers for answers.
+// In a large fleet, one in twenty members handles every message up to a second late and considers itself cut
+// off now and then: its survey accepts late answers.
 func TestSlowMembersOfManyAccuseNobody(t *testing.T) {
 	t.Parallel()
 	if deaths, _ := (fleetnet.Calm{Routers: 100, Hours: 0.04, SlowShare: 0.05, SlowMS: 500, Seed: 1}).FalseDeaths(); deaths > 0 {
-		t.Errorf("%.2f words an hour for each member that one who is well is dead", deaths)
+		t.Errorf("%.2f false reports an hour for each member that a healthy member is dead", deaths)
 	}
 }
 
-// Where messages wait longer than plain SWIM's suspicions last, at most a tenth of its false words are left.
+// If messages are delayed for longer than the suspicion timeout of plain SWIM, there are at most a tenth as
+// many false deaths as with plain SWIM.
 func TestFalseDeathsAreATenthOfPlainSWIM(t *testing.T) {
 	t.Parallel()
 	c := fleetnet.Calm{Routers: 60, Hours: 0.03, SlowShare: 0.05, SlowMS: 2000, Seed: 1}
@@ -47,12 +50,12 @@
 	c.Plain = true
 	plain, _ := c.FalseDeaths()
 	if plain == 0 || ours > plain/10 {
-		t.Errorf("%.2f words an hour for each member, plain SWIM has %.2f", ours, plain)
+		t.Errorf("%.2f false reports an hour for each member; plain SWIM has %.2f", ours, plain)
 	}
 }
 
-// A member that hears everything late asks for patience in its denial. Then it is left in peace, and accuses nobody, with far fewer words
-// than under plain SWIM; and once it is well it asks for none any more.
+// A member that handles every message late requests a timeout extension when it refutes a suspicion. After
+// that it is seldom suspected, and once it is well again it drops the extension.
 func TestSlowMemberRequestsTimeoutExtension(t *testing.T) {
 	words := func(w *testNet) *int {
 		n := 0
@@ -66,27 +69,28 @@
 	w := startNet(t, 8)
 	w.waitSettled(2000, "start")
 	w.Nodes[5].Slow = 500
-	w.Pass(60e3) // here it learns that it is slow
+	w.Pass(60e3) // it refutes suspicions and extends its timeouts
 	n := words(w)
 	w.Pass(300e3)
 	if *n > 20 {
-		t.Errorf("%d suspicions in five minutes of a member that says that it is slow", *n)
+		t.Errorf("%d suspicions in five minutes of a member with a timeout extension", *n)
 	}
 	if w.Nodes[5].Self().TimeoutExtension == 0 {
-		t.Error("it asks for no patience")
+		t.Error("it requests no timeout extension")
 	}
 	w.Nodes[5].Slow = 0
 	w.Pass(4 * 960e3)
 	for _, nd := range w.Nodes {
 		nd.ForEach(func(r fleet.Record) {
 			if r.TimeoutExtension > 0 {
-				t.Errorf("%s: %s still asks for patience: %+v", nd.Cfg.Name, r.Name, r)
+				t.Errorf("%s: %s still requests a timeout extension: %+v", nd.Cfg.Name, r.Name, r)
 			}
 		})
 	}
 }
 
-// Whoever asks for patience is noticed in time all the same when it dies or falls silent.
+// The failure of a member with a timeout extension is still detected in time, whether it dies or becomes
+// unresponsive.
 func TestDeathOfMemberWithTimeoutExtension(t *testing.T) {
 	w := startNet(t, 24)
 	w.waitSettled(2000, "start")
@@ -112,7 +116,7 @@
 				return
 			}
 			if w.Now-began > within {
-				t.Fatalf("after %.0f ms %d of 22 say that %s is %v", within, told, name, least)
+				t.Fatalf("after %.0f ms %d of 22 members know that %s is %v", within, told, name, least)
 			}
 			w.Pass(50)
 		}
@@ -123,7 +127,7 @@
 	known(w.Nodes[8].Cfg.Name, fleet.Unresponsive, 5000)
 }
 
-// Views that differ in one member of 300 exchange the buckets that differ, not all of the view.
+// Two views that differ in one member of 300 exchange only the buckets that differ, not the whole view.
 func TestPushPullSendsDifferingBuckets(t *testing.T) {
 	t.Parallel()
 	peers := [2]*fleet.Machine{}
@@ -176,11 +180,11 @@
 		t.Errorf("%d pages where nothing differs", len(got))
 	}
 	if _, err := peers[0].CompareDigests(1e6, fleet.Encode(late, late)); err == nil {
-		t.Error("a message that holds no sums is compared")
+		t.Error("a message without bucket digests is accepted")
 	}
 }
 
-// receiveRecord has a machine hear of a member, from itself.
+// receiveRecord passes a machine a record that its member sent itself.
 func receiveRecord(t *testing.T, m *fleet.Machine, r fleet.Record) {
 	t.Helper()
 	if err := m.Receive(1e6, fleet.Encode(r, r)); err != nil {
@@ -188,6 +192,7 @@
 	}
 }
 
+// discardHost discards everything.
 type discardHost struct{}
 
 func (discardHost) Send(fleet.Addr, []byte)             {}
--- a/internal/pure/fleet/snapshot_test.go
+++ b/internal/pure/fleet/snapshot_test.go
@@ -9,8 +9,8 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// Each process is replaced by another in turn, while one joins and one is killed. To the others the router is the same member throughout: no
-// word of it, the same start, and its part is its own again at once.
+// Each process in turn is replaced by a new one, while one router joins and one is killed. To the others each
+// router stays the same member: no suspicion, the same start, and it has its share again at once.
 func TestReplacedProcessIsOneMember(t *testing.T) {
 	w := startNet(t, 12)
 	w.waitSettled(2000, "start")
@@ -20,7 +20,7 @@
 		starts[nd.Cfg.Name] = nd.Self().Start
 		nd.OnWord = func(_ float64, c fleet.Change) {
 			if c.State > fleet.Alive && c.Name != "r-011" {
-				t.Errorf("%s calls %s %v", nd.Cfg.Name, c.Name, c.State)
+				t.Errorf("%s declares %s %v", nd.Cfg.Name, c.Name, c.State)
 			}
 		}
 	}
@@ -35,7 +35,7 @@
 		}
 		w.Pass(30)
 		if i < 4 && nd.Share().Routers != part {
-			t.Errorf("%s has one of %.0f parts, and had one of %.0f", nd.Cfg.Name, nd.Share().Routers, part)
+			t.Errorf("%s has the share 1/%.0f, and had 1/%.0f", nd.Cfg.Name, nd.Share().Routers, part)
 		}
 		w.Pass(500)
 	}
@@ -48,8 +48,8 @@
 	}
 }
 
-// One process gives way and the next comes late: the others may call the router silent meanwhile, as one that hangs, and it has its part again
-// once it is back.
+// A process takes a snapshot and its successor starts late: the others may declare the router unresponsive
+// meanwhile, as with a hung process, and it has its share again once it is back.
 func TestReplacedProcessThatStartsLate(t *testing.T) {
 	w := startNet(t, 8)
 	w.waitSettled(2000, "start")
@@ -60,7 +60,7 @@
 	w.waitShares(8, 3000)
 }
 
-// A snapshot that went the way between processes is the same, and one that is another router's or makes no sense is refused.
+// A snapshot survives encoding as JSON, and one of another router or an invalid one is rejected.
 func TestSnapshots(t *testing.T) {
 	w := startNet(t, 5)
 	w.waitSettled(2000, "start")
@@ -105,6 +105,6 @@
 		}
 	}
 	if _, err := fleet.Resume(nd.Cfg, discardHost{}, 77, -1, read()); err == nil {
-		t.Error("a snapshot of the future is taken")
+		t.Error("a snapshot of the future is accepted")
 	}
 }
