--- a/internal/pure/fleet/cases_test.go
+++ b/internal/pure/fleet/cases_test.go
@@ -464,7 +464,7 @@
 	w := startNet(t, 12)
 	w.waitSettled(2000, "start")
 	w.waitShares(12, 2000)
-	lies := func() {
+	sendFalseReports := func() {
 		liar := w.Nodes[11].View(w.Now)
 		for _, m := range liar.Members {
 			if m.Name == "r-011" {
@@ -480,7 +480,7 @@
 		}
 	}
 	for range 20 {
-		lies()
+		sendFalseReports()
 		w.Pass(300)
 		for _, nd := range w.Running() {
 			if p := nd.Share(); p.Routers < 12 {
@@ -489,7 +489,7 @@
 		}
 	}
 	n := w.countFalseDeaths()
-	lies()
+	sendFalseReports()
 	w.Pass(2000)
 	if *n > 0 {
 		t.Errorf("false reports are still believed the 21st time: %d", *n)
--- a/internal/pure/fleet/slow_test.go
+++ b/internal/pure/fleet/slow_test.go
@@ -46,18 +46,18 @@
 func TestFalseDeathsAreATenthOfPlainSWIM(t *testing.T) {
 	t.Parallel()
 	c := fleetnet.Calm{Routers: 60, Hours: 0.03, SlowShare: 0.05, SlowMS: 2000, Seed: 1}
-	ours, _ := c.FalseDeaths()
+	withLifeguard, _ := c.FalseDeaths()
 	c.Plain = true
 	plain, _ := c.FalseDeaths()
-	if plain == 0 || ours > plain/10 {
-		t.Errorf("%.2f false reports an hour for each member; plain SWIM has %.2f", ours, plain)
+	if plain == 0 || withLifeguard > plain/10 {
+		t.Errorf("%.2f false reports an hour for each member; plain SWIM has %.2f", withLifeguard, plain)
 	}
 }
 
 // A member that handles every message late requests a timeout extension when it refutes a suspicion. After
 // that it is seldom suspected, and once it is well again it drops the extension.
 func TestSlowMemberRequestsTimeoutExtension(t *testing.T) {
-	words := func(w *testNet) *int {
+	countSuspicions := func(w *testNet) *int {
 		n := 0
 		w.Nodes[0].OnWord = func(_ float64, c fleet.Change) {
 			if c.State == fleet.Suspect {
@@ -70,7 +70,7 @@
 	w.waitSettled(2000, "start")
 	w.Nodes[5].Slow = 500
 	w.Pass(60e3) // it refutes suspicions and extends its timeouts
-	n := words(w)
+	n := countSuspicions(w)
 	w.Pass(300e3)
 	if *n > 20 {
 		t.Errorf("%d suspicions in five minutes of a member with a timeout extension", *n)
@@ -98,33 +98,33 @@
 		w.Nodes[i].Slow = 500
 	}
 	w.Pass(60e3)
-	known := func(name string, least fleet.State, within float64) {
+	waitKnown := func(name string, least fleet.State, within float64) {
 		t.Helper()
 		began := w.Now
 		for {
-			told := 0
+			informed := 0
 			for _, nd := range w.Nodes {
 				if nd.State == fleetnet.Up && nd.Slow == 0 {
 					nd.ForEach(func(r fleet.Record) {
 						if r.Name == name && r.State >= least {
-							told++
+							informed++
 						}
 					})
 				}
 			}
-			if told == 22 {
+			if informed == 22 {
 				return
 			}
 			if w.Now-began > within {
-				t.Fatalf("after %.0f ms %d of 22 members know that %s is %v", within, told, name, least)
+				t.Fatalf("after %.0f ms %d of 22 members know that %s is %v", within, informed, name, least)
 			}
 			w.Pass(50)
 		}
 	}
 	w.Nodes[7].Kill()
-	known(w.Nodes[7].Cfg.Name, fleet.Dead, 1500)
+	waitKnown(w.Nodes[7].Cfg.Name, fleet.Dead, 1500)
 	w.Nodes[8].Off()
-	known(w.Nodes[8].Cfg.Name, fleet.Unresponsive, 5000)
+	waitKnown(w.Nodes[8].Cfg.Name, fleet.Unresponsive, 5000)
 }
 
 // Two views that differ in one member of 300 exchange only the buckets that differ, not the whole view.
--- a/internal/pure/fleet/snapshot_test.go
+++ b/internal/pure/fleet/snapshot_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	for i, nd := range w.Nodes[:11] {
-		part := nd.Share().Routers
+		share := nd.Share().Routers
 		nd.Replace(20)
 		if i == 4 {
 			w.Start(fleetnet.Config(12))
@@ -34,8 +34,8 @@
 			w.Nodes[11].Kill()
 		}
 		w.Pass(30)
-		if i < 4 && nd.Share().Routers != part {
-			t.Errorf("%s has the share 1/%.0f, and had 1/%.0f", nd.Cfg.Name, nd.Share().Routers, part)
+		if i < 4 && nd.Share().Routers != share {
+			t.Errorf("%s has the share 1/%.0f, and had 1/%.0f", nd.Cfg.Name, nd.Share().Routers, share)
 		}
 		w.Pass(500)
 	}
