--- a/internal/pure/fleet/cases_test.go
+++ b/internal/pure/fleet/cases_test.go
@@ -398,7 +398,7 @@
 	cfg := fleetnet.Config(20)
 	cfg.Name = "r-005"
 	w.Start(cfg)
-	w.waitSettled(3000, "the name has moved")
+	w.waitSettled(3000, "moved")
 	w.waitShares(8, 3000)
 }
 
@@ -494,5 +494,5 @@
 	if *n > 0 {
 		t.Errorf("false reports are still believed the 21st time: %d", *n)
 	}
-	w.waitSettled(1000, "after the false reports")
+	w.waitSettled(1000, "lies")
 }
