--- a/internal/pure/fleet/codec_test.go
+++ b/internal/pure/fleet/codec_test.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-var longest = Record{Name: strings.Repeat("n", MaxName), Site: strings.Repeat("s", MaxSite), Addr: Addr{IP: [16]byte{0x20, 1}, Port: 65535}, Start: 1 << 63,
+var longestRecord = Record{Name: strings.Repeat("n", MaxName), Site: strings.Repeat("s", MaxSite), Addr: Addr{IP: [16]byte{0x20, 1}, Port: 65535}, Start: 1 << 63,
 	Incarnation: 1 << 31, State: Left, TimeoutExtension: maxTimeoutExtension, Meta: strings.Repeat("\xff", MaxMeta), AccuserID: 77}
 
-func TestMessagesComeBackAsTheyWere(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	short := Record{Name: "r-1", Addr: IPv4(127, 0, 0, 9, 7946), Start: 5, State: Unresponsive, AccuserID: 9}
 	for name, q := range map[string]message{
 		"plain":   {Type: ping, Seq: 7, ViewDigest: 1 << 60, RosterDigest: 3, From: short, Target: "r-2", TargetStart: 8},
-		"longest": {Type: ack, From: longest, Target: strings.Repeat("t", MaxName), Updates: []Record{longest}},
-		"cargo":   {Type: payload, From: longest, Target: strings.Repeat("t", MaxName), Payload: make([]byte, MaxPayload)},
-		"sums":    {Type: viewDigests, ViewDigest: 9, From: longest, Target: strings.Repeat("t", MaxName), BucketDigests: bucketDigests{0: 1, 15: 1 << 31}},
+		"longest": {Type: ack, From: longestRecord, Target: strings.Repeat("t", MaxName), Updates: []Record{longestRecord}},
+		"cargo":   {Type: payload, From: longestRecord, Target: strings.Repeat("t", MaxName), Payload: make([]byte, MaxPayload)},
+		"sums":    {Type: viewDigests, ViewDigest: 9, From: longestRecord, Target: strings.Repeat("t", MaxName), BucketDigests: bucketDigests{0: 1, 15: 1 << 31}},
 		"many":    {Type: gossip, From: short, Updates: []Record{short, short, short, short}},
 	} {
 		b, n := q.encode(MaxMessage)
@@ -29,13 +29,13 @@
 		}
 		for cut := range len(b) {
 			if m, err := decode(b[:cut]); err == nil && len(m.Updates) == len(q.Updates) && m.BucketDigests == q.BucketDigests && len(m.Payload) == len(q.Payload) {
-				t.Errorf("%s: the first %d of %d bytes are taken for all", name, cut, len(b))
+				t.Errorf("%s: the first %d of %d bytes are accepted as the whole message", name, cut, len(b))
 			}
 		}
 	}
 }
 
-func TestSums(t *testing.T) {
+func TestMAC(t *testing.T) {
 	key, other := make([]byte, 32), make([]byte, 32)
 	other[31] = 1
 	sealed := AppendMAC(key, []byte("said"))
@@ -55,7 +55,7 @@
 		}
 	}
 	if _, err := VerifyMAC(key, []byte("short")); err == nil {
-		t.Error("a message without a sum is taken")
+		t.Error("a message without a MAC is accepted")
 	}
 }
 
@@ -65,13 +65,13 @@
 	for i, a := range up {
 		for j, b := range up {
 			if a.supersedes(b) != (i > j) {
-				t.Errorf("%+v over %+v: %v", a, b, a.supersedes(b))
+				t.Errorf("%+v supersedes %+v: %v", a, b, a.supersedes(b))
 			}
 		}
 	}
 }
 
-func TestImpossibleNames(t *testing.T) {
+func TestInvalidConfig(t *testing.T) {
 	good := Config{Name: "r-1", Addr: IPv4(127, 0, 0, 1, 1), Start: 1, ExpectedRouters: 1}
 	for want, change := range map[string]func(*Config){
 		`name "": 1 to 24 printable bytes`:           func(c *Config) { c.Name = "" },
@@ -89,24 +89,26 @@
 	}
 }
 
-type nobody struct{}
+// noopHost discards everything.
+type noopHost struct{}
 
-func (nobody) Send(Addr, []byte)             {}
-func (nobody) StreamPing(Addr, []byte)       {}
-func (nobody) PushPull(Addr)                 {}
-func (nobody) MemberChanged(Change)          {}
-func (nobody) DeliverPayload(Record, []byte) {}
+func (noopHost) Send(Addr, []byte)             {}
+func (noopHost) StreamPing(Addr, []byte)       {}
+func (noopHost) PushPull(Addr)                 {}
+func (noopHost) MemberChanged(Change)          {}
+func (noopHost) DeliverPayload(Record, []byte) {}
 
-// Whatever comes, a message is taken whole or refused, what is taken can be said again, and no answer is longer than its question.
+// Any input is either accepted whole or rejected, an accepted message can be encoded again, and no answer is
+// longer than its ping.
 func FuzzReceive(f *testing.F) {
-	for _, q := range []message{{Type: ping, From: longest}, {Type: pingReq, From: longest, Target: "x", Updates: []Record{longest}}} {
+	for _, q := range []message{{Type: ping, From: longestRecord}, {Type: pingReq, From: longestRecord, Target: "x", Updates: []Record{longestRecord}}} {
 		b, _ := q.encode(MaxMessage)
 		f.Add(b)
 	}
-	b, _ := (&message{Type: viewDigests, From: longest, BucketDigests: bucketDigests{7: 5}}).encode(MaxMessage)
+	b, _ := (&message{Type: viewDigests, From: longestRecord, BucketDigests: bucketDigests{7: 5}}).encode(MaxMessage)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		h := &longestSent{}
+		h := &longestAckHost{}
 		m, err := New(Config{Name: "me", Addr: IPv4(127, 0, 0, 1, 1), Start: 5, ExpectedRouters: 1}, h)
 		if err != nil {
 			t.Fatal(err)
@@ -119,31 +121,32 @@
 			t.Fatalf("decode: %v; compare: %v", err, got)
 		}
 		if h.n > len(b) {
-			t.Fatalf("%d bytes answered to %d", h.n, len(b))
+			t.Fatalf("an answer of %d bytes to a message of %d", h.n, len(b))
 		}
 		if err != nil {
 			return
 		}
 		again, n := q.encode(MaxMessage)
 		if got, err := decode(again); n == len(q.Updates) && (err != nil || !reflect.DeepEqual(got, q)) {
-			t.Fatalf("%+v comes back as %+v, %v", q, got, err)
+			t.Fatalf("%+v is decoded as %+v, %v", q, got, err)
 		}
 	})
 }
 
-type longestSent struct {
-	nobody
+// longestAckHost records the length of the longest ack.
+type longestAckHost struct {
+	noopHost
 	n int
 }
 
-func (l *longestSent) Send(_ Addr, b []byte) {
+func (l *longestAckHost) Send(_ Addr, b []byte) {
 	if messageType(b[1]) == ack {
 		l.n = max(l.n, len(b))
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	m, err := New(Config{Name: "me", Addr: IPv4(127, 0, 0, 1, 1), Start: 5, ExpectedRouters: 1}, nobody{})
+	m, err := New(Config{Name: "me", Addr: IPv4(127, 0, 0, 1, 1), Start: 5, ExpectedRouters: 1}, noopHost{})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/pure/fleet/slow_test.go
+++ b/internal/pure/fleet/slow_test.go
@@ -8,11 +8,12 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// One in twenty hears everything up to a second late: no other is called dead for that.
+// One of twenty members handles every message up to a second late: no other member is declared dead because
+// of it.
 func TestStarvedOfCPU(t *testing.T) {
-	w := begin(t, 20)
-	w.settles(2000, "start")
-	w.shares(20, 2000)
+	w := startNet(t, 20)
+	w.waitSettled(2000, "start")
+	w.waitShares(20, 2000)
 	n := 0
 	for _, nd := range w.Nodes {
 		nd.OnWord = func(_ float64, c fleet.Change) {
@@ -24,37 +25,39 @@
 	w.Nodes[7].Slow = 500
 	w.Pass(300e3)
 	if n > 0 {
-		t.Errorf("%d words that one who is well is dead", n)
+		t.Errorf("%d false reports that a healthy member is dead", n)
 	}
 	w.Nodes[7].Slow = 0
-	w.settles(5000, "it has its processor again")
-	w.shares(20, 5000)
+	w.waitSettled(5000, "it is no longer slow")
+	w.waitShares(20, 5000)
 }
 
-// One in twenty of many hears everything up to a second late, and finds itself cut off now and then: its survey takes late answers for answers.
+// In a large fleet, one in twenty members handles every message up to a second late and considers itself cut
+// off now and then: its survey accepts late answers.
 func TestSlowMembersOfManyAccuseNobody(t *testing.T) {
 	t.Parallel()
 	if deaths, _ := (fleetnet.Calm{Routers: 100, Hours: 0.04, SlowShare: 0.05, SlowMS: 500, Seed: 1}).FalseDeaths(); deaths > 0 {
-		t.Errorf("%.2f words an hour for each member that one who is well is dead", deaths)
+		t.Errorf("%.2f false reports an hour for each member that a healthy member is dead", deaths)
 	}
 }
 
-// Where messages wait longer than plain SWIM's suspicions last, at most a tenth of its false words are left.
-func TestTenthOfPlainFalseDeaths(t *testing.T) {
+// If messages are delayed for longer than the suspicion timeout of plain SWIM, there are at most a tenth as
+// many false deaths as with plain SWIM.
+func TestFalseDeathsAreATenthOfPlainSWIM(t *testing.T) {
 	t.Parallel()
 	c := fleetnet.Calm{Routers: 60, Hours: 0.03, SlowShare: 0.05, SlowMS: 2000, Seed: 1}
-	ours, _ := c.FalseDeaths()
+	withLifeguard, _ := c.FalseDeaths()
 	c.Plain = true
 	plain, _ := c.FalseDeaths()
-	if plain == 0 || ours > plain/10 {
-		t.Errorf("%.2f words an hour for each member, plain SWIM has %.2f", ours, plain)
+	if plain == 0 || withLifeguard > plain/10 {
+		t.Errorf("%.2f false reports an hour for each member; plain SWIM has %.2f", withLifeguard, plain)
 	}
 }
 
-// A member that hears everything late asks for patience in its denial. Then it is left in peace, and accuses nobody, with far fewer words
-// than under plain SWIM; and once it is well it asks for none any more.
-func TestSlowMemberAsksForPatience(t *testing.T) {
-	words := func(w *world) *int {
+// A member that handles every message late requests a timeout extension when it refutes a suspicion. After
+// that it is seldom suspected, and once it is well again it drops the extension.
+func TestSlowMemberRequestsTimeoutExtension(t *testing.T) {
+	countSuspicions := func(w *testNet) *int {
 		n := 0
 		w.Nodes[0].OnWord = func(_ float64, c fleet.Change) {
 			if c.State == fleet.Suspect {
@@ -63,86 +66,87 @@
 		}
 		return &n
 	}
-	w := begin(t, 8)
-	w.settles(2000, "start")
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
 	w.Nodes[5].Slow = 500
-	w.Pass(60e3) // here it learns that it is slow
-	n := words(w)
+	w.Pass(60e3) // it refutes suspicions and extends its timeouts
+	n := countSuspicions(w)
 	w.Pass(300e3)
 	if *n > 20 {
-		t.Errorf("%d suspicions in five minutes of a member that says that it is slow", *n)
+		t.Errorf("%d suspicions in five minutes of a member with a timeout extension", *n)
 	}
 	if w.Nodes[5].Self().TimeoutExtension == 0 {
-		t.Error("it asks for no patience")
+		t.Error("it requests no timeout extension")
 	}
 	w.Nodes[5].Slow = 0
 	w.Pass(4 * 960e3)
 	for _, nd := range w.Nodes {
 		nd.ForEach(func(r fleet.Record) {
 			if r.TimeoutExtension > 0 {
-				t.Errorf("%s: %s still asks for patience: %+v", nd.Cfg.Name, r.Name, r)
+				t.Errorf("%s: %s still requests a timeout extension: %+v", nd.Cfg.Name, r.Name, r)
 			}
 		})
 	}
 }
 
-// Whoever asks for patience is noticed in time all the same when it dies or falls silent.
-func TestDeathOfOneThatAskedForPatience(t *testing.T) {
-	w := begin(t, 24)
-	w.settles(2000, "start")
+// The failure of a member with a timeout extension is still detected in time, whether it dies or becomes
+// unresponsive.
+func TestDeathOfMemberWithTimeoutExtension(t *testing.T) {
+	w := startNet(t, 24)
+	w.waitSettled(2000, "start")
 	for _, i := range []int{7, 8} {
 		w.Nodes[i].Slow = 500
 	}
 	w.Pass(60e3)
-	known := func(name string, least fleet.State, within float64) {
+	waitKnown := func(name string, least fleet.State, within float64) {
 		t.Helper()
 		began := w.Now
 		for {
-			told := 0
+			informed := 0
 			for _, nd := range w.Nodes {
 				if nd.State == fleetnet.Up && nd.Slow == 0 {
 					nd.ForEach(func(r fleet.Record) {
 						if r.Name == name && r.State >= least {
-							told++
+							informed++
 						}
 					})
 				}
 			}
-			if told == 22 {
+			if informed == 22 {
 				return
 			}
 			if w.Now-began > within {
-				t.Fatalf("after %.0f ms %d of 22 say that %s is %v", within, told, name, least)
+				t.Fatalf("after %.0f ms %d of 22 members know that %s is %v", within, informed, name, least)
 			}
 			w.Pass(50)
 		}
 	}
 	w.Nodes[7].Kill()
-	known(w.Nodes[7].Cfg.Name, fleet.Dead, 1500)
+	waitKnown(w.Nodes[7].Cfg.Name, fleet.Dead, 1500)
 	w.Nodes[8].Off()
-	known(w.Nodes[8].Cfg.Name, fleet.Unresponsive, 5000)
+	waitKnown(w.Nodes[8].Cfg.Name, fleet.Unresponsive, 5000)
 }
 
-// Views that differ in one member of 300 exchange the buckets that differ, not all of the view.
-func TestRepairSendsWhatDiffers(t *testing.T) {
+// Two views that differ in one member of 300 exchange only the buckets that differ, not the whole view.
+func TestPushPullSendsDifferingBuckets(t *testing.T) {
 	t.Parallel()
 	peers := [2]*fleet.Machine{}
 	for i := range peers {
 		cfg := fleetnet.Config(i)
-		m, err := fleet.New(cfg, deaf{})
+		m, err := fleet.New(cfg, discardHost{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		peers[i] = m
 		other := fleet.Record{Name: fleetnet.Config(1 - i).Name, Site: fleetnet.Config(1 - i).Site, Addr: fleetnet.Config(1 - i).Addr, Start: fleetnet.Config(1 - i).Start}
-		give(t, m, other)
+		receiveRecord(t, m, other)
 		for j := 2; j < 300; j++ {
 			c := fleetnet.Config(j)
-			give(t, m, fleet.Record{Name: c.Name, Site: c.Site, Addr: c.Addr, Start: c.Start, State: fleet.Alive})
+			receiveRecord(t, m, fleet.Record{Name: c.Name, Site: c.Site, Addr: c.Addr, Start: c.Start, State: fleet.Alive})
 		}
 	}
 	late := fleet.Record{Name: "late", Addr: fleet.IPv4(127, 9, 9, 9, 1), Start: 7}
-	give(t, peers[0], late)
+	receiveRecord(t, peers[0], late)
 	compare := func() (here, there fleet.Buckets) {
 		t.Helper()
 		var errs [2]error
@@ -176,22 +180,23 @@
 		t.Errorf("%d pages where nothing differs", len(got))
 	}
 	if _, err := peers[0].CompareDigests(1e6, fleet.Encode(late, late)); err == nil {
-		t.Error("a message that holds no sums is compared")
+		t.Error("a message without bucket digests is accepted")
 	}
 }
 
-// give has a machine hear of a member, from itself.
-func give(t *testing.T, m *fleet.Machine, r fleet.Record) {
+// receiveRecord passes a machine a record that its member sent itself.
+func receiveRecord(t *testing.T, m *fleet.Machine, r fleet.Record) {
 	t.Helper()
 	if err := m.Receive(1e6, fleet.Encode(r, r)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-type deaf struct{}
+// discardHost discards everything.
+type discardHost struct{}
 
-func (deaf) Send(fleet.Addr, []byte)             {}
-func (deaf) StreamPing(fleet.Addr, []byte)       {}
-func (deaf) PushPull(fleet.Addr)                 {}
-func (deaf) MemberChanged(fleet.Change)          {}
-func (deaf) DeliverPayload(fleet.Record, []byte) {}
+func (discardHost) Send(fleet.Addr, []byte)             {}
+func (discardHost) StreamPing(fleet.Addr, []byte)       {}
+func (discardHost) PushPull(fleet.Addr)                 {}
+func (discardHost) MemberChanged(fleet.Change)          {}
+func (discardHost) DeliverPayload(fleet.Record, []byte) {}
--- a/internal/pure/fleet/snapshot_test.go
+++ b/internal/pure/fleet/snapshot_test.go
@@ -9,23 +9,23 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// Each process is replaced by another in turn, while one joins and one is killed. To the others the router is the same member throughout: no
-// word of it, the same start, and its part is its own again at once.
+// Each process in turn is replaced by a new one, while one router joins and one is killed. To the others each
+// router stays the same member: no suspicion, the same start, and it has its share again at once.
 func TestReplacedProcessIsOneMember(t *testing.T) {
-	w := begin(t, 12)
-	w.settles(2000, "start")
-	w.shares(12, 2000)
+	w := startNet(t, 12)
+	w.waitSettled(2000, "start")
+	w.waitShares(12, 2000)
 	starts := map[string]uint64{}
 	for _, nd := range w.Nodes {
 		starts[nd.Cfg.Name] = nd.Self().Start
 		nd.OnWord = func(_ float64, c fleet.Change) {
 			if c.State > fleet.Alive && c.Name != "r-011" {
-				t.Errorf("%s calls %s %v", nd.Cfg.Name, c.Name, c.State)
+				t.Errorf("%s declares %s %v", nd.Cfg.Name, c.Name, c.State)
 			}
 		}
 	}
 	for i, nd := range w.Nodes[:11] {
-		part := nd.Share().Routers
+		share := nd.Share().Routers
 		nd.Replace(20)
 		if i == 4 {
 			w.Start(fleetnet.Config(12))
@@ -34,13 +34,13 @@
 			w.Nodes[11].Kill()
 		}
 		w.Pass(30)
-		if i < 4 && nd.Share().Routers != part {
-			t.Errorf("%s has one of %.0f parts, and had one of %.0f", nd.Cfg.Name, nd.Share().Routers, part)
+		if i < 4 && nd.Share().Routers != share {
+			t.Errorf("%s has the share 1/%.0f, and had 1/%.0f", nd.Cfg.Name, nd.Share().Routers, share)
 		}
 		w.Pass(500)
 	}
-	w.settles(3000, "all are replaced")
-	w.shares(12, 3000)
+	w.waitSettled(3000, "all are replaced")
+	w.waitShares(12, 3000)
 	for _, nd := range w.Nodes[:11] {
 		if got := nd.Self().Start; got != starts[nd.Cfg.Name] {
 			t.Errorf("%s has start %d, and had %d", nd.Cfg.Name, got, starts[nd.Cfg.Name])
@@ -48,23 +48,23 @@
 	}
 }
 
-// One process gives way and the next comes late: the others may call the router silent meanwhile, as one that hangs, and it has its part again
-// once it is back.
-func TestReplacedProcessThatComesLate(t *testing.T) {
-	w := begin(t, 8)
-	w.settles(2000, "start")
-	w.shares(8, 2000)
+// A process takes a snapshot and its successor starts late: the others may declare the router unresponsive
+// meanwhile, as with a hung process, and it has its share again once it is back.
+func TestReplacedProcessThatStartsLate(t *testing.T) {
+	w := startNet(t, 8)
+	w.waitSettled(2000, "start")
+	w.waitShares(8, 2000)
 	w.Nodes[3].Replace(5000)
 	w.Pass(5100)
-	w.settles(3000, "it is back")
-	w.shares(8, 3000)
+	w.waitSettled(3000, "it is back")
+	w.waitShares(8, 3000)
 }
 
-// A snapshot that went the way between processes is the same, and one that is another router's or makes no sense is refused.
+// A snapshot survives encoding as JSON, and one of another router or an invalid one is rejected.
 func TestSnapshots(t *testing.T) {
-	w := begin(t, 5)
-	w.settles(2000, "start")
-	w.shares(5, 2000)
+	w := startNet(t, 5)
+	w.waitSettled(2000, "start")
+	w.waitShares(5, 2000)
 	nd := w.Nodes[2]
 	nd.SetMeta(w.Now, "\xff\x00door") //nolint:errcheck // it fits
 	w.Nodes[4].Kill()
@@ -83,7 +83,7 @@
 		}
 		return got
 	}
-	m, err := fleet.Resume(nd.Cfg, deaf{}, 77, 5, read())
+	m, err := fleet.Resume(nd.Cfg, discardHost{}, 77, 5, read())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,18 +93,18 @@
 	for want, change := range map[string]func(*fleet.Config, *fleet.Snapshot){
 		`a snapshot of r-002 at 127.1.0.2:7946`: func(c *fleet.Config, _ *fleet.Snapshot) { c.Name = "other" },
 		`in "rades": this is r-002`:             func(c *fleet.Config, _ *fleet.Snapshot) { c.Site = "sfax" },
-		`a snapshot: the message is cut short`:  func(_ *fleet.Config, s *fleet.Snapshot) { s.Self = s.Self[:9] },
-		`doubt 9`:                               func(_ *fleet.Config, s *fleet.Snapshot) { s.HealthScore = 9 },
+		`a snapshot: the message is truncated`:  func(_ *fleet.Config, s *fleet.Snapshot) { s.Self = s.Self[:9] },
+		`health score 9`:                        func(_ *fleet.Config, s *fleet.Snapshot) { s.HealthScore = 9 },
 		`member 1: r-`:                          func(_ *fleet.Config, s *fleet.Snapshot) { s.Members[1] = s.Members[0] },
 		`member 0: 1 bytes behind the record`:   func(_ *fleet.Config, s *fleet.Snapshot) { s.Members[0].Record = append(s.Members[0].Record, 0) },
 	} {
 		cfg, s := nd.Cfg, read()
 		change(&cfg, &s)
-		if _, err := fleet.Resume(cfg, deaf{}, 77, 5, s); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := fleet.Resume(cfg, discardHost{}, 77, 5, s); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	if _, err := fleet.Resume(nd.Cfg, deaf{}, 77, -1, read()); err == nil {
-		t.Error("a snapshot of the future is taken")
+	if _, err := fleet.Resume(nd.Cfg, discardHost{}, 77, -1, read()); err == nil {
+		t.Error("a snapshot of the future is accepted")
 	}
 }
