--- a/decide/api.go
+++ b/decide/api.go
@@ -296,7 +296,7 @@
 	}
 	parts := float64(cfg.Routers)
 	b := &Balancer{cfg: cfg, tier: Tier{cfg.Routers, parts, math.Inf(1), parts}, processes: 1, parts: parts, host: host, rng: rand.New(rand.NewPCG(seed, 1)),
-		began: -1, spare: 10, fetches: firstFetches(parts), bear: 0.2, keep: cfg.ConnIdle,
+		began: -1, spare: 10, fetches: initialFetchLimit(parts), bear: 0.2, keep: cfg.ConnIdle,
 		portion: 1 / float64(cfg.Routers),
 		turn:    int(seed % 4096), watchAt: math.Inf(1), servers: map[uint32]*server{}, zones: map[string]*zone{}, keys: map[uint64]*flow{},
 		reqs: map[uint32]*request{}}
@@ -307,10 +307,10 @@
 func (b *Balancer) begin(now float64) {
 	if b.now = now; b.began < 0 {
 		b.began, b.solvedAt = now, now
-		b.host.Timer(tick, tickToken)
+		b.host.Timer(housekeepInterval, tickToken)
 	}
 	if now > b.tier.Until {
-		b.resize()
+		b.applyShares()
 	}
 }
 
@@ -331,8 +331,8 @@
 func (b *Balancer) Gone(now float64, id uint32) {
 	b.begin(now)
 	if r := b.reqs[id]; r != nil && !r.closed {
-		b.close(r)
-		b.pump()
+		b.closeRequest(r)
+		b.dispatchHeld()
 	}
 }
 
@@ -351,11 +351,11 @@
 		b.housekeep()
 	} else if r := b.reqs[uint32(token>>8)]; r != nil && !r.closed {
 		if i := int(token & 255); i > 0 {
-			b.stalled(r, i-1)
+			b.handleStall(r, i-1)
 		} else if r.held > 0 && r.out == 0 { // waited too long
-			b.end(r)
+			b.endRequest(r)
 		}
-		b.pump()
+		b.dispatchHeld()
 	}
 }
 
@@ -370,7 +370,7 @@
 	r := &request{Request: q, class: c, until: now + q.Left, worth: c.Worth, work: b.workOf(q.Hint), key: b.flow(q)}
 	r.aim = now + min(q.Left, c.Aim+c.Stretch*q.Hint)
 	b.reqs[q.ID] = r
-	b.arrive(r)
+	b.handleArrival(r)
 }
 
 // Outcome takes the end of an attempt.
@@ -381,7 +381,7 @@
 		b.learn(s, o.Load)
 	}
 	if a := r.settle(o.Attempt, o.Status); a != nil {
-		b.ended(r, a, o)
+		b.handleOutcome(r, a, o)
 	}
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -219,7 +219,7 @@
 			v[j].load = l
 		}
 		x := []float64{c.total, 0, 0}
-		b.balance(v, x)
+		b.balanceFlow(v, x)
 		if sum := x[0] + x[1] + x[2]; math.Abs(sum-c.total) > 1e-6 {
 			t.Fatalf("%v: rates add up to %v", c, sum)
 		}
@@ -244,7 +244,7 @@
 	b := &Balancer{}
 	v := models(2, 3, 5)
 	x := []float64{80, 0, 0}
-	b.balance(v, x)
+	b.balanceFlow(v, x)
 	var d [3]float64
 	for j, s := range v {
 		_, d[j], _ = delay(x[j], s.n, s.mu, b.x.ratio())
@@ -268,7 +268,7 @@
 		k := &flow{}
 		v := models(3, 3, 3, 3)
 		b.scale, b.olat.v = 1, c.fetch
-		b.split(k, v, c.total)
+		b.splitFlow(k, v, c.total)
 		if len(k.v) != c.want && (c.want == 1 || len(k.v) < c.want) {
 			t.Errorf("total %v, fetch %v: %d servers, want %d", c.total, c.fetch, len(k.v), c.want)
 		}
@@ -294,7 +294,7 @@
 	b2, _ := start(t, testConfig(), rest)
 	for key := range uint64(500) {
 		l1, l2 := b1.list(&flow{id: key}), b2.list(&flow{id: key})
-		if len(l1) != listLen || len(l2) != listLen {
+		if len(l1) != maxCandidates || len(l2) != maxCandidates {
 			t.Fatalf("key %d: lists of %d and %d", key, len(l1), len(l2))
 		}
 		for i := range l1 {
@@ -367,7 +367,7 @@
 	k.v, k.p = []*server{l[0], l[2]}, []float64{0.7, 0.3}
 	n := map[*server]int{}
 	for range 10000 {
-		n[b.pick(read(b, k))]++
+		n[b.pickServer(read(b, k))]++
 	}
 	if math.Abs(float64(n[l[0]])/10000-0.7) > 0.02 || n[l[0]]+n[l[2]] != 10000 {
 		t.Errorf("shares 0.7 and 0.3 were picked %d and %d times of 10000", n[l[0]], n[l[2]])
@@ -381,7 +381,7 @@
 		s.cap.see(b.now, 40, 1)
 	}
 	for key := range uint64(300) {
-		b.flow(Request{Key: key, HasKey: true}).rate.add(b.now, keyTau, 1)
+		b.flow(Request{Key: key, HasKey: true}).rate.add(b.now, keyRateTau, 1)
 	}
 	for round := range 5 {
 		for i, s := range b.order {
@@ -390,7 +390,7 @@
 		b.solve()
 		for key := range uint64(300) {
 			k := b.flow(Request{Key: key, HasKey: true})
-			if s := b.pick(read(b, k)); s != b.list(k)[0] {
+			if s := b.pickServer(read(b, k)); s != b.list(k)[0] {
 				t.Fatalf("round %d: cold key %d left its home", round, key)
 			}
 		}
@@ -503,7 +503,7 @@
 	b.olat.v = 50
 	k := &flow{}
 	v := models(3, 3)
-	b.split(k, v, 28) // 28 of 30 when scaled, 9 in fact
+	b.splitFlow(k, v, 28) // 28 of 30 when scaled, 9 in fact
 	if len(k.v) != 1 {
 		t.Errorf("%d servers for a key that one serves with ease", len(k.v))
 	}
@@ -554,7 +554,7 @@
 		k := b.reqs[1].key
 		b.servers[h.last().server].reply = 0
 		b.Timer(101200, 1<<8|1)
-		if hot := k.rate.v >= hotSeen; hot != c.hot {
+		if hot := k.rate.v >= minHotArrivals; hot != c.hot {
 			t.Errorf("%d requests a second: %v arrivals after a stall", c.before, k.rate.v)
 		}
 	}
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -174,7 +174,7 @@
 	c := &possible{}
 	c.figures("the router", 1e12, l.Hint, l.Mean, l.Square, l.Samples, l.Keep)
 	c.figures("the router", 1, l.Bear, l.Usual, l.Lost)
-	c.figures("fetches", maxFetches, l.Fetches)
+	c.figures("fetches", maxFetchLimit, l.Fetches)
 	c.figures("the start", latest, l.Began)
 	c.levels("the router", latest, l.Jam, l.Fetch)
 	c.rates("the router", latest, l.Arrivals)
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -125,12 +125,12 @@
 	old := experienced(t)
 	cold := old.servers[fleet(6)[1].ID]
 	old.begin(cold.fresh + 2000)
-	old.afford(cold, 1, 1)
+	old.budgetAllows(cold, 1, 1)
 	alone, fetches := cold.budget.v, old.fetches
-	old.Share(old.now, 2)
+	old.SetProcesses(old.now, 2)
 	b, _ := start(t, old.cfg, fleet(6))
 	b.tier = old.tier // as its configuration says
-	b.Share(old.now, 2)
+	b.SetProcesses(old.now, 2)
 	es := make([]Entry, 0, 6)
 	for _, s := range old.order {
 		es = append(es, s.Entry)
@@ -150,16 +150,16 @@
 	fill := func(x *Balancer, s *server) float64 {
 		x.now = later
 		was := s.budget.v
-		x.afford(s, 1, 1)
+		x.budgetAllows(s, 1, 1)
 		return s.budget.v - was
 	}
 	both := fill(old, cold) + fill(b, next)
-	b.Share(later, 1) // the old one is gone
+	b.SetProcesses(later, 1) // the old one is gone
 	single := experienced(t)
 	s := single.servers[cold.ID]
 	s.budget = rate{0, later - 100}
 	single.now = later
-	single.afford(s, 1, 1)
+	single.budgetAllows(s, 1, 1)
 	if both > s.budget.v*1.01 {
 		t.Errorf("both gain %v of a cold server's budget in 100 ms, one alone %v", both, s.budget.v)
 	}
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -80,7 +80,7 @@
 	b.Run("solve", func(b *testing.B) {
 		var most time.Duration
 		for b.Loop() {
-			now += solveEvery
+			now += solveInterval
 			began := time.Now()
 			m.Timer(now, tickToken)
 			most = max(most, time.Since(began))
--- a/decide/state.go
+++ b/decide/state.go
@@ -16,15 +16,15 @@
 // Balancer decides for one router.
 type Balancer struct {
 	cfg        Config
-	tier       Tier    // what is known of the routers that share
-	told       bool    // routers tell each other who there is
-	line       Line    // what they serve while they can't serve all,
-	lineAt     float64 // and when that was told
-	demand     Demand  // but for its room
-	room       float64 // what all servers may be given a second by all routers
-	idle       rate    // work that this router's part of that has left over
-	processes  int     // of this router that decide at once
-	parts      float64 // this process has one of so many equal parts of what all share
+	tier       Tier               // what is known of the routers that share
+	told       bool               // routers tell each other who there is
+	line       AdmissionThreshold // what they serve while they can't serve all,
+	lineAt     float64            // and when that was told
+	demand     Demand             // but for its room
+	room       float64            // what all servers may be given a second by all routers
+	idle       rate               // work that this router's part of that has left over
+	processes  int                // of this router that decide at once
+	parts      float64            // this process has one of so many equal parts of what all share
 	host       Host
 	rng        *rand.Rand
 	now, began float64
@@ -262,9 +262,9 @@
 // keys of the buckets that come or go.
 func (b *Balancer) claimsOf(s *server) int {
 	if !b.cfg.Weighted || !figure(s.Size) {
-		return claims
+		return bucketsPerServer
 	}
-	return int(min(maxClaims, max(1, math.Round(claims*s.Size))))
+	return int(min(maxBucketsPerServer, max(1, math.Round(bucketsPerServer*s.Size))))
 }
 
 // list gives the first distinct servers of a key. Keys of a removed bucket are drawn again over the table.
@@ -274,7 +274,7 @@
 		if k.owners != nil {
 			return k.list
 		}
-		for h, i := mix(k.id), 0; len(k.list) < min(listLen, len(b.order)) && i < 4<<tableBits; i++ {
+		for h, i := mix(k.id), 0; len(k.list) < min(maxCandidates, len(b.order)) && i < 4<<tableBits; i++ {
 			if s := b.table[h>>(64-tableBits)]; s != nil && !slices.Contains(k.list, s) {
 				k.list = append(k.list, s)
 			}
@@ -287,7 +287,7 @@
 // listed are the servers of these ids that are on the list, at most as many as a key's list has.
 func (b *Balancer) listed(ids []uint32) (list []*server) {
 	for _, id := range ids {
-		if s := b.servers[id]; s != nil && s.listed && len(list) < listLen {
+		if s := b.servers[id]; s != nil && s.listed && len(list) < maxCandidates {
 			list = append(list, s)
 		}
 	}
@@ -393,7 +393,7 @@
 	again, most := a.passed, b.lost > 0.5
 	switch a.passed = true; {
 	case again:
-		b.lost += lostTells * (1 - b.lost)
+		b.lost += lostAnswerWeight * (1 - b.lost)
 	case most:
 		b.lost *= 0.97
 	}
@@ -449,17 +449,17 @@
 	return k
 }
 
-// hottest brings all rates up to now, forgets keys that have faded and the shares of the others, and returns the hottest of
+// maxHotKeys brings all rates up to now, forgets keys that have faded and the shares of the others, and returns the hottest of
 // them in order. One pass without memory of its own: it stands in the way of requests, and keys come by the hundred
 // thousand.
 func (b *Balancer) hottest() []*flow {
-	mem, top := b.keyMem(), make([]*flow, 0, hottest+1)
+	mem, top := b.keyMem(), make([]*flow, 0, maxHotKeys+1)
 	b.keyList = slices.DeleteFunc(b.keyList, func(k *flow) bool {
 		if k.rate.add(b.now, mem, 0) < 0.02 && k.fetch == nil {
 			delete(b.keys, k.id)
 			return true
 		}
-		k.v, top = nil, hotter(top, k, hottest)
+		k.v, top = nil, hotter(top, k, maxHotKeys)
 		return false
 	})
 	return top
@@ -550,12 +550,12 @@
 
 // seldom is near 1 where seconds pass between two own sends to a server, near 0 where there are many.
 func (b *Balancer) seldom() float64 {
-	return 1 - math.Exp(-float64(len(b.order))/(2*b.perSecond(&b.arrivals, keyTau)+0.01))
+	return 1 - math.Exp(-float64(len(b.order))/(2*b.perSecond(&b.arrivals, keyRateTau)+0.01))
 }
 
 // keyMem is the memory of key rates: a hundred arrivals, so that a router of many tells a hot key at all.
 func (b *Balancer) keyMem() float64 {
-	return min(60000, max(keyTau, 1e5/max(1, b.perSecond(&b.arrivals, keyTau))))
+	return min(60000, max(keyRateTau, 1e5/max(1, b.perSecond(&b.arrivals, keyRateTau))))
 }
 
 // warmth is the share of its capacity that a server has at least.
@@ -590,4 +590,4 @@
 }
 
 // absent says whether the origin had no value of a key lately.
-func (b *Balancer) absent(k *flow) bool { return k.absent > 0 && b.now < k.absent+absentFor }
+func (b *Balancer) absent(k *flow) bool { return k.absent > 0 && b.now < k.absent+absentMemory }
--- a/decide/zone_test.go
+++ b/decide/zone_test.go
@@ -36,7 +36,7 @@
 	b, _ = start(t, testConfig(), twoZones(n))
 	sent = b.now
 	b.now += 300
-	b.observe(ofZone(b, "b")[0], OK, sent)
+	b.observeHealth(ofZone(b, "b")[0], OK, sent)
 	return b, ofZone(b, "a"), sent
 }
 
@@ -44,11 +44,11 @@
 // silent servers in a row, of a zone that says nothing while the other answers, are enough for all.
 func TestZoneOfWhichNothingAnswersIsLostAsAWhole(t *testing.T) {
 	b, dead, sent := losing(t, 60)
-	for i := range maxSilent {
+	for i := range zoneEjectionServers {
 		if got := out(b, "a"); got != 0 {
 			t.Fatalf("%d out after %d silent servers", got, i)
 		}
-		b.observe(dead[i], TimedOut, sent+1)
+		b.observeHealth(dead[i], TimedOut, sent+1)
 	}
 	if got := out(b, "a"); got != 30 {
 		t.Errorf("%d of 30 out", got)
@@ -58,7 +58,7 @@
 	}
 	// It is back: the first that answers has all others tried again at once, each by one request.
 	b.now += 9000
-	b.observe(dead[7], OK, b.now-50)
+	b.observeHealth(dead[7], OK, b.now-50)
 	if dead[7].ejected {
 		t.Error("the one that answered is still out")
 	}
@@ -74,30 +74,30 @@
 func TestSilenceThatIsNoLostZone(t *testing.T) {
 	for name, history := range map[string]func(b *Balancer, a, o []*server, sent float64){
 		"one server": func(b *Balancer, a, o []*server, sent float64) {
-			b.observe(o[0], OK, sent)
+			b.observeHealth(o[0], OK, sent)
 			for range 10 {
-				b.observe(a[0], TimedOut, sent+1)
+				b.observeHealth(a[0], TimedOut, sent+1)
 			}
 		},
 		"silence everywhere": func(b *Balancer, a, o []*server, sent float64) {
 			for i := range 10 {
-				b.observe(a[i], TimedOut, sent+1)
-				b.observe(o[i], TimedOut, sent+1)
+				b.observeHealth(a[i], TimedOut, sent+1)
+				b.observeHealth(o[i], TimedOut, sent+1)
 			}
 		},
 		"an answer between": func(b *Balancer, a, o []*server, sent float64) {
-			b.observe(o[0], OK, sent)
-			b.observe(a[0], TimedOut, sent+1)
-			b.observe(a[1], TimedOut, sent+1)
-			b.observe(a[5], Miss, sent+2)
-			b.observe(a[2], TimedOut, b.now+1)
-			b.observe(a[3], TimedOut, b.now+1)
+			b.observeHealth(o[0], OK, sent)
+			b.observeHealth(a[0], TimedOut, sent+1)
+			b.observeHealth(a[1], TimedOut, sent+1)
+			b.observeHealth(a[5], Miss, sent+2)
+			b.observeHealth(a[2], TimedOut, b.now+1)
+			b.observeHealth(a[3], TimedOut, b.now+1)
 		},
 		"late news of attempts from before an answer": func(b *Balancer, a, o []*server, sent float64) {
-			b.observe(o[0], OK, sent)
-			b.observe(a[5], OK, sent)
+			b.observeHealth(o[0], OK, sent)
+			b.observeHealth(a[5], OK, sent)
 			for i := range 5 {
-				b.observe(a[i], TimedOut, sent)
+				b.observeHealth(a[i], TimedOut, sent)
 			}
 		},
 	} {
@@ -116,8 +116,8 @@
 // A new process in a lost zone has a new record, and the zone's end does not touch it.
 func TestServerThatStartsAnewInALostZoneIsIn(t *testing.T) {
 	b, dead, sent := losing(t, 12)
-	for i := range maxSilent {
-		b.observe(dead[i], ConnectError, sent+1)
+	for i := range zoneEjectionServers {
+		b.observeHealth(dead[i], ConnectError, sent+1)
 	}
 	if got := out(b, "a"); got != 6 {
 		t.Fatalf("%d of 6 out", got)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -213,21 +213,21 @@
 }
 
 // Share tells the module that so many processes of this router serve at once.
-func (e *Engine) Share(processes int) { e.b.Share(e.now(), processes) }
+func (e *Engine) Share(processes int) { e.b.SetProcesses(e.now(), processes) }
 
-// Tier tells what is known of the routers that share what all have, as decide.Tier; its end is a time of the clock.
+// Tier tells what is known of the routers that share what all have, as decide.SetTier; its end is a time of the clock.
 func (e *Engine) Tier(routers int, parts float64, until time.Time, then float64) error {
-	t := decide.Tier{Routers: routers, Parts: parts, Until: math.Inf(1), Then: then}
+	t := decide.Tier{Routers: routers, Shares: parts, Until: math.Inf(1), SharesAfter: then}
 	if !until.IsZero() {
 		t.Until = e.now() + float64(time.Until(until))/float64(time.Millisecond)
 	}
-	return e.b.Tier(e.now(), t)
+	return e.b.SetTier(e.now(), t)
 }
 
 // Line tells what the routers of the tier serve while they can't serve all; its end is a time of the clock.
-func (e *Engine) Line(l decide.Line, until time.Time) error {
+func (e *Engine) Line(l decide.AdmissionThreshold, until time.Time) error {
 	l.Until = e.now() + float64(time.Until(until))/float64(time.Millisecond)
-	return e.b.Line(e.now(), l)
+	return e.b.SetAdmissionThreshold(e.now(), l)
 }
 
 // Tenants is who counts what tenants use, nil where nobody does.
--- a/internal/fleet/lines.go
+++ b/internal/fleet/lines.go
@@ -41,9 +41,9 @@
 	sayAt  time.Time
 	gone   line.Demand // as it was a second before
 	goneT  time.Time
-	shed   [decide.Bands]float64 // work a second that is refused as it is under the line, and
-	asked  [decide.Bands]float64 // that is asked for
-	turned float64               // and that is refused though it is over the line
+	shed   [decide.NumBands]float64 // work a second that is refused as it is under the line, and
+	asked  [decide.NumBands]float64 // that is asked for
+	turned float64                  // and that is refused though it is over the line
 }
 
 // poolNumber is by what all routers know a pool of a name.
@@ -77,7 +77,7 @@
 			if len(l.of) == maxPools {
 				continue
 			}
-			p = &poolLine{f: l.f, name: d.Pool, told: decide.NoLine, said: decide.Bands}
+			p = &poolLine{f: l.f, name: d.Pool, told: decide.AdmitAll, said: decide.NumBands}
 			p.m = line.New(id, rand.Uint64(), p)
 			l.of[id] = p
 		}
@@ -91,14 +91,14 @@
 func (p *poolLine) count(d line.Demand) {
 	now := time.Now()
 	if gone := now.Sub(p.goneT); gone >= time.Second {
-		for i := range d.Work {
+		for i := range d.Arrived {
 			if !p.goneT.IsZero() {
-				p.asked[i] = max(0, d.Work[i]-p.gone.Work[i]) / gone.Seconds()
-				p.shed[i] = max(0, d.Under[i]-p.gone.Under[i]) / gone.Seconds()
+				p.asked[i] = max(0, d.Arrived[i]-p.gone.Arrived[i]) / gone.Seconds()
+				p.shed[i] = max(0, d.Shed[i]-p.gone.Shed[i]) / gone.Seconds()
 			}
 		}
 		if !p.goneT.IsZero() {
-			p.turned = max(0, d.Turned-p.gone.Turned) / gone.Seconds()
+			p.turned = max(0, d.Rejected-p.gone.Rejected) / gone.Seconds()
 		}
 		p.gone, p.goneT = d, now
 	}
@@ -108,8 +108,8 @@
 func (p *poolLine) tell() {
 	now, at := p.f.now(), time.Now()
 	l := p.m.Line(now)
-	none := l.Band == decide.Bands
-	if none && p.told.Band == decide.Bands {
+	none := l.Band == decide.NumBands
+	if none && p.told.Band == decide.NumBands {
 		return
 	}
 	if l.Band == p.told.Band && math.Abs(l.Share-p.told.Share) < shareMoves && at.Sub(p.at) < toldAgain {
@@ -152,7 +152,7 @@
 	Pool string
 	line.Line
 	line.Figures
-	Asked, Shed [decide.Bands]float64 // here
+	Asked, Shed [decide.NumBands]float64 // here
 	Turned      float64
 }
 
--- a/internal/pure/line/cases_test.go
+++ b/internal/pure/line/cases_test.go
@@ -45,8 +45,8 @@
 }
 
 // asked is what a router is asked for, of three worths.
-func asked(much float64) [decide.Bands]float64 {
-	return [decide.Bands]float64{gold: 0.2 * much, read: 0.5 * much, bulk: 0.3 * much}
+func asked(much float64) [decide.NumBands]float64 {
+	return [decide.NumBands]float64{gold: 0.2 * much, read: 0.5 * much, bulk: 0.3 * much}
 }
 
 // ask has all be asked for so many times as much.
@@ -125,9 +125,9 @@
 		w := begin(t, 12)
 		w.ask(2)
 		for i, nd := range w.Nodes { // 960 are asked for, of which a half is gold: it fits alone
-			nd.Asks = [decide.Bands]float64{bulk: 60}
+			nd.Asks = [decide.NumBands]float64{bulk: 60}
 			if i%3 == 0 {
-				nd.Asks = [decide.Bands]float64{gold: 120}
+				nd.Asks = [decide.NumBands]float64{gold: 120}
 			}
 		}
 		w.For(3000)
@@ -274,9 +274,9 @@
 	w.Start(fleetnet.Lending(6))
 	w.ask(3)
 	w.For(5000)
-	first := w.Nodes[0].Line.Line(w.Now).Turn
+	first := w.Nodes[0].Line.Line(w.Now).Rotation
 	for i, nd := range w.Nodes {
-		apart := nd.Line.Line(w.Now).Turn - first
+		apart := nd.Line.Line(w.Now).Rotation - first
 		if apart -= math.Round(apart); math.Abs(apart) > 0.005 {
 			t.Errorf("router %d is %.3f of a turn apart", i, apart)
 		}
@@ -290,17 +290,17 @@
 	f.Add(append([]byte{4, 0, 0, 0, 1}, bytes.Repeat([]byte{255}, line.MaxMessage-5)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m := line.New(1, 1, nobody{})
-		d := line.Demand{Room: 100}
+		d := line.Demand{Capacity: 100}
 		for now := 1000.0; now < 3000; now += 50 {
-			d.Work[0] += 1
-			d.Passed, d.Sent = d.Passed+1, d.Sent+1
+			d.Arrived[0] += 1
+			d.Admitted, d.Sent = d.Admitted+1, d.Sent+1
 			m.Tick(now, 1, d, []line.Peer{{Name: "p"}})
 			m.Receive(now, line.Peer{Name: "p"}, b) //nolint:errcheck // what is wrong is refused
 			if err := m.Line(now).Validate(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if g := m.Figures(); !(g.Mean <= 16*decide.Bands*100+1) || g.Open < 0 || g.Open > 1 {
+		if g := m.Figures(); !(g.Mean <= 16*decide.NumBands*100+1) || g.Open < 0 || g.Open > 1 {
 			t.Errorf("%x: %+v", b, g)
 		}
 	})
--- a/internal/pure/line/codec.go
+++ b/internal/pure/line/codec.go
@@ -16,7 +16,7 @@
 )
 
 // MaxMessage is the length of a message in bytes: all have the same.
-const MaxMessage = 1 + 4 + 2 + 4 + 2 + 2*(decide.Bands+1)
+const MaxMessage = 1 + 4 + 2 + 4 + 2 + 2*(decide.NumBands+1)
 
 // message is what two routers that meet tell each other: what each takes for the mean.
 type message struct {
--- a/internal/pure/line/line.go
+++ b/internal/pure/line/line.go
@@ -18,7 +18,7 @@
 // Demand is what has come to a router so far, and Line what follows for it.
 type (
 	Demand = decide.Demand
-	Line   = decide.Line
+	Line   = decide.AdmissionThreshold
 )
 
 // Times, in ms.
@@ -54,10 +54,10 @@
 }
 
 // vector is work a second by worth, and behind it the room.
-type vector [decide.Bands + 1]float64
+type vector [decide.NumBands + 1]float64
 
 // room is where it stands in a vector.
-const room = decide.Bands
+const room = decide.NumBands
 
 // total is the work in it.
 func (v *vector) total() (sum float64) {
@@ -126,13 +126,13 @@
 		return
 	}
 	was := m.here
-	if passed, sent := d.Passed-m.last.Passed, d.Sent-m.last.Sent; passed > 0 && sent >= 0 {
+	if passed, sent := d.Admitted-m.last.Admitted, d.Sent-m.last.Sent; passed > 0 && sent >= 0 {
 		// A request or two say little of the mean: as much as they are beside what comes in four of these times.
 		w := min(1, passed/(8+4*m.here.total()*slow/1000))
 		m.cost += w * (min(maxCost, max(0.5, sent/passed)) - m.cost)
 	}
-	for i := range d.Work {
-		came := max(0, d.Work[i]-m.last.Work[i]) / gone * 1000 * max(1, m.cost)
+	for i := range d.Arrived {
+		came := max(0, d.Arrived[i]-m.last.Arrived[i]) / gone * 1000 * max(1, m.cost)
 		m.fresh[i] += (1 - math.Exp(-gone/quick)) * (came - m.fresh[i])
 		m.here[i] += (1 - math.Exp(-gone/slow)) * (came - m.here[i])
 	}
@@ -140,7 +140,7 @@
 	if is := m.here.total(); math.Abs(m.fresh.total()-is) > chance*math.Sqrt(max(1, is)/(2*quick/1000)) {
 		m.here = m.fresh
 	}
-	m.here[room] = max(0, d.Room*share)
+	m.here[room] = max(0, d.Capacity*share)
 	leak, soon := 1-math.Exp(-gone/leakOver), 1-math.Exp(-gone/smooth)
 	for i := range m.guess {
 		m.guess[i] = max(0, m.guess[i]+m.here[i]-was[i])
@@ -240,16 +240,16 @@
 func (m *Machine) Line(now float64) Line {
 	m.now = max(m.now, now)
 	if m.open >= 1 {
-		return decide.NoLine
+		return decide.AdmitAll
 	}
 	left := m.open * m.taken.total()
 	for i, work := range m.taken[:room] {
 		if work > left {
-			return Line{Band: i, Share: left / work, Turn: m.turned(), Pace: turnOver, Until: m.now + lineLasts}
+			return Line{Band: i, Share: left / work, Rotation: m.turned(), RotationPeriod: turnOver, Until: m.now + lineLasts}
 		}
 		left -= work
 	}
-	return decide.NoLine
+	return decide.AdmitAll
 }
 
 // Figures are what is known of the whole, as means over the routers: work a second and what they may send on, and the share of the work that is over the line.
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -79,7 +79,7 @@
 }
 
 // Line tells a pool what the fleet serves while it can't serve all, until a time.
-func (c *Control) Line(pool string, l decide.Line, until time.Time) {
+func (c *Control) Line(pool string, l decide.AdmissionThreshold, until time.Time) {
 	pools, _ := c.all()
 	for _, d := range pools {
 		if d.pool == pool {
