--- a/decide/line.go
+++ b/decide/line.go
@@ -5,11 +5,12 @@
 	"math"
 )
 
-// NumBands are those of worth by which routers tell each other what has come to them, the best first: each ends at 0.71 of the
-// one before, and the last holds all that is left.
+// NumBands is the number of bands of worth in which routers report demand, in descending order of worth.
+// Each band ends at 0.71 times the end of the one before it, and the last one holds all smaller worths.
 const NumBands = 24
 
-// BandOf is the band of a worth, as a share of the highest.
+// BandOf returns the band of a worth, given as a share of the highest worth. A share that is not positive,
+// or NaN, is in the last band.
 func BandOf(share float64) int {
 	if !(share > 0) {
 		return NumBands - 1
@@ -17,17 +18,19 @@
 	return int(min(NumBands-1, max(0, -2*math.Log2(share))))
 }
 
-// Demand is what has come to a router, counted since its start, and what there is for it.
+// Demand holds a router's cumulative counts of work since its start, in requests of mean work, and the
+// capacity that is available for it.
 type Demand struct {
-	Arrived  [NumBands]float64 // that clients asked for the first time, by worth, in requests of mean work
-	Shed     [NumBands]float64 // and of that what was refused as it was under the line
-	Admitted float64           // work of requests that were not, asked again or not,
-	Rejected float64           // of that what was refused all the same, as no server or no fetch was to be had in time,
-	Sent     float64           // and of attempts at cache servers that it took
-	Capacity float64           // work a second that all servers together may be given by all routers; 0 = not known
+	Arrived  [NumBands]float64 // work that clients requested for the first time, by band of worth
+	Shed     [NumBands]float64 // part of Arrived that was refused because of the admission threshold
+	Admitted float64           // work that passed the threshold, retries by clients included
+	Rejected float64           // part of Admitted refused later: no server or fetch was available in time
+	Sent     float64           // work of the attempts that were sent to cache servers for Admitted
+	Capacity float64           // work a second that all routers together may send to all servers; 0 = unknown
 }
 
-// Add adds what came to another process of the router, which knows the same servers.
+// Add adds the demand of another process of the same router. Both know the same servers, so Capacity
+// becomes the higher of the two.
 func (d *Demand) Add(o Demand) {
 	for i := range d.Arrived {
 		d.Arrived[i], d.Shed[i] = d.Arrived[i]+o.Arrived[i], d.Shed[i]+o.Shed[i]
@@ -35,30 +38,32 @@
 	d.Admitted, d.Rejected, d.Sent, d.Capacity = d.Admitted+o.Admitted, d.Rejected+o.Rejected, d.Sent+o.Sent, max(d.Capacity, o.Capacity)
 }
 
-// SetAdmissionThreshold is what all routers of a tier serve while they can't serve all: a fact that they settle among themselves. Requests of
-// bands before Band are over it, those after are under it, and of Band itself so much is over it, by a hash of tenant and key that
-// turns: the same at all routers.
+// AdmissionThreshold says which requests all routers of a tier admit while the servers can't serve all of
+// them. The routers agree on it among themselves. Requests in bands before Band are admitted and those in
+// later bands are shed. In Band itself, a rotating hash of tenant and key, which is the same at all
+// routers, selects them.
 type AdmissionThreshold struct {
-	Band           int     // Bands = there is no line
-	Share          float64 // of the requests of that band
-	Rotation       float64 // of the hash, 0 to 1
-	RotationPeriod float64 // ms that a whole turn takes
-	Until          float64 // it counts until then, unless told anew
+	Band           int     // band of worth that is admitted in part; NumBands = everything is admitted
+	Share          float64 // share of the requests of Band that is admitted, 0 to 1
+	Rotation       float64 // offset of the hash when the threshold is set, 0 to 1
+	RotationPeriod float64 // time of a full rotation of the hash, ms
+	Until          float64 // time at which the threshold expires unless it is renewed, ms
 }
 
-// AdmitAll is the line of who may serve all.
+// AdmitAll is the threshold that admits every request.
 var AdmitAll = AdmissionThreshold{Band: NumBands}
 
-// Validate reports what is impossible in what is told of the line.
+// Validate returns an error if a field is out of its range.
 func (l AdmissionThreshold) Validate() error {
 	share := func(x float64) bool { return x >= 0 && x <= 1 }
 	if l.Band < 0 || l.Band > NumBands || l.Band < NumBands && (!share(l.Share) || !share(l.Rotation) || !(l.RotationPeriod > 0) || math.IsInf(l.RotationPeriod, 1) || math.IsNaN(l.Until)) {
-		return fmt.Errorf("decide: impossible line %+v", l)
+		return fmt.Errorf("decide: invalid admission threshold %+v", l)
 	}
 	return nil
 }
 
-// SetAdmissionThreshold takes the line that holds from now on. An error means that it makes no sense, and nothing has changed.
+// SetAdmissionThreshold applies a threshold from now on. It returns an error, and changes nothing, if the
+// threshold is invalid.
 func (b *Balancer) SetAdmissionThreshold(now float64, l AdmissionThreshold) error {
 	if err := l.Validate(); err != nil {
 		return err
@@ -68,7 +73,7 @@
 	return nil
 }
 
-// Demand is what has come so far; nothing where the routers tell each other nothing.
+// Demand returns the demand counted so far. It is zero unless the routers of the tier coordinate.
 func (b *Balancer) Demand() Demand {
 	if !b.told {
 		return Demand{}
@@ -78,16 +83,17 @@
 	return d
 }
 
-// usableCapacity is what all usable servers may be given a second by all routers together; 0 where none has said what it can do.
+// usableCapacity returns the work a second that all routers together may send to the usable servers, or 0
+// while no server has reported its capacity.
 func (b *Balancer) usableCapacity() (sum float64) {
 	if !b.told || b.median == 0 {
 		return 0
 	}
 	for _, s := range b.order {
-		switch may := b.sendLimit(s); {
+		switch limit := b.sendLimit(s); {
 		case s.State != Ready || s.ejected:
-		case may > 0:
-			sum += min(may, warmCapacityShare*b.capacityOf(s))
+		case limit > 0:
+			sum += min(limit, warmCapacityShare*b.capacityOf(s))
 		default:
 			sum += warmCapacityShare * b.capacityOf(s)
 		}
@@ -95,7 +101,8 @@
 	return sum
 }
 
-// bandPosition is where a request stands in the line's band, from 0 to 1, now.
+// bandPosition returns the current position of a request in the threshold's band, from 0 to 1. The request
+// is admitted while its position is below Share.
 func (b *Balancer) bandPosition(r *request) float64 {
 	h := mix(r.key.id)
 	for _, c := range []byte(r.Tenant) {
--- a/decide/line_test.go
+++ b/decide/line_test.go
@@ -152,7 +152,7 @@
 		t.Error("a line holds, or demand is counted, where routers tell each other nothing")
 	}
 	for _, l := range []AdmissionThreshold{{Band: -1}, {Band: NumBands + 1}, {Share: 2, RotationPeriod: 1}, {Share: math.NaN(), RotationPeriod: 1}, {Rotation: -1, RotationPeriod: 1}, {}, {RotationPeriod: math.Inf(1)}, {RotationPeriod: 1, Until: math.NaN()}} {
-		if err := tier[1].SetAdmissionThreshold(1e5, l); err == nil || !strings.Contains(err.Error(), "impossible line") || tier[1].line != all {
+		if err := tier[1].SetAdmissionThreshold(1e5, l); err == nil || !strings.Contains(err.Error(), "invalid admission threshold") || tier[1].line != all {
 			t.Errorf("%+v: %v", l, err)
 		}
 	}
--- a/decide/tier.go
+++ b/decide/tier.go
@@ -5,23 +5,24 @@
 	"math"
 )
 
-// SetTier is what is known of the routers that share what all have, where they tell each other: a fact, like a list.
+// Tier describes the routers that share the servers' common capacity, as far as they coordinate.
 type Tier struct {
-	Routers     int     // that there are, this one among them
-	Shares      float64 // this router has one of so many equal parts of cold servers' budgets and of fetches
-	Until       float64 // until then; +Inf = until the next word
-	SharesAfter float64 // and one of so many from there on
+	Routers     int     // number of routers, this one included
+	Shares      float64 // this router has one of Shares equal shares of cold servers' budgets and of fetches
+	Until       float64 // time until which Shares holds, ms; +Inf = until the next update
+	SharesAfter float64 // number of equal shares from then on
 }
 
-// Validate reports what is impossible in what is told of the tier.
+// Validate returns an error if a field is out of its range.
 func (t Tier) Validate() error {
 	if t.Routers < 1 || !(t.Shares >= 1) || !(t.SharesAfter >= 1) || math.IsInf(t.Shares, 1) || math.IsInf(t.SharesAfter, 1) || math.IsNaN(t.Until) {
-		return fmt.Errorf("decide: impossible tier %+v", t)
+		return fmt.Errorf("decide: invalid tier %+v", t)
 	}
 	return nil
 }
 
-// SetTier takes what is known of the tier from now on. An error means that it makes no sense, and nothing has changed.
+// SetTier applies a description of the tier from now on. It returns an error, and changes nothing, if the
+// description is invalid.
 func (b *Balancer) SetTier(now float64, t Tier) error {
 	if err := t.Validate(); err != nil {
 		return err
@@ -32,15 +33,15 @@
 	return nil
 }
 
-// SetProcesses tells that so many processes of this router decide at once, each a router of its own: what all share is divided by as many
-// more, and what this one had of it by the processes that have come.
+// SetProcesses sets the number of processes of this router that decide at the same time, each as a router
+// of its own. The router's share of the common resources is divided among them.
 func (b *Balancer) SetProcesses(now float64, processes int) {
 	b.begin(now)
 	b.processes = max(1, processes)
 	b.applyShares()
 }
 
-// applyShares has what all share divided as it is to be now.
+// applyShares recomputes this process's share and scales the fetch limit and the budgets to it.
 func (b *Balancer) applyShares() {
 	if b.now > b.tier.Until {
 		b.tier.Shares, b.tier.Until = b.tier.SharesAfter, math.Inf(1)
@@ -49,7 +50,7 @@
 	b.cfg.Routers, b.parts = b.tier.Routers*b.processes, b.tier.Shares*float64(b.processes)
 	ratio := was / b.parts
 	switch {
-	case ratio > maxShareGrowth: // it had next to none: it begins as a new one does
+	case ratio > maxShareGrowth: // its share was close to nothing: it starts like a new router
 		b.fetches = max(b.fetches, initialFetchLimit(b.parts))
 	default:
 		b.fetches = min(maxFetchLimit, b.fetches*ratio)
@@ -60,8 +61,9 @@
 	}
 }
 
-// maxShareGrowth is a growth of the own part beyond which what was learned with it says nothing.
+// maxShareGrowth is the factor of growth of the own share beyond which the fetch limit learned with the
+// smaller share is no longer meaningful.
 const maxShareGrowth = 16
 
-// initialFetchLimit is the bound on fetches of a router that knows nothing yet.
-func initialFetchLimit(parts float64) float64 { return min(8, 32/parts) }
+// initialFetchLimit returns the fetch limit of a router that has no measurements yet.
+func initialFetchLimit(shares float64) float64 { return min(8, 32/shares) }
--- a/decide/tier_test.go
+++ b/decide/tier_test.go
@@ -53,7 +53,7 @@
 	for _, tier := range []Tier{{}, {Routers: 1, Shares: 0.5, SharesAfter: 1}, {Routers: 1, Shares: 1}, {Routers: 1, Shares: math.Inf(1), SharesAfter: 1},
 		{Routers: 1, Shares: 1, SharesAfter: 1, Until: math.NaN()}, {Routers: -1, Shares: 1, SharesAfter: 1}} {
 		before := b.parts
-		if err := b.SetTier(b.now, tier); err == nil || !strings.Contains(err.Error(), "impossible tier") || b.parts != before {
+		if err := b.SetTier(b.now, tier); err == nil || !strings.Contains(err.Error(), "invalid tier") || b.parts != before {
 			t.Errorf("%+v: %v", tier, err)
 		}
 	}
