--- a/decide/decide.go
+++ b/decide/decide.go
@@ -21,7 +21,7 @@
 	targetUtilisation    = 0.9   // utilisation to which the rates are scaled for solving, as in the paper
 	maxChannels          = 256   // channels of a modelled server: the cost of a delay grows with them
 	defaultChannelsTime  = 4000  // capacity times mean latency in ms, if capacity is unknown: four channels
-	minTrafficShare      = 0.5   // lower bound of the estimated own share of all traffic, in equal shares
+	minTrafficShare      = 0.5   // least estimated share of all traffic, whatever reports say, in equal shares
 	housekeepInterval    = 100   // ms between two rounds of housekeeping
 	solveInterval        = 1000  // ms between two regular solves
 	minSolveInterval     = 250   // ms between two solves when one is requested: list updates come in bursts
@@ -50,13 +50,13 @@
 	zoneEjectionServers    = 3    // unresponsive servers that eject their zone if nothing in it replies
 	ejectionSuspicion      = 7.5  // suspicion that ejects: two in a row, six if one in eight is usual
 	failureAcceptFactor    = 0.88 // factor on a server's acceptance at a failure: a mean over eight outcomes
-	spoiltAcceptFactor     = 1.07 // factor on the acceptance that a spoilt answer gives back: any server has some
+	spoiltAcceptFactor     = 1.07 // factor for a spoilt answer on top: any server's answers may be spoilt
 	successAcceptGain      = 0.12 // share of the missing acceptance that a success restores, at the same rate
 	successPauseFactor     = 0.8  // factor on the pause at a success: five undo a doubling or so
 	acceptAfterTrial       = 0.75 // acceptance after a successful trial: about half of the channels
 	unresponsiveTrialDelay = 8000 // ms that the trial of an unresponsive server may wait: it delays a request
 	minIdleKeep            = 200  // ms for which idle connections are kept at least
-	idleKeepGrowth         = 1.01 // growth of idle connections' lifetime at a success; a refused one halves it
+	idleKeepGrowth         = 1.01 // growth of the idle time at a success; a refused connection halves it
 	lostAnswerWeight       = 0.2  // weight of an attempt in the share of lost answers: a mean over five
 	overtakenWaitFactor    = 0.5  // extra wait for an overtaken attempt, as a multiple of its age
 )
@@ -80,12 +80,13 @@
 	fleetLatencyWeight    = 0.1  // weight of an outcome in the fleet's latency and of a fetch in the origin's
 )
 
-// The expected wait that a request accepts at a server, as a share of its aim.
+// The expected wait that a request accepts at a server, as a share of its aim: a base share, and more for higher
+// worth. The base share adapts: a fixed one made idle servers refuse and overloaded ones answer late.
 const (
 	worthWaitShare         = 0.55   // share that the highest worth accepts on top of the base share
-	maxBaseWaitShare       = 0.25   // highest base share: a fixed one suited neither idle nor full servers
+	maxBaseWaitShare       = 0.25   // upper bound of the base share
 	waitShareGain          = 0.0005 // rise of the base share with each answer
-	waitShareCut           = 0.01   // fall of the base share with each late answer: one in twenty keeps it level
+	waitShareCut           = 0.01   // fall of the base share with each late answer; one in twenty is level
 	waitShareRecoveryDelay = 1000   // ms without a late answer after which the base share recovers with time
 	waitShareRecovery      = 0.01   // rise of the base share per housekeeping round if the routers coordinate
 	latencyFloorShare      = 0.7    // share of a server's latency floor that is reserved for the work itself
@@ -95,15 +96,15 @@
 const (
 	maxFetchLimit             = 64   // upper bound of the limit on a router's fetches in flight
 	fetchLimitGrowth          = 0.25 // share of the limit that a good answer adds at most
-	tierFetchLimitGrowth      = 4    // largest growth of all routers' limits at a good answer: a tier grows together
+	tierFetchLimitGrowth      = 4    // growth of all limits together at a good answer: a tier grows as one
 	tierMinFetchLimit         = 8    // lower bound of all routers' limits together; at most two per router
 	fetchCutInterval          = 500  // ms between two cuts: answers to earlier fetches add no information
 	slowCutFactor             = 0.8  // factor on the limit when answers are slow
-	failedCutFactor           = 0.4  // factor on the limit at a failure: the origin is down or works for nobody
+	failedCutFactor           = 0.4  // factor on the limit when fetches fail
 	failedMinDivisor          = 40   // divisor of the limit's lower bound when answers fail
 	minSlowFactor             = 1.3  // multiple of the latency floor up to which there is no queue yet
 	maxSlowFactor             = 2.5  // multiple of the latency floor that counts as a queue whatever the aim
-	minSlowAimShare           = 0.5  // share of the aim beyond which fetches help nobody: the lookup came first
+	minSlowAimShare           = 0.5  // share of the aim beyond which a fetch is too late: a lookup came first
 	maxSlowAimShare           = 0.8  // share of the aim that counts as a queue whatever the floor
 	minFetchLatency           = 100  // ms, least fetch latency assumed for pacing if the limit is below one
 	coldBudgetShare           = 0.4  // share of a cold server's overload point that is used: hints are rough
@@ -113,10 +114,10 @@
 	defaultColdCapacity       = 10   // requests a second of a cold server of unknown capacity
 	warmCapacityShare         = 0.95 // share of a warm server's capacity that is given out in shares
 	warmBurstWindow           = 250  // ms of its share that a router may save up at a warm server
-	warmReserveShare          = 0.5  // share of the saved budget that must be left when the lowest worth is sent
+	warmReserveShare          = 0.5  // share of the saved budget that has to remain for the lowest worth
 	inflatedReportUtilisation = 0.95 // utilisation from which rejected arrivals inflate the reported capacity
-	inflatedReportFactor      = 1.1  // upper bound of an inflated capacity, as a multiple of the least reported
-	noShareFactor             = 2    // divides warm servers, times Routers, for a router without a share: safe for all
+	inflatedReportFactor      = 1.1  // bound of an inflated capacity, as a multiple of the least reported
+	noShareFactor             = 2    // times Routers: divisor of warm servers for a router without a share
 	idleBudgetWindow          = 250  // ms of unused capacity that is saved for requests under the threshold
 	minIdleBudget             = 2    // requests, lower bound of the size of the idle budget
 	idleReserveShare          = 0.5  // share of the idle budget that the highest worth does not need to find
@@ -829,7 +830,7 @@
 		b.fetches = min(maxFetchLimit, b.fetches+gain)
 	} else if st.tells() && (st != TimedOut || late) && b.now-b.cutAt > fetchCutInterval {
 		factor, minLimit := slowCutFactor, min(2, tierMinFetchLimit/b.parts)
-		if st == Failed { // the origin needs relief
+		if st == Failed { // the origin has stopped, or works for clients that have left
 			factor, minLimit = failedCutFactor, minLimit/failedMinDivisor
 		}
 		if b.cutAt = b.now; b.olat.v >= slow { // a queue: the limit may be far above the fetches in flight
@@ -909,7 +910,7 @@
 }
 
 // warmServerShares returns the number of shares that warm servers are divided into. A router that has no
-// share yet takes half of an equal one.
+// share yet takes half of an equal one, so that no server is overloaded.
 func (b *Balancer) warmServerShares() float64 {
 	return min(b.parts, noShareFactor*float64(b.cfg.Routers))
 }
