--- a/decide/decide.go
+++ b/decide/decide.go
@@ -21,7 +21,7 @@
 	targetUtilisation    = 0.9   // utilisation to which the rates are scaled for solving, as in the paper
 	maxChannels          = 256   // channels of a modelled server: the cost of a delay grows with them
 	defaultChannelsTime  = 4000  // capacity times mean latency in ms, if capacity is unknown: four channels
-	minTrafficShare      = 0.5   // least estimated share of all traffic, whatever reports say, in equal shares
+	minTrafficShare      = 0.5   // least estimate of the own traffic, whatever reports say, in equal shares
 	housekeepInterval    = 100   // ms between two rounds of housekeeping
 	solveInterval        = 1000  // ms between two regular solves
 	minSolveInterval     = 250   // ms between two solves when one is requested: list updates come in bursts
@@ -80,8 +80,8 @@
 	fleetLatencyWeight    = 0.1  // weight of an outcome in the fleet's latency and of a fetch in the origin's
 )
 
-// The expected wait that a request accepts at a server, as a share of its aim: a base share, and more for higher
-// worth. The base share adapts: a fixed one made idle servers refuse and overloaded ones answer late.
+// The expected wait that a request accepts at a server, as a share of its aim: a base share, and more for
+// higher worth. The base share adapts: a fixed one made idle servers refuse and overloaded ones answer late.
 const (
 	worthWaitShare         = 0.55   // share that the highest worth accepts on top of the base share
 	maxBaseWaitShare       = 0.25   // upper bound of the base share
