--- a/decide/line_test.go
+++ b/decide/line_test.go
@@ -42,7 +42,7 @@
 }
 
 // What is refused is the same at all routers, by the key: so much of a band, all that is worth less, nothing that is worth more.
-func TestLineIsTheSameAtAll(t *testing.T) {
+func TestThresholdIsTheSameAtAllRouters(t *testing.T) {
 	tier := routersWithThreshold(t, 5000, AdmissionThreshold{Band: BandOf(0.25), Share: 0.3, Rotation: 0.4, RotationPeriod: 30e3, Until: 2e5})
 	passed := 0
 	for key := range uint64(2000) {
@@ -65,9 +65,9 @@
 }
 
 // Whoever is refused passes when its time comes, as it is told where that is soon.
-func TestLineTurns(t *testing.T) {
+func TestThresholdRotates(t *testing.T) {
 	tier := routersWithThreshold(t, 5000, AdmissionThreshold{Band: BandOf(0.25), Share: 0.3, Rotation: 0.9, RotationPeriod: 10e3, Until: 2e5})
-	b, own := tier[0], 0
+	b, inTime := tier[0], 0
 	for key := range uint64(300) {
 		r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &flow{id: key}}
 		b.now = 1e5 + float64(key)
@@ -81,13 +81,13 @@
 		if after > maxRetryAfter/2 {
 			continue // it may be spread, and sooner than its time
 		}
-		own++
+		inTime++
 		if b.now += after + 1; b.shouldShed(r) {
 			t.Errorf("key %d comes back when it was told, and is refused", key)
 		}
 	}
-	if own < 30 {
-		t.Errorf("%d of 300 came back at their own time", own)
+	if inTime < 30 {
+		t.Errorf("%d of 300 came back at their own time", inTime)
 	}
 	b.cfg.MaxAfter = 800
 	r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &flow{id: 7}}
@@ -100,7 +100,7 @@
 
 // A line that is drawn far too high, as by a liar, leaves nothing unused: what its part of the servers has left goes to those under it, and to the best
 // of them while it is not enough for all.
-func TestRoomUnderTheLineIsUsed(t *testing.T) {
+func TestIdleCapacityUnderTheThresholdIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		dear, read         float64 // a second
@@ -134,7 +134,7 @@
 }
 
 // A line that nobody tells anew lapses, and so does one where routers tell each other nothing; impossible ones change nothing.
-func TestLinesThatDoNotHold(t *testing.T) {
+func TestExpiredAndInvalidThresholds(t *testing.T) {
 	all := AdmissionThreshold{Band: 0, Share: 0, RotationPeriod: 1e4, Until: 1e5 + 1000}
 	tier := routersWithThreshold(t, 5000, all)
 	if !refusedAtOnce(tier[0], 1e5+999, 1, "dear", 1) || refusedAtOnce(tier[0], 1e5+1001, 2, "dear", 1) {
@@ -209,7 +209,7 @@
 
 // One router of many sees few answers: what it bears as wait comes back in a second or two without a late one, not after hundreds of answers. Alone
 // it stays as it was.
-func TestWhatIsBorneComesBack(t *testing.T) {
+func TestAcceptedWaitRecovers(t *testing.T) {
 	tier := routersWithThreshold(t, 120, AdmitAll)
 	alone := newRouters(t, testConfig(), 120)[0]
 	for _, b := range []*Balancer{tier[0], alone} {
@@ -227,7 +227,7 @@
 }
 
 // Good answers add to the bounds on fetches of all routers together no more than to that of one alone, which they are of.
-func TestFetchesOfATierGrowAsOne(t *testing.T) {
+func TestFetchLimitsOfATierGrowTogether(t *testing.T) {
 	grown := func(routers int) (sum float64) {
 		cfg := testConfig()
 		cfg.Routers = routers
@@ -255,7 +255,7 @@
 
 // Attempts beyond the first are a tenth of the first ones over all routers of a fleet, in any two seconds, whatever fails and however little each
 // has to do; where a whole server has died, what all had there goes elsewhere.
-func TestFurtherAttemptsOfAFleet(t *testing.T) {
+func TestRetriesOfAFleet(t *testing.T) {
 	for _, routers := range []int{6, 24} {
 		cfg := testConfig()
 		cfg.Routers = routers
@@ -306,7 +306,7 @@
 }
 
 // A server that has died takes no budget: all that was there is sent elsewhere.
-func TestDeadServerTakesNoBudget(t *testing.T) {
+func TestDeadServerUsesNoRetryBudget(t *testing.T) {
 	tier := routersWithThreshold(t, 5000, AdmitAll)
 	b := tier[0]
 	h := b.host.(*fakeHost)
--- a/decide/parts_test.go
+++ b/decide/parts_test.go
@@ -23,13 +23,13 @@
 }
 
 // newTier is a server that can do 120 a second, and what each of some routers, all told of each other, makes of it.
-func newTier(t *testing.T, routers int, told Tier) (tier []*Balancer, id uint32) {
+func newTier(t *testing.T, routers int, update Tier) (tier []*Balancer, id uint32) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Routers = routers
 	tier = newRouters(t, cfg, 120)
 	for _, b := range tier {
-		if err := b.SetTier(1e5, told); err != nil {
+		if err := b.SetTier(1e5, update); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 // All routers together send a warm server no more than it can do, however many they are and whatever each has to send.
-func TestPartsOfAWarmServerAddUpToIt(t *testing.T) {
+func TestSharesOfAWarmServerAddUp(t *testing.T) {
 	for _, n := range []int{2, 24, 100} {
 		tier, id := newTier(t, n, Tier{Routers: n, Shares: float64(n), Until: math.Inf(1), SharesAfter: float64(n)})
 		if got := sendWhileAllowed(tier, id, 20, 1); got < 0.85*120 || got > 120 {
@@ -62,7 +62,7 @@
 }
 
 // What is worth less goes first: it finds room only where nothing better wants it.
-func TestPartsOfAWarmServerGoToTheHighestWorth(t *testing.T) {
+func TestSharesOfAWarmServerGoToTheHighestWorth(t *testing.T) {
 	tier, id := newTier(t, 4, Tier{Routers: 4, Shares: 4, Until: math.Inf(1), SharesAfter: 4})
 	b, best, least := tier[0], 0, 0
 	for now := 1e5; now < 1e5+20e3; now += 5 {
@@ -88,7 +88,7 @@
 }
 
 // Nothing is held back where routers tell each other nothing, or the server has said nothing of itself; who has no part yet serves all the same.
-func TestPartsThatAreNotKnown(t *testing.T) {
+func TestUnknownShares(t *testing.T) {
 	tier, id := newTier(t, 4, Tier{Routers: 4, Shares: 1 << 20, Until: math.Inf(1), SharesAfter: 1 << 20})
 	if got := sendWhileAllowed(tier[:1], id, 20, 1); got < 10 || got > 16 {
 		t.Errorf("one of four that has no part sends %.1f a second, half of 30 is right", got)
@@ -106,7 +106,7 @@
 }
 
 // What was sent before there were parts is owed for a second at most.
-func TestPartsBeginSoon(t *testing.T) {
+func TestOldDebtDelaysSharesBriefly(t *testing.T) {
 	tier, id := newTier(t, 2, Tier{Routers: 2, Shares: 2, Until: math.Inf(1), SharesAfter: 2})
 	tier[0].servers[id].budget = rate{-5000, 1e5}
 	if got := sendWhileAllowed(tier[:1], id, 4, 1); got < 40 {
@@ -115,7 +115,7 @@
 }
 
 // The heaviest request of the least worth finds room too, where nothing better comes, and is paid for by its work.
-func TestPartsHaveRoomForHeavyRequests(t *testing.T) {
+func TestSharesAdmitHeavyRequests(t *testing.T) {
 	tier, id := newTier(t, 24, Tier{Routers: 24, Shares: 24, Until: math.Inf(1), SharesAfter: 24})
 	b, sent := tier[0], 0
 	for now := 1e5; now < 1e5+60e3; now += 5 {
@@ -132,7 +132,7 @@
 
 // What a server can do is bounded by the least that it told only while it is full: arrivals that are turned away swell reports then, and at little
 // load the least is chance, which would hold a whole fleet back for a minute.
-func TestPartsWhileReportsAreSwollen(t *testing.T) {
+func TestSharesWhileReportsAreInflated(t *testing.T) {
 	for _, c := range []struct{ util, least, most float64 }{{0.5, 100, 120}, {1, 55, 70}} {
 		tier, id := newTier(t, 1, Tier{Routers: 1, Shares: 1, Until: math.Inf(1), SharesAfter: 1})
 		s := tier[0].servers[id]
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestNeverTwoAtOnceWhereNotAllowed(t *testing.T) {
+func TestNoHedgedAttemptWhereNotAllowed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Copies = false
 	b, h := start(t, cfg, fleet(6))
@@ -138,13 +138,13 @@
 
 // A cold server is spared by what servers of its size carry, also where all have told five times that since: misses are cheap, and while the
 // origin stops there is nothing else. A search with the model found eight such days.
-func TestColdServerIsSparedByEveryRouterAlike(t *testing.T) {
+func TestColdServerBudgetHoldsOverAllRouters(t *testing.T) {
 	for name, told := range map[string]float64{"reports as they are": 1, "reports amid cheap misses": 5} {
 		t.Run(name, func(t *testing.T) { checkColdServerBudget(t, told) })
 	}
 }
 
-func checkColdServerBudget(t *testing.T, told float64) {
+func checkColdServerBudget(t *testing.T, inflation float64) {
 	es := fleet(3)
 	cfg := testConfig()
 	es[0].Started = 99500
@@ -155,7 +155,7 @@
 		for _, e := range es {
 			b.servers[e.ID].cap.see(b.now, capacity, 1)
 			for range 20 {
-				b.servers[e.ID].cap.see(b.now, told*capacity, 0.2)
+				b.servers[e.ID].cap.see(b.now, inflation*capacity, 0.2)
 			}
 		}
 		b.solve()
@@ -357,7 +357,7 @@
 	}
 }
 
-func TestOwnMissesOfAKeyShareAFetch(t *testing.T) {
+func TestMissesOfAKeyShareAFetch(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
 	b, h := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
@@ -377,7 +377,7 @@
 }
 
 // Fetches of servers failed, every failure was tried elsewhere and fetched again, and the origin stayed down.
-func TestFailedFetchIsTheOriginsTrouble(t *testing.T) {
+func TestFailedFetchIsBlamedOnTheOrigin(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	for i := range uint32(40) { // 300 ms apart; the bound falls, and fetches come to pause
 		now, was := 100010+300*float64(i), len(h.sends)
@@ -410,7 +410,7 @@
 }
 
 // Keys whose fetches failed went on counting as stored: a stopped origin was asked 88 times a second without a place.
-func TestKeyWhoseFetchFailedTakesAPlace(t *testing.T) {
+func TestKeyWhoseFetchFailedCountsAsAFetch(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
 	b.Outcome(100041, Outcome{ID: 1, Server: h.last().server, Latency: 40, Note: 2, Final: true, Load: NoLoad})
@@ -424,7 +424,7 @@
 }
 
 // An overload raised the floor of servers that then idled: refused for it, no request could correct what was seen.
-func TestFloorSeenFades(t *testing.T) {
+func TestLatencyFloorDecays(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	for _, s := range b.order {
 		s.cap.see(b.now, 100, 1)
@@ -454,7 +454,7 @@
 // ---- List ----
 
 // Requests that waited for fetches timed out, healthy servers were ejected for it, and their keys became misses.
-func TestTimeOutWhileOthersAreAnsweredIsNoSign(t *testing.T) {
+func TestTimeOutAtAnAnsweringServerIsNoFailure(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.order[0]
 	for range 20 {
@@ -554,7 +554,7 @@
 }
 
 // With a bound on the age of reports, a router of a large fleet sent several probes for each of its requests.
-func TestProbesAreAPartOfTheRequests(t *testing.T) {
+func TestProbesAreBoundedByRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.ByProbe, cfg.Probes, cfg.Routers = true, true, 600
 	b, h := start(t, cfg, fleet(100))
@@ -602,7 +602,7 @@
 }
 
 // A whole fetch at each of hundreds of routers, from the start or as the least that a cut leaves, jammed the origin.
-func TestFetchesOfManyRoutersAddUpToAFewPlaces(t *testing.T) {
+func TestFetchLimitsOfManyRoutersAddUpToAFew(t *testing.T) {
 	for _, routers := range []int{4, 300} {
 		cfg := testConfig()
 		cfg.Aside, cfg.OriginKind, cfg.Routers = true, "origin", routers
@@ -669,7 +669,7 @@
 
 // A router that asks each of many servers once in ten seconds saw no queue anywhere while the whole fleet choked,
 // and shed nothing; one that asks each often goes by what it sees of each.
-func TestSeldomAskedServersAreTakenToBeAsJammedAsTheFleet(t *testing.T) {
+func TestSeldomUsedServersAreAssumedAsLoadedAsTheFleet(t *testing.T) {
 	wait := func(perSecond int) float64 {
 		b, h := start(t, testConfig(), fleet(40))
 		for i := range uint32(10 * uint32(perSecond)) {
@@ -766,7 +766,7 @@
 }
 
 // A collapse was known by its time-outs only, more than a second late, by when the servers were choked.
-func TestStallsTellOfAJamBeforeTimeOutsDo(t *testing.T) {
+func TestStallsSignalOverloadBeforeTimeOuts(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
 	b, h := start(t, cfg, append(fleet(60), Entry{ID: 77, Kind: "origin"}))
@@ -785,7 +785,7 @@
 }
 
 // With all servers refusing and ejected, a busy router tried them as a last resort for each request, and each refused.
-func TestLastResortIsTakenToBeAsJammedAsTheFleet(t *testing.T) {
+func TestLastResortIsAssumedAsLoadedAsTheFleet(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.order[0]
 	b.arrivals.add(b.now, keyRateTau, 2000)
@@ -962,7 +962,7 @@
 
 // Latencies have a part that no hint foretells: light requests were given up after a few milliseconds, and a pause of a
 // server with four of them out looked like its death.
-func TestLightRequestsAreWaitedForAsForHalfAUnit(t *testing.T) {
+func TestLightRequestsGetThePatienceOfHalfAUnit(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	patience := func(id uint32, hint float64) float64 {
 		b.Request(100010, Request{ID: id, Class: "read", Key: 9, HasKey: true, Left: 600, Hint: hint})
--- a/decide/tier_test.go
+++ b/decide/tier_test.go
@@ -8,7 +8,7 @@
 
 // What a router may use follows what it is told of the tier: less at once, more at once, and the lesser part by itself when its time is over,
 // on whatever event comes first.
-func TestTierMovesWhatIsShared(t *testing.T) {
+func TestTierScalesSharedResources(t *testing.T) {
 	b := experienced(t)
 	cold := b.servers[fleet(6)[1].ID]
 	b.begin(cold.fresh + 2000)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestImpossibleTiers(t *testing.T) {
+func TestInvalidTiers(t *testing.T) {
 	b := experienced(t)
 	for _, tier := range []Tier{{}, {Routers: 1, Shares: 0.5, SharesAfter: 1}, {Routers: 1, Shares: 1}, {Routers: 1, Shares: math.Inf(1), SharesAfter: 1},
 		{Routers: 1, Shares: 1, SharesAfter: 1, Until: math.NaN()}, {Routers: -1, Shares: 1, SharesAfter: 1}} {
