--- a/decide/line_test.go
+++ b/decide/line_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// routersWithThreshold are routers that have been told of each other and of a line, behind three servers that can do so much each. With a line that lets some pass, or
-// that ends, there is no room left for others.
+// routersWithThreshold returns four routers that coordinate, with a threshold and three servers of the
+// given capacity. If the threshold admits some requests, or expires, no idle capacity is left for the
+// others.
 func routersWithThreshold(t *testing.T, perSecond float64, l AdmissionThreshold) (tier []*Balancer) {
 	t.Helper()
 	cfg := testConfig()
@@ -19,18 +20,18 @@
 			t.Fatal(err)
 		}
 		b.solve()
-		b.Timer(1e5, tickToken) // it surveys the room
+		b.Timer(1e5, tickToken) // updates the capacity
 		if err := b.SetAdmissionThreshold(1e5, l); err != nil {
 			t.Fatal(err)
 		}
 		if l.Band > 0 || !math.IsInf(l.Until, 1) {
-			b.room = 0 // nothing is left over
+			b.room = 0 // no idle capacity
 		}
 	}
 	return tier
 }
 
-// refusedAtOnce has a router take a request of a key, and says whether it was refused at once.
+// refusedAtOnce sends a request for a key to a router and reports whether it was refused at once.
 func refusedAtOnce(b *Balancer, now float64, id uint32, class string, key uint64) bool {
 	h := b.host.(*fakeHost)
 	was := len(h.sends)
@@ -41,7 +42,8 @@
 	return h.refused[id] > 0
 }
 
-// What is refused is the same at all routers, by the key: so much of a band, all that is worth less, nothing that is worth more.
+// All routers refuse the same requests, by key: a share of the threshold's band, all of the lower worth and
+// none of the higher.
 func TestThresholdIsTheSameAtAllRouters(t *testing.T) {
 	tier := routersWithThreshold(t, 5000, AdmissionThreshold{Band: BandOf(0.25), Share: 0.3, Rotation: 0.4, RotationPeriod: 30e3, Until: 2e5})
 	passed := 0
@@ -49,22 +51,22 @@
 		first := refusedAtOnce(tier[0], 1e5+float64(5*key), uint32(key+1), "read", key)
 		for _, b := range tier[1:] {
 			if refusedAtOnce(b, 1e5+float64(5*key), uint32(key+1), "read", key) != first {
-				t.Fatalf("key %d is refused by some alone", key)
+				t.Fatalf("key %d is refused by some routers only", key)
 			}
 		}
 		if !first {
 			passed++
 		}
 		if refusedAtOnce(tier[0], 1e5+float64(5*key), uint32(key+5000), "dear", key) {
-			t.Fatalf("key %d of the highest worth is under the line", key)
+			t.Fatalf("key %d of the highest worth is shed", key)
 		}
 	}
 	if passed < 540 || passed > 660 {
-		t.Errorf("%d of 2000 pass, 600 are right", passed)
+		t.Errorf("%d of 2000 requests admitted, want about 600", passed)
 	}
 }
 
-// Whoever is refused passes when its time comes, as it is told where that is soon.
+// A refused request is admitted at the time that its refusal names, if that time is near.
 func TestThresholdRotates(t *testing.T) {
 	tier := routersWithThreshold(t, 5000, AdmissionThreshold{Band: BandOf(0.25), Share: 0.3, Rotation: 0.9, RotationPeriod: 10e3, Until: 2e5})
 	b, inTime := tier[0], 0
@@ -76,40 +78,42 @@
 		}
 		after := b.retryAfter(r)
 		if after > maxRetryAfter {
-			t.Fatalf("key %d is to come back after %.0f ms", key, after)
+			t.Fatalf("key %d: retry after %.0f ms", key, after)
 		}
 		if after > maxRetryAfter/2 {
-			continue // it may be spread, and sooner than its time
+			continue // it may be random, and earlier than the time of its admission
 		}
 		inTime++
 		if b.now += after + 1; b.shouldShed(r) {
-			t.Errorf("key %d comes back when it was told, and is refused", key)
+			t.Errorf("key %d is refused again at the time that its refusal named", key)
 		}
 	}
 	if inTime < 30 {
-		t.Errorf("%d of 300 came back at their own time", inTime)
+		t.Errorf("%d of 300 requests were retried at the time of their admission", inTime)
 	}
 	b.cfg.MaxAfter = 800
 	r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &flow{id: 7}}
 	for range 100 {
 		if after := b.retryAfter(r); after > 800 {
-			t.Errorf("to come back after %.0f ms, 800 are the most that may be told", after)
+			t.Errorf("retry after %.0f ms, want at most 800", after)
 		}
 	}
 }
 
-// A line that is drawn far too high, as by a liar, leaves nothing unused: what its part of the servers has left goes to those under it, and to the best
-// of them while it is not enough for all.
+// A threshold that is far too high, perhaps set by a malicious router, leaves no capacity unused: what
+// remains of the router's share goes to the shed requests, the highest worth first if it is not enough for
+// all.
 func TestIdleCapacityUnderTheThresholdIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		dear, read         float64 // a second
 		leastDear, mostBad float64 // shares that are served, at the least and at the most
 		leastRead          float64
-	}{{"room for all", 10, 10, 0.95, 1, 0.95}, {"room for the best", 24, 24, 0.9, 0.25, 0}} {
-		tier := routersWithThreshold(t, 40, AdmissionThreshold{Band: 0, Share: 0, Rotation: 0, RotationPeriod: 1e6, Until: math.Inf(1)}) // 28 a second are its part
+	}{{"capacity for all", 10, 10, 0.95, 1, 0.95}, {"capacity for the best", 24, 24, 0.9, 0.25, 0}} {
+		// A router's share is 28 a second.
+		tier := routersWithThreshold(t, 40, AdmissionThreshold{Band: 0, Share: 0, Rotation: 0, RotationPeriod: 1e6, Until: math.Inf(1)})
 		b, id := tier[0], uint32(0)
-		var asked, served [2]float64
+		var requested, served [2]float64
 		for now, due := 1e5, [2]float64{1e5, 1e5}; now < 1e5+60e3; now += 5 {
 			b.Timer(now, tickToken)
 			for i, k := range []struct {
@@ -121,24 +125,25 @@
 				}
 				due[i] += 1000 / k.rate
 				id++
-				asked[i]++
+				requested[i]++
 				if !refusedAtOnce(b, now, id, k.class, uint64(id)%50) {
 					served[i]++
 				}
 			}
 		}
-		if dear, read := served[0]/asked[0], served[1]/asked[1]; dear < c.leastDear || read > c.mostBad || read < c.leastRead {
-			t.Errorf("%s: %.2f of the higher worth and %.2f of the lesser are served", c.name, dear, read)
+		if dear, read := served[0]/requested[0], served[1]/requested[1]; dear < c.leastDear || read > c.mostBad || read < c.leastRead {
+			t.Errorf("%s: %.2f of the higher worth and %.2f of the lower are served", c.name, dear, read)
 		}
 	}
 }
 
-// A line that nobody tells anew lapses, and so does one where routers tell each other nothing; impossible ones change nothing.
+// A threshold that is not renewed expires, one has no effect where routers don't coordinate, and an invalid
+// one changes nothing.
 func TestExpiredAndInvalidThresholds(t *testing.T) {
 	all := AdmissionThreshold{Band: 0, Share: 0, RotationPeriod: 1e4, Until: 1e5 + 1000}
 	tier := routersWithThreshold(t, 5000, all)
 	if !refusedAtOnce(tier[0], 1e5+999, 1, "dear", 1) || refusedAtOnce(tier[0], 1e5+1001, 2, "dear", 1) {
-		t.Error("the line does not end when it was told to")
+		t.Error("the threshold does not expire at its time")
 	}
 	b, err := New(testConfig(), 1, newHost())
 	if err != nil {
@@ -149,7 +154,7 @@
 		t.Fatal(err)
 	}
 	if refusedAtOnce(b, 1e5+1, 1, "read", 1) || b.Demand() != (Demand{}) {
-		t.Error("a line holds, or demand is counted, where routers tell each other nothing")
+		t.Error("a threshold applies, or demand is counted, where routers don't coordinate")
 	}
 	for _, l := range []AdmissionThreshold{{Band: -1}, {Band: NumBands + 1}, {Share: 2, RotationPeriod: 1}, {Share: math.NaN(), RotationPeriod: 1}, {Rotation: -1, RotationPeriod: 1}, {}, {RotationPeriod: math.Inf(1)}, {RotationPeriod: 1, Until: math.NaN()}} {
 		if err := tier[1].SetAdmissionThreshold(1e5, l); err == nil || !strings.Contains(err.Error(), "invalid admission threshold") || tier[1].line != all {
@@ -161,24 +166,25 @@
 	}
 }
 
-// What comes is counted once, by worth, whoever refuses it, and returns are no demand. Room is what servers say, at those that can be used.
+// Demand counts each request once, by worth, whatever its answer; retries by clients don't count. Capacity
+// is what the usable servers report.
 func TestDemandIsCountedOnce(t *testing.T) {
 	tier := routersWithThreshold(t, 120, AdmissionThreshold{Band: 0, Share: 0, RotationPeriod: 1e6, Until: math.Inf(1)})
 	b := tier[0]
 	if d := b.Demand(); math.Abs(d.Capacity-3*0.95*120) > 1 {
-		t.Errorf("room for %.1f a second, three servers of 120 are there", d.Capacity)
+		t.Errorf("capacity of %.1f a second with three servers of 120", d.Capacity)
 	}
 	for i := range uint32(200) {
 		b.Request(1e5+1, Request{ID: i + 1, Class: "read", Tenant: "t", Key: uint64(i), HasKey: true, Left: 600, Retry: i >= 100})
 	}
 	d := b.Demand()
 	if got := d.Arrived[BandOf(0.25)]; math.Abs(got-100) > 1e-9 || d.Shed[BandOf(0.25)] < 80 || d.Shed[BandOf(0.25)] > 100 {
-		t.Errorf("%v asked for the first time, %v of them under the line; 100 came, and as many again", got, d.Shed[BandOf(0.25)])
+		t.Errorf("%v arrived, %v of them were shed; want 100 first requests, without their retries", got, d.Shed[BandOf(0.25)])
 	}
 	b.order[0].ejected = true
 	b.Timer(1e5+100, tickToken)
 	if room := b.Demand().Capacity; math.Abs(room-2*0.95*120) > 1 {
-		t.Errorf("with one server sick there is room for %.1f", room)
+		t.Errorf("capacity of %.1f with one server ejected", room)
 	}
 	var sum Demand
 	sum.Add(d)
@@ -193,7 +199,7 @@
 	for share := 1.0; share > 1e-6; share *= 0.9 {
 		b := BandOf(share)
 		if b < last || b >= NumBands {
-			t.Fatalf("%v is in band %d, more is in %d", share, b, last)
+			t.Fatalf("%v is in band %d, a higher worth in %d", share, b, last)
 		}
 		last = b
 	}
@@ -203,12 +209,12 @@
 		}
 	}
 	if BandOf(1) != 0 || BandOf(7) != 0 {
-		t.Error("the highest worth is in the first band")
+		t.Error("the highest worth is not in the first band")
 	}
 }
 
-// One router of many sees few answers: what it bears as wait comes back in a second or two without a late one, not after hundreds of answers. Alone
-// it stays as it was.
+// One router of many sees few answers, so the wait that it accepts recovers within some seconds without a
+// late answer, not after hundreds of answers. A router that doesn't coordinate recovers by answers alone.
 func TestAcceptedWaitRecovers(t *testing.T) {
 	tier := routersWithThreshold(t, 120, AdmitAll)
 	alone := newRouters(t, testConfig(), 120)[0]
@@ -217,18 +223,19 @@
 		for now := 1e5; now < 1e5+3500; now += housekeepInterval {
 			b.Timer(now, tickToken)
 			if now < 1e5+waitShareRecoveryDelay && b.bear > 0 {
-				t.Fatalf("%.3f is borne %.0f ms after a late answer", b.bear, now-1e5)
+				t.Fatalf("base wait share %.3f, %.0f ms after a late answer", b.bear, now-1e5)
 			}
 		}
 	}
 	if tier[0].bear < 0.2 || alone.bear > 0 {
-		t.Errorf("%.3f is borne by one of four, %.3f by one that is told nothing", tier[0].bear, alone.bear)
+		t.Errorf("base wait share %.3f at one of four routers, %.3f at one that doesn't coordinate", tier[0].bear, alone.bear)
 	}
 }
 
-// Good answers add to the bounds on fetches of all routers together no more than to that of one alone, which they are of.
+// Good answers raise the fetch limits of all routers of a tier together by no more than the limit of a
+// single router.
 func TestFetchLimitsOfATierGrowTogether(t *testing.T) {
-	grown := func(routers int) (sum float64) {
+	totalLimit := func(routers int) (sum float64) {
 		cfg := testConfig()
 		cfg.Routers = routers
 		for i, b := range newRouters(t, cfg, 120) {
@@ -248,13 +255,13 @@
 		}
 		return sum
 	}
-	if one, many := grown(1), grown(12); many > 1.1*one || many < 0.7*one {
-		t.Errorf("240 good answers bring the bounds of 12 routers from 8 to %.1f together, that of one to %.1f", many, one)
+	if one, many := totalLimit(1), totalLimit(12); many > 1.1*one || many < 0.7*one {
+		t.Errorf("240 good answers raise the fetch limits of 12 routers from 8 to %.1f together, that of one to %.1f", many, one)
 	}
 }
 
-// Attempts beyond the first are a tenth of the first ones over all routers of a fleet, in any two seconds, whatever fails and however little each
-// has to do; where a whole server has died, what all had there goes elsewhere.
+// The retries of all routers of a fleet are at most a tenth of the first attempts, about that in any two
+// seconds too, however many attempts fail and however few requests each router has.
 func TestRetriesOfAFleet(t *testing.T) {
 	for _, routers := range []int{6, 24} {
 		cfg := testConfig()
@@ -265,13 +272,14 @@
 				t.Fatal(err)
 			}
 		}
-		first, further, id, rng := 0, 0, uint32(0), rand.New(rand.NewPCG(uint64(routers), 3))
-		var firsts, furthers []int // in each 100 ms
+		first, retries, id, rng := 0, 0, uint32(0), rand.New(rand.NewPCG(uint64(routers), 3))
+		var firstCounts, retryCounts []int // in each 100 ms
 		for now := 1e5; now < 1e5+20e3; now += 10 {
 			if int(now)%100 == 0 {
-				firsts, furthers = append(firsts, first), append(furthers, further)
+				firstCounts, retryCounts = append(firstCounts, first), append(retryCounts, retries)
 			}
-			for _, b := range tier { // 480 a second come to all together, and after 5 s each third attempt fails
+			// 480 requests a second arrive at all routers, and after 5 s every third attempt fails.
+			for _, b := range tier {
 				if rng.Float64() > 4.8/float64(routers) {
 					continue
 				}
@@ -283,7 +291,7 @@
 					if n == was {
 						first++
 					} else {
-						further++
+						retries++
 					}
 					st := OK
 					if now > 1e5+5e3 && (id+uint32(n-was))%3 == 0 {
@@ -293,24 +301,24 @@
 				}
 			}
 		}
-		for i := 20; i < len(firsts); i++ {
-			if f, more := firsts[i]-firsts[i-20], furthers[i]-furthers[i-20]; float64(more) > 0.15*float64(f)+float64(routers) {
-				t.Errorf("%d routers, %.1f s: %d attempts beyond %d first ones in two seconds", routers, float64(i)/10, more, f)
+		for i := 20; i < len(firstCounts); i++ {
+			if f, more := firstCounts[i]-firstCounts[i-20], retryCounts[i]-retryCounts[i-20]; float64(more) > 0.15*float64(f)+float64(routers) {
+				t.Errorf("%d routers, %.1f s: %d retries for %d first attempts in two seconds", routers, float64(i)/10, more, f)
 				break
 			}
 		}
-		if share := float64(further) / float64(first); share > 0.1 || share < 0.005 {
-			t.Errorf("%d routers: %.3f of the first attempts were made again", routers, share)
+		if share := float64(retries) / float64(first); share > 0.1 || share < 0.005 {
+			t.Errorf("%d routers: %.3f retries for each first attempt", routers, share)
 		}
 	}
 }
 
-// A server that has died takes no budget: all that was there is sent elsewhere.
+// Requests at a dead server are sent elsewhere without use of the retry budget.
 func TestDeadServerUsesNoRetryBudget(t *testing.T) {
 	tier := routersWithThreshold(t, 5000, AdmitAll)
 	b := tier[0]
 	h := b.host.(*fakeHost)
-	dead, again, lost := b.order[0].ID, 0, 0
+	dead, redirected, refused := b.order[0].ID, 0, 0
 	b.spare = 1
 	for id := uint32(1); id <= 300; id++ {
 		now, was := 1e5+float64(id), len(h.sends)
@@ -323,13 +331,13 @@
 			b.Outcome(now, Outcome{ID: id, Attempt: n - was, Server: h.sends[n].server, Status: st, Latency: 5, Final: st == OK, Load: NoLoad})
 		}
 		if made := len(h.sends) - was; made > 1 {
-			again++
+			redirected++
 		}
 		if h.refused[id] > 0 {
-			lost++
+			refused++
 		}
 	}
-	if again == 0 || lost > 8 {
-		t.Errorf("of 300 requests %d went elsewhere and %d were refused", again, lost)
+	if redirected == 0 || refused > 8 {
+		t.Errorf("of 300 requests %d were sent elsewhere and %d were refused", redirected, refused)
 	}
 }
--- a/decide/parts_test.go
+++ b/decide/parts_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newRouters are the routers of a tier, which know three servers that can do so much.
+// newRouters returns the routers of a tier, which know three servers of the given capacity.
 func newRouters(t *testing.T, cfg Config, perSecond float64) (tier []*Balancer) {
 	t.Helper()
 	for i := range uint64(cfg.Routers) {
@@ -22,7 +22,8 @@
 	return tier
 }
 
-// newTier is a server that can do 120 a second, and what each of some routers, all told of each other, makes of it.
+// newTier returns coordinated routers with servers of 120 requests a second, and the id of one of the
+// servers.
 func newTier(t *testing.T, routers int, update Tier) (tier []*Balancer, id uint32) {
 	t.Helper()
 	cfg := testConfig()
@@ -36,7 +37,8 @@
 	return tier, fleet(3)[0].ID
 }
 
-// sendWhileAllowed has each router send as much of a rank as it may, for so many seconds, and returns how much that was a second.
+// sendWhileAllowed lets each router send requests of a rank while its budget allows, for the given time. It
+// returns the requests sent a second.
 func sendWhileAllowed(tier []*Balancer, id uint32, seconds, rank float64) (perSecond float64) {
 	began := tier[0].now
 	for now := began; now < began+seconds*1000; now += 5 {
@@ -51,7 +53,7 @@
 	return perSecond
 }
 
-// All routers together send a warm server no more than it can do, however many they are and whatever each has to send.
+// All routers together send a warm server no more than its capacity, however many they are.
 func TestSharesOfAWarmServerAddUp(t *testing.T) {
 	for _, n := range []int{2, 24, 100} {
 		tier, id := newTier(t, n, Tier{Routers: n, Shares: float64(n), Until: math.Inf(1), SharesAfter: float64(n)})
@@ -61,14 +63,14 @@
 	}
 }
 
-// What is worth less goes first: it finds room only where nothing better wants it.
+// Requests of low worth are refused first: they are sent only if no higher worth needs the capacity.
 func TestSharesOfAWarmServerGoToTheHighestWorth(t *testing.T) {
 	tier, id := newTier(t, 4, Tier{Routers: 4, Shares: 4, Until: math.Inf(1), SharesAfter: 4})
 	b, best, least := tier[0], 0, 0
 	for now := 1e5; now < 1e5+20e3; now += 5 {
 		b.now = now
 		s := b.servers[id]
-		for _, rank := range []float64{0.1, 1} { // the least worth asks first
+		for _, rank := range []float64{0.1, 1} { // the lowest worth first
 			if b.budgetAllows(s, 1, rank) {
 				s.budget.v--
 				if rank == 1 {
@@ -80,18 +82,19 @@
 		}
 	}
 	if best < 500 || least > best/20 {
-		t.Errorf("%d of the highest worth and %d of the least were sent", best, least)
+		t.Errorf("%d of the highest worth and %d of the lowest were sent", best, least)
 	}
 	if alone := sendWhileAllowed(tier[:1], id, 20, 0.1); alone < 20 {
-		t.Errorf("where nothing else comes %.1f of the least worth are sent a second, of 30", alone)
+		t.Errorf("without other requests %.1f of the lowest worth are sent a second, of 30", alone)
 	}
 }
 
-// Nothing is held back where routers tell each other nothing, or the server has said nothing of itself; who has no part yet serves all the same.
+// No budget applies where routers don't coordinate or the server has not reported its capacity. A router
+// that has no share yet still serves requests.
 func TestUnknownShares(t *testing.T) {
 	tier, id := newTier(t, 4, Tier{Routers: 4, Shares: 1 << 20, Until: math.Inf(1), SharesAfter: 1 << 20})
 	if got := sendWhileAllowed(tier[:1], id, 20, 1); got < 10 || got > 16 {
-		t.Errorf("one of four that has no part sends %.1f a second, half of 30 is right", got)
+		t.Errorf("one of four routers without a share sends %.1f a second, want about half of 30", got)
 	}
 	b := tier[1]
 	b.servers[id].cap = level{}
@@ -101,20 +104,20 @@
 	b = tier[2]
 	b.told = false
 	if got := sendWhileAllowed(tier[2:3], id, 1, 1); got < 199 {
-		t.Errorf("without a word of the others %.1f of 200 are sent", got)
+		t.Errorf("without coordination %.1f of 200 are sent", got)
 	}
 }
 
-// What was sent before there were parts is owed for a second at most.
+// Debt from sends before the shares applied delays a router by a second at most.
 func TestOldDebtDelaysSharesBriefly(t *testing.T) {
 	tier, id := newTier(t, 2, Tier{Routers: 2, Shares: 2, Until: math.Inf(1), SharesAfter: 2})
 	tier[0].servers[id].budget = rate{-5000, 1e5}
 	if got := sendWhileAllowed(tier[:1], id, 4, 1); got < 40 {
-		t.Errorf("%.1f a second are sent, 57 are its part", got)
+		t.Errorf("%.1f a second are sent, its share is 57", got)
 	}
 }
 
-// The heaviest request of the least worth finds room too, where nothing better comes, and is paid for by its work.
+// The heaviest request of the lowest worth is sent too if no higher worth arrives, and its work is charged.
 func TestSharesAdmitHeavyRequests(t *testing.T) {
 	tier, id := newTier(t, 24, Tier{Routers: 24, Shares: 24, Until: math.Inf(1), SharesAfter: 24})
 	b, sent := tier[0], 0
@@ -126,19 +129,20 @@
 		}
 	}
 	if sent < 50 || sent > 65 { // 4.75 a second, of which each takes 4.5
-		t.Errorf("%d of work 8 were sent in a minute, 63 are right", sent)
+		t.Errorf("%d of work 8 were sent in a minute, want about 63", sent)
 	}
 }
 
-// What a server can do is bounded by the least that it told only while it is full: arrivals that are turned away swell reports then, and at little
-// load the least is chance, which would hold a whole fleet back for a minute.
+// A server's capacity is bounded by its least report only while it is full: rejected arrivals inflate its
+// reports then. At low load the least report is chance, and the bound would hold back a whole fleet for a
+// minute.
 func TestSharesWhileReportsAreInflated(t *testing.T) {
 	for _, c := range []struct{ util, least, most float64 }{{0.5, 100, 120}, {1, 55, 70}} {
 		tier, id := newTier(t, 1, Tier{Routers: 1, Shares: 1, Until: math.Inf(1), SharesAfter: 1})
 		s := tier[0].servers[id]
 		s.cap.floor, s.last.Util = 60, c.util
 		if got := sendWhileAllowed(tier, id, 10, 1); got < c.least || got > c.most {
-			t.Errorf("at utilisation %v %.1f a second are sent to a server of 120 that once told 60; %v to %v are right", c.util, got, c.least, c.most)
+			t.Errorf("at utilisation %v %.1f a second are sent to a server of 120 that once reported 60; want %v to %v", c.util, got, c.least, c.most)
 		}
 	}
 }
--- a/decide/tier_test.go
+++ b/decide/tier_test.go
@@ -6,45 +6,45 @@
 	"testing"
 )
 
-// What a router may use follows what it is told of the tier: less at once, more at once, and the lesser part by itself when its time is over,
-// on whatever event comes first.
+// A router's resources follow each update of the tier at once, up and down. When an update expires, they
+// shrink to its smaller share at the next event of any kind.
 func TestTierScalesSharedResources(t *testing.T) {
 	b := experienced(t)
 	cold := b.servers[fleet(6)[1].ID]
 	b.begin(cold.fresh + 2000)
-	gain := func() float64 {
+	gained := func() float64 {
 		cold.budget = rate{0, b.now}
 		b.begin(b.now + 100)
 		b.budgetAllows(cold, 1, 1)
 		return cold.budget.v
 	}
-	whole, fetches := gain(), b.fetches
+	whole, fetches := gained(), b.fetches
 	was := b.parts
-	tell := func(tier Tier) {
+	update := func(tier Tier) {
 		t.Helper()
 		if err := b.SetTier(b.now, tier); err != nil {
 			t.Fatal(err)
 		}
 	}
-	tell(Tier{Routers: 24, Shares: 4 * was, Until: b.now + 500, SharesAfter: 8 * was})
-	if got := gain(); math.Abs(got-whole/4) > whole/50 || math.Abs(b.fetches-fetches/4) > 1e-9 || b.cfg.Routers != 24 {
-		t.Errorf("of four times as many: %v of %v in 100 ms, %v of %v fetches, %d routers", got, whole, b.fetches, fetches, b.cfg.Routers)
+	update(Tier{Routers: 24, Shares: 4 * was, Until: b.now + 500, SharesAfter: 8 * was})
+	if got := gained(); math.Abs(got-whole/4) > whole/50 || math.Abs(b.fetches-fetches/4) > 1e-9 || b.cfg.Routers != 24 {
+		t.Errorf("a quarter of the share: %v of %v in 100 ms, %v of %v fetches, %d routers", got, whole, b.fetches, fetches, b.cfg.Routers)
 	}
-	b.Gone(b.now+600, 1<<31) // any event; nobody has renewed it
-	if got := gain(); math.Abs(got-whole/8) > whole/50 || math.Abs(b.fetches-fetches/8) > fetches/8*0.2 {
-		t.Errorf("its time is over: %v of %v, %v of %v fetches", got, whole, b.fetches, fetches)
+	b.Gone(b.now+600, 1<<31) // any event, after the update has expired
+	if got := gained(); math.Abs(got-whole/8) > whole/50 || math.Abs(b.fetches-fetches/8) > fetches/8*0.2 {
+		t.Errorf("expired: %v of %v in 100 ms, %v of %v fetches", got, whole, b.fetches, fetches)
 	}
-	tell(Tier{Routers: 24, Shares: 1 << 20, Until: math.Inf(1), SharesAfter: 1 << 20})
-	if got := gain(); got > whole/1e4 || b.fetches > 0.01 {
-		t.Errorf("while it has no part: %v in 100 ms, %v fetches", got, b.fetches)
+	update(Tier{Routers: 24, Shares: 1 << 20, Until: math.Inf(1), SharesAfter: 1 << 20})
+	if got := gained(); got > whole/1e4 || b.fetches > 0.01 {
+		t.Errorf("without a share: %v in 100 ms, %v fetches", got, b.fetches)
 	}
-	tell(Tier{Routers: 24, Shares: 24, Until: math.Inf(1), SharesAfter: 24})
+	update(Tier{Routers: 24, Shares: 24, Until: math.Inf(1), SharesAfter: 24})
 	if want := initialFetchLimit(24); b.fetches < want || b.fetches > 2*want {
-		t.Errorf("it has a part again: %v fetches, a new one has %v", b.fetches, want)
+		t.Errorf("with a share again: %v fetches, a new router has %v", b.fetches, want)
 	}
 	b.SetProcesses(b.now, 2)
 	if b.parts != 48 || b.cfg.Routers != 48 {
-		t.Errorf("two processes: %v parts, %d routers", b.parts, b.cfg.Routers)
+		t.Errorf("two processes: %v shares, %d routers", b.parts, b.cfg.Routers)
 	}
 }
 
