--- a/decide/line_test.go
+++ b/decide/line_test.go
@@ -105,10 +105,10 @@
 // all.
 func TestIdleCapacityUnderTheThresholdIsUsed(t *testing.T) {
 	for _, c := range []struct {
-		name               string
-		dear, read         float64 // a second
-		leastDear, mostBad float64 // shares that are served, at the least and at the most
-		leastRead          float64
+		name                string
+		dear, read          float64 // a second
+		leastDear, mostRead float64 // shares that are served, at the least and at the most
+		leastRead           float64
 	}{{"capacity for all", 10, 10, 0.95, 1, 0.95}, {"capacity for the best", 24, 24, 0.9, 0.25, 0}} {
 		// A router's share is 28 a second.
 		tier := routersWithThreshold(t, 40, AdmissionThreshold{Band: 0, Share: 0, Rotation: 0, RotationPeriod: 1e6, Until: math.Inf(1)})
@@ -131,7 +131,7 @@
 				}
 			}
 		}
-		if dear, read := served[0]/requested[0], served[1]/requested[1]; dear < c.leastDear || read > c.mostBad || read < c.leastRead {
+		if dear, read := served[0]/requested[0], served[1]/requested[1]; dear < c.leastDear || read > c.mostRead || read < c.leastRead {
 			t.Errorf("%s: %.2f of the higher worth and %.2f of the lower are served", c.name, dear, read)
 		}
 	}
@@ -318,7 +318,7 @@
 	tier := routersWithThreshold(t, 5000, AdmitAll)
 	b := tier[0]
 	h := b.host.(*fakeHost)
-	dead, redirected, refused := b.order[0].ID, 0, 0
+	dead, redirected, refusals := b.order[0].ID, 0, 0
 	b.spare = 1
 	for id := uint32(1); id <= 300; id++ {
 		now, was := 1e5+float64(id), len(h.sends)
@@ -334,10 +334,10 @@
 			redirected++
 		}
 		if h.refused[id] > 0 {
-			refused++
+			refusals++
 		}
 	}
-	if redirected == 0 || refused > 8 {
-		t.Errorf("of 300 requests %d were sent elsewhere and %d were refused", redirected, refused)
+	if redirected == 0 || refusals > 8 {
+		t.Errorf("of 300 requests %d were sent elsewhere and %d were refused", redirected, refusals)
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -10,7 +10,7 @@
 
 // ---- The four rules ----
 
-// TestEveryOutcomeAndEffect drives one request of each effect through each outcome and checks what may follow.
+// TestEveryOutcomeAndEffect checks which actions may follow each outcome of a request of each effect.
 func TestEveryOutcomeAndEffect(t *testing.T) {
 	all := []Status{Failed, QueueFull, TimedOut, ConnectError, Reset, Canceled, Ignored, Spoilt}
 	for _, class := range []string{"read", "keyed", "zoned", "once"} {
@@ -20,26 +20,27 @@
 				ask(b, 100010, 1, class, 9)
 				first := h.last()
 				b.Outcome(100050, Outcome{ID: 1, Server: first.server, Status: st, Latency: 40, Load: NoLoad})
-				again := len(h.sends) > 1
+				retried := len(h.sends) > 1
 				switch {
 				case class == "once" && !st.NeverRan():
-					if again || h.refused[1] > 0 || h.failed[1] != 1 {
+					if retried || h.refused[1] > 0 || h.failed[1] != 1 {
 						t.Errorf("may have run: sends %v, refused %d, failed %d", h.sends, h.refused[1], h.failed[1])
 					}
 				case class == "zoned" && !st.NeverRan():
 					if h.refused[1] > 0 {
-						t.Error("a refusal that is not true")
+						t.Error("refused although the attempt may have run")
 					}
-					if again && b.servers[h.last().server].Zone != b.servers[first.server].Zone {
+					if retried && b.servers[h.last().server].Zone != b.servers[first.server].Zone {
 						t.Error("sent again outside the group")
 					}
 				default:
-					if !again {
-						t.Error("no further attempt though one is allowed")
+					if !retried {
+						t.Error("no retry although one is allowed")
 					}
 				}
-				if again && (h.last().server == first.server) != (st == Spoilt) { // spoilt: the others lack the key
-					t.Error("sent again to the server that just failed, or a spoilt answer's to another")
+				// After a spoilt answer only the same server has the key.
+				if retried && (h.last().server == first.server) != (st == Spoilt) {
+					t.Error("retried at the server that just failed, or after a spoilt answer at another")
 				}
 			})
 		}
@@ -66,10 +67,10 @@
 		b.Timer(100010+tm.after, tm.token)
 	}
 	if len(h.sends) != 1 {
-		t.Errorf("sends %v while the first is out", h.sends)
+		t.Errorf("sends %v while the first is in flight", h.sends)
 	}
 	if len(h.cancels) != 1 {
-		t.Fatalf("cancels %v: want the silent attempt called off", h.cancels)
+		t.Fatalf("cancels %v: want the unresponsive attempt canceled", h.cancels)
 	}
 	b.Outcome(100200, Outcome{ID: 1, Server: h.sends[0].server, Status: Canceled, Latency: 190, Load: NoLoad})
 	if len(h.sends) != 2 {
@@ -92,7 +93,7 @@
 	b.Timer(100057, 80<<8|1)
 	b.Probed(100058, 81, OK, NoLoad)
 	if len(h.sends) != 1 || h.answers(1) != 0 || b.servers[s].out != 0 || len(b.reqs) != 0 {
-		t.Errorf("sends %v, answers %d, out %d, held %d", h.sends, h.answers(1), b.servers[s].out, len(b.reqs))
+		t.Errorf("sends %v, answers %d, in flight %d, requests %d", h.sends, h.answers(1), b.servers[s].out, len(b.reqs))
 	}
 }
 
@@ -136,10 +137,11 @@
 	}
 }
 
-// A cold server is spared by what servers of its size carry, also where all have told five times that since: misses are cheap, and while the
-// origin stops there is nothing else. A search with the model found eight such days.
+// The budget of a cold server follows the capacity of servers of its size, also if all of them have
+// reported five times that since: misses are cheap, and while the origin is down there are only misses. A
+// search with the model found eight such days.
 func TestColdServerBudgetHoldsOverAllRouters(t *testing.T) {
-	for name, told := range map[string]float64{"reports as they are": 1, "reports amid cheap misses": 5} {
+	for name, told := range map[string]float64{"accurate reports": 1, "reports amid cheap misses": 5} {
 		t.Run(name, func(t *testing.T) { checkColdServerBudget(t, told) })
 	}
 }
@@ -159,7 +161,7 @@
 			}
 		}
 		b.solve()
-		for i := range uint32(4000) { // 2 s at 2000 a second, enough to fell it many times over
+		for i := range uint32(4000) { // 2 s at 2000 a second, many times its capacity
 			now := 100010 + float64(i)/2
 			ask(b, now, i+1, "read", uint64(i))
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == i+1 {
@@ -172,13 +174,14 @@
 			}
 		}
 	}
-	warmth := cfg.ColdFrom + (1-cfg.ColdFrom)*500/cfg.Cold // at the begin of the window
+	warmth := cfg.ColdFrom + (1-cfg.ColdFrom)*500/cfg.Cold // at the start of the window
 	if limit := cfg.FallMult * capacity * warmth * cfg.FallFor / 1000; total > limit || total < limit/8 {
 		t.Errorf("%v requests sent to a cold server in the window, its limit is %v", total, limit)
 	}
 }
 
-// TestEveryRequestIsAnsweredOnce plays a small hostile world against the module and counts the answers.
+// TestEveryRequestIsAnsweredOnce simulates random outcomes of all kinds and counts the answers to each
+// request.
 func TestEveryRequestIsAnsweredOnce(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -186,7 +189,7 @@
 		cfg.Copies, cfg.Cancel, cfg.Aside, cfg.OriginKind = seed%2 == 0, seed%3 != 0, seed%4 > 1, "origin"
 		es := append(fleet(5), Entry{ID: 77, Kind: "origin"})
 		b, h := start(t, cfg, es)
-		type leg struct {
+		type pendingOutcome struct {
 			due float64
 			o   Outcome
 		}
@@ -196,7 +199,7 @@
 				t.Fatalf("seed %d: request %d sent after its answer", seed, id)
 			}
 		}
-		var legs []leg
+		var pending []pendingOutcome
 		seen, timers := 0, []timer{}
 		next := uint32(0)
 		for now := 100000.0; now < 104000; now += 5 {
@@ -219,8 +222,8 @@
 				}
 			}
 			timers = rest
-			kept := legs[:0]
-			for _, l := range legs {
+			kept := pending[:0]
+			for _, l := range pending {
 				if l.due > now && until[l.o.ID] > now {
 					kept = append(kept, l)
 					continue
@@ -236,11 +239,11 @@
 				}
 				b.Outcome(now, l.o)
 			}
-			legs = kept
+			pending = kept
 			for ; seen < len(h.sends); seen++ {
 				s := h.sends[seen]
 				st := []Status{OK, OK, Failed, QueueFull, TimedOut, ConnectError, Reset, Miss, Spoilt}[rng.IntN(9)]
-				legs = append(legs, leg{now + 300*rng.Float64(),
+				pending = append(pending, pendingOutcome{now + 300*rng.Float64(),
 					Outcome{ID: s.id, Attempt: tries[s.id], Server: s.server, Status: st, Latency: 20, Load: NoLoad}})
 				tries[s.id]++
 			}
@@ -255,7 +258,7 @@
 			}
 		}
 		if len(b.reqs) != 0 || len(b.held) != 0 {
-			t.Errorf("seed %d: %d requests and %d held are not forgotten", seed, len(b.reqs), len(b.held))
+			t.Errorf("seed %d: %d requests and %d held requests are left over", seed, len(b.reqs), len(b.held))
 		}
 	}
 }
@@ -294,7 +297,7 @@
 // ---- Settings ----
 
 func TestNewNamesTheBadSetting(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
+	for want, corrupt := range map[string]func(*Config){
 		"Routers":             func(c *Config) { c.Routers = 0 },
 		"Me":                  func(c *Config) { c.Me = 5 },
 		"Classes":             func(c *Config) { c.Classes = nil },
@@ -307,7 +310,7 @@
 		"Tenants[x].Quota":    func(c *Config) { c.Tenants = []Tenant{{Name: "x", Quota: -1}} },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		corrupt(&cfg)
 		if _, err := New(cfg, 1, newHost()); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want an error that names %s, got %v", want, err)
 		}
@@ -316,7 +319,7 @@
 
 // ---- Origin ----
 
-// Fetches sent too late timed out, and the bound on fetches fell although the origin answered quickly.
+// Fetches that were sent too late timed out, and the fetch limit fell although the origin answered quickly.
 func TestLateFetchIsNoSignOfASlowOrigin(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -332,18 +335,19 @@
 		}
 	}
 	if b.fetches < was {
-		t.Errorf("bound fell from %v to %v", was, b.fetches)
+		t.Errorf("fetch limit fell from %v to %v", was, b.fetches)
 	}
 	for range 12 {
 		b.now += 1000
 		b.adjustFetchLimit(&request{class: &Class{Aim: 300}, key: &flow{}}, TimedOut, 900)
 	}
 	if b.fetches > was/2 {
-		t.Errorf("bound %v though every fetch is slow", b.fetches)
+		t.Errorf("fetch limit %v though every fetch is slow", b.fetches)
 	}
 }
 
-// In an overload that lasted, the floor rose to what was normal by then, and writes came back 100 ms late all day.
+// In a lasting overload the latency floor rose to the latency of the overload, and writes were answered 100
+// ms late all day.
 func TestRisenFloorDoesNotExcuseUselessFetches(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(2))
 	was := b.fetches
@@ -353,7 +357,7 @@
 		b.adjustFetchLimit(r, OK, 290)
 	}
 	if b.fetches > was/2 {
-		t.Errorf("bound %v: fetches of 290 ms for an aim of 300 were taken for quick", b.fetches)
+		t.Errorf("fetch limit %v: fetches of 290 ms for an aim of 300 counted as quick", b.fetches)
 	}
 }
 
@@ -372,14 +376,15 @@
 	}
 	b.Outcome(100060, Outcome{ID: 1, Attempt: 1, Server: 77, Status: OK, Latency: 40, Final: true, Load: NoLoad})
 	if len(h.sends) != 5 || h.sends[3].server != home || h.sends[4].server != home {
-		t.Errorf("sends %v, want the two that waited at the home", h.sends)
+		t.Errorf("sends %v, want the two held requests at the home", h.sends)
 	}
 }
 
-// Fetches of servers failed, every failure was tried elsewhere and fetched again, and the origin stayed down.
+// When fetches by servers failed, each request was retried elsewhere and fetched again, and the origin
+// stayed overloaded.
 func TestFailedFetchIsBlamedOnTheOrigin(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	for i := range uint32(40) { // 300 ms apart; the bound falls, and fetches come to pause
+	for i := range uint32(40) { // 300 ms apart; the limit falls below one, and fetches are paced
 		now, was := 100010+300*float64(i), len(h.sends)
 		ask(b, now, i+1, "read", uint64(i))
 		if len(h.sends) > was {
@@ -390,40 +395,42 @@
 		}
 	}
 	if n := len(h.sends); n < 6 || n > 20 || b.fetches > 0.5 || ejected(b.order) > 0 {
-		t.Errorf("%d sends for 40 requests, bound %v, %d ejected", n, b.fetches, ejected(b.order))
+		t.Errorf("%d sends for 40 requests, fetch limit %v, %d ejected", n, b.fetches, ejected(b.order))
 	}
 	n := len(h.sends)
 	for i := range uint32(40) {
 		ask(b, 120000, 100+i, "once", uint64(100+i))
 	}
 	if out := len(h.sends) - n; out != 1 {
-		t.Errorf("%d out at a bound of %v", out, b.fetches)
+		t.Errorf("%d in flight at a fetch limit of %v", out, b.fetches)
 	}
-	for i := range uint32(60) { // answers bring the bound back
+	for i := range uint32(60) { // answers raise the limit again
 		if r := b.reqs[h.last().id]; r != nil && r.out > 0 {
 			b.Outcome(120020+20*float64(i), Outcome{ID: r.ID, Server: h.last().server, Latency: 20, Note: 2, Final: true, Load: NoLoad})
 		}
 	}
 	if b.fetches < 2 {
-		t.Errorf("bound %v after the origin came back", b.fetches)
+		t.Errorf("fetch limit %v after the origin recovered", b.fetches)
 	}
 }
 
-// Keys whose fetches failed went on counting as stored: a stopped origin was asked 88 times a second without a place.
+// Keys whose fetches failed still counted as stored, so requests for them bypassed the fetch limit: a
+// stopped origin got 88 fetches a second.
 func TestKeyWhoseFetchFailedCountsAsAFetch(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
 	b.Outcome(100041, Outcome{ID: 1, Server: h.last().server, Latency: 40, Note: 2, Final: true, Load: NoLoad})
 	if ask(b, 101000, 2, "read", 5); b.reqs[2].asks {
-		t.Error("a key stored a second ago was taken for a miss")
+		t.Error("a key stored a second ago counts as a miss")
 	}
 	b.Outcome(101200, Outcome{ID: 2, Server: h.last().server, Status: Failed, Latency: 200, Note: 2, Load: NoLoad})
 	if ask(b, 102000, 3, "read", 5); !b.reqs[3].asks {
-		t.Error("a key whose fetch failed was taken for stored")
+		t.Error("a key whose fetch failed counts as stored")
 	}
 }
 
-// An overload raised the floor of servers that then idled: refused for it, no request could correct what was seen.
+// An overload raised the latency floor of servers that were idle afterwards. Requests were refused because
+// of the floor, so no request could correct it.
 func TestLatencyFloorDecays(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	for _, s := range b.order {
@@ -437,7 +444,8 @@
 	}
 }
 
-// Without a report every wait was nil, and the first second of a day choked all servers for half a minute.
+// Without a report every expected wait was zero, and the first second overloaded all servers for half a
+// minute.
 func TestUnreportedServersAreNotFlooded(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -447,13 +455,14 @@
 		ask(b, 100001, i+1, "dear", uint64(i))
 	}
 	if n := len(h.sends) / 6; n < 3 || n > 12 {
-		t.Errorf("%d requests out at each server that has not reported yet", n)
+		t.Errorf("%d requests in flight at each server that has not reported yet", n)
 	}
 }
 
 // ---- List ----
 
-// Requests that waited for fetches timed out, healthy servers were ejected for it, and their keys became misses.
+// Requests that waited for fetches timed out, healthy servers were ejected for that, and their keys became
+// misses.
 func TestTimeOutAtAnAnsweringServerIsNoFailure(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.order[0]
@@ -462,17 +471,18 @@
 		b.observeHealth(s, TimedOut, b.now-400)
 	}
 	if s.accept < 1 || s.ejected {
-		t.Errorf("accept %.2f, ejected %v: a server that answers others was blamed", s.accept, s.ejected)
+		t.Errorf("accept %.2f, ejected %v: time-outs count against a server that answers others", s.accept, s.ejected)
 	}
 	for range 20 {
 		b.observeHealth(s, TimedOut, b.now+1)
 	}
 	if !s.ejected {
-		t.Error("a silent server is still in use")
+		t.Error("an unresponsive server is still in use")
 	}
 }
 
-// Where servers fetch by themselves, the floor under latencies held a fetch, and idle servers refused cheap requests.
+// Where servers fetch by themselves, the latency floor included a fetch, and requests for idle servers were
+// refused.
 func TestWaitForAFetchIsNotTheServersLatency(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
@@ -524,7 +534,7 @@
 		b.observeHealth(s, TimedOut, b.now+1)
 	}
 	if !s.ejected || b.usable(s, read(b, b.flow(Request{Key: 1, HasKey: true}))) {
-		t.Fatal("three signs of silence did not take it out")
+		t.Fatal("three time-outs did not eject the server")
 	}
 	for _, o := range b.order[1:3] {
 		o.ejected = true
@@ -534,7 +544,7 @@
 		b.observeHealth(o, TimedOut, b.now+1)
 	}
 	if o.ejected {
-		t.Error("silence of half the fleet was not taken for our own trouble")
+		t.Error("a server was ejected though half of the fleet is unresponsive")
 	}
 	b.now = s.trial + 1
 	if !b.usable(s, read(b, b.flow(Request{Key: 1, HasKey: true}))) {
@@ -549,11 +559,12 @@
 		t.Errorf("ejected %v, %d channels where others have %d: want it back with about half", s.ejected, s.n, b.order[5].n)
 	}
 	if b.observeHealth(s, Failed, b.now); !s.ejected {
-		t.Error("one failure after the return did not take it out again")
+		t.Error("one failure after the trial did not eject the server again")
 	}
 }
 
-// With a bound on the age of reports, a router of a large fleet sent several probes for each of its requests.
+// With a bound on the age of reports, each router of a large fleet sent several probes for each of its
+// requests.
 func TestProbesAreBoundedByRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.ByProbe, cfg.Probes, cfg.Routers = true, true, 600
@@ -579,8 +590,9 @@
 	}
 }
 
-// The bound had risen to several times what was out while the origin was quick: when it was asked for more than it could
-// do, cuts of a fifth left a queue there for seconds, and half of all fetches came too late.
+// While the origin was quick, the fetch limit rose to several times the fetches in flight. In an overload
+// of the origin, cuts of a fifth then left a queue there for seconds, and half of all fetches came too
+// late.
 func TestBoundOnFetchesFallsBelowThoseThatQueue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -592,16 +604,17 @@
 		b.adjustFetchLimit(r, OK, 160)
 	}
 	if b.fetches >= 12 {
-		t.Errorf("a bound of %v with 12 out, half of the aim late", b.fetches)
+		t.Errorf("fetch limit %v with 12 in flight and latencies over half of the aim", b.fetches)
 	}
 	b.fetches, b.olat, b.origin.out = 40, level{v: 80, floor: 80, at: b.now}, 2
 	b.now += 1000
-	if b.adjustFetchLimit(r, Reset, 400); b.fetches < 30 { // a lost answer tells of no queue
-		t.Errorf("a bound of %v after one reset", b.fetches)
+	if b.adjustFetchLimit(r, Reset, 400); b.fetches < 30 { // a lost answer is no sign of a queue
+		t.Errorf("fetch limit %v after one reset", b.fetches)
 	}
 }
 
-// A whole fetch at each of hundreds of routers, from the start or as the least that a cut leaves, jammed the origin.
+// A lower bound of one fetch in flight at each of hundreds of routers, at the start or after cuts,
+// overloaded the origin.
 func TestFetchLimitsOfManyRoutersAddUpToAFew(t *testing.T) {
 	for _, routers := range []int{4, 300} {
 		cfg := testConfig()
@@ -614,7 +627,7 @@
 			b.adjustFetchLimit(r, TimedOut, 900)
 		}
 		if all := b.fetches * float64(routers); all > 10 {
-			t.Errorf("%d routers: a bound of %v in all though every fetch is late", routers, all)
+			t.Errorf("%d routers: a fetch limit of %v in all though every fetch is late", routers, all)
 		}
 		b.fetches, b.olat = 0.1, level{v: 100, floor: 100}
 		n := len(h.sends)
@@ -626,13 +639,15 @@
 				b.fetches = 0.1
 			}
 		}
-		if sent := len(h.sends) - n; routers == 300 && (sent < 8 || sent > 20) { // of a few, an answer lifts it over one
-			t.Errorf("%d routers: %d fetches in 10 s at a bound of 0.1 and 100 ms each, want about ten", routers, sent)
+		// With few routers, an answer raises the limit above one.
+		if sent := len(h.sends) - n; routers == 300 && (sent < 8 || sent > 20) {
+			t.Errorf("%d routers: %d fetches in 10 s at a limit of 0.1 and 100 ms each, want about ten", routers, sent)
 		}
 	}
 }
 
-// Idle connections of hundreds of routers filled the tables of servers, and others' attempts failed to connect.
+// Idle connections of hundreds of routers filled the servers' connection tables, and other attempts failed
+// to connect.
 func TestConnectErrorsShortenTheTimeThatConnectionsAreKept(t *testing.T) {
 	cfg := testConfig()
 	cfg.ConnIdle = 60000
@@ -644,13 +659,13 @@
 	if len(h.closes) != 0 {
 		t.Fatalf("closed %v though no connect failed", h.closes)
 	}
-	for range 5 { // dead ones of a list that is old, which never answer
+	for range 5 { // dead servers of a stale list, which never answer
 		b.observeHealth(b.order[5], ConnectError, b.now)
 	}
 	if b.keep != cfg.ConnIdle {
 		t.Errorf("kept for %v after a dead server refused, want %v", b.keep, cfg.ConnIdle)
 	}
-	for _, s := range b.order[:5] { // full ones refuse and answer
+	for _, s := range b.order[:5] { // full servers refuse a connection and answer later
 		b.observeHealth(s, ConnectError, b.now)
 		b.observeHealth(s, OK, b.now)
 	}
@@ -667,8 +682,8 @@
 	}
 }
 
-// A router that asks each of many servers once in ten seconds saw no queue anywhere while the whole fleet choked,
-// and shed nothing; one that asks each often goes by what it sees of each.
+// A router that uses each of many servers once in ten seconds saw no queue anywhere while the whole fleet
+// was overloaded, and shed nothing. One that uses each server often relies on that server's own latency.
 func TestSeldomUsedServersAreAssumedAsLoadedAsTheFleet(t *testing.T) {
 	wait := func(perSecond int) float64 {
 		b, h := start(t, testConfig(), fleet(40))
@@ -689,12 +704,13 @@
 		s.cap.v = 100
 		return b.expectedWait(s)
 	}
-	if few, many := wait(8), wait(400); few < 50 || many > 20 {
-		t.Errorf("wait %v where each server is seldom asked, %v where often: want a long and a short one", few, many)
+	if seldom, often := wait(8), wait(400); seldom < 50 || often > 20 {
+		t.Errorf("wait %v if each server is seldom used, %v if often: want a long and a short one", seldom, often)
 	}
 }
 
-// A few requests over a quota's part are chance where a router sees little: whole tenants were shed in turn.
+// A few requests over a router's share of a quota are chance if the router sees little traffic. Counting
+// them as over the quota shed whole tenants in turn.
 func TestChanceDoesNotPutATenantOverItsQuota(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers, cfg.OverWorth = 100, 0.05
@@ -717,7 +733,8 @@
 	}
 }
 
-// A jammed home that still answered a few of its requests in time looked idle by those, and got all the others too.
+// An overloaded server that still answered a few requests in time looked idle by these, and got all others
+// too.
 func TestTimeOutsRaiseTheWaitOfAServer(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
@@ -730,8 +747,8 @@
 		ask(b, 100060, id, "read", 9)
 		b.Outcome(100060+300, Outcome{ID: id, Server: s.ID, Status: TimedOut, Latency: 300, Load: NoLoad})
 	}
-	if jammed := b.expectedWait(s); jammed < idle+10 {
-		t.Errorf("wait %v after five time-outs, %v before", jammed, idle)
+	if loaded := b.expectedWait(s); loaded < idle+10 {
+		t.Errorf("wait %v after five time-outs, %v before", loaded, idle)
 	}
 	was := s.lat.v
 	ask(b, 100400, 10, "read", 9)
@@ -741,8 +758,8 @@
 	}
 }
 
-// With nine in ten attempts timing out nothing was learnt of the fleet, and all was sent on to servers that no longer
-// answered: only answers and refusals counted.
+// Only answers and refusals counted, so with nine in ten attempts timing out the router learned nothing
+// about the fleet and sent everything to servers that no longer answered.
 func TestTimeOutsOfTheFleetShedWhereServersAreSeldomAsked(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -765,7 +782,8 @@
 	}
 }
 
-// A collapse was known by its time-outs only, more than a second late, by when the servers were choked.
+// A collapse was detected only by its time-outs, over a second late, when the servers were already
+// overloaded.
 func TestStallsSignalOverloadBeforeTimeOuts(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -784,21 +802,22 @@
 	}
 }
 
-// With all servers refusing and ejected, a busy router tried them as a last resort for each request, and each refused.
+// With all servers refusing and ejected, a busy router tried them as a last resort for each request, and
+// each of them refused.
 func TestLastResortIsAssumedAsLoadedAsTheFleet(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.order[0]
 	b.arrivals.add(b.now, keyRateTau, 2000)
 	b.jam = level{v: 400, floor: 40, at: b.now}
-	well := b.expectedWait(s)
+	healthy := b.expectedWait(s)
 	s.ejected = true
-	if sick := b.expectedWait(s); sick < 300 || well > 100 {
-		t.Errorf("wait %v at an ejected server, %v at another of a busy router", sick, well)
+	if ejectedWait := b.expectedWait(s); ejectedWait < 300 || healthy > 100 {
+		t.Errorf("wait %v at an ejected server, %v at another of a busy router", ejectedWait, healthy)
 	}
 }
 
-// An answer spoilt on its way says little of the server: it is not taken for dead, nor are idle connections closed
-// sooner. One that spoils everything goes out all the same.
+// An answer that is spoilt on its way says little about the server: it is not suspected to be dead, and
+// idle connections are not closed earlier. A server whose answers are all spoilt is ejected nevertheless.
 func TestSpoiltAnswersAreNoSignOfADeadServer(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	keep := b.keep
@@ -814,11 +833,12 @@
 		}
 	}
 	if s := b.servers[h.sends[0].server]; !s.ejected {
-		t.Error("a server that spoils everything is still in use")
+		t.Error("a server whose answers are all spoilt is still in use")
 	}
 }
 
-// The origin's answer is spoilt on its way to the router, and stored where the key was missing: there it is asked for.
+// If the origin's answer is spoilt on its way to the router, it is stored at the server where the key was
+// missing. The request is retried there.
 func TestSpoiltFetchIsAskedForWhereItIsStored(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -832,23 +852,24 @@
 	}
 	b.Outcome(100060, Outcome{ID: 1, Attempt: 1, Server: 99, Status: Spoilt, Latency: 40, Load: NoLoad})
 	if len(h.sends) != 3 || h.last().server != home || b.fetches < fetches || b.keys[9].fetch != nil {
-		t.Errorf("sends %v, bound on fetches %v", h.sends, b.fetches)
+		t.Errorf("sends %v, fetch limit %v", h.sends, b.fetches)
 	}
 }
 
-// A server taken out comes back by a trial also where nothing queues, so that no request has to look past the others.
+// An ejected server gets a trial even without queues, when no request needs to look beyond the other
+// servers.
 func TestTrialComesWithoutAQueue(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	home := b.servers[h.last().server]
 	b.Outcome(100015, Outcome{ID: 1, Server: home.ID, Status: OK, Latency: 5, Final: true, Load: NoLoad})
 	b.observeHealth(home, Reset, 100020)
-	if home.ejected { // a reset is one connection's end
-		t.Fatal("out after a reset")
+	if home.ejected { // a reset ends one connection only
+		t.Fatal("ejected after one reset")
 	}
 	b.observeHealth(home, Reset, 100020)
 	if !home.ejected {
-		t.Fatal("two resets do not take a server out")
+		t.Fatal("two resets do not eject a server")
 	}
 	tried := false
 	for i := range 40 {
@@ -858,18 +879,18 @@
 		if s.server == home.ID && !tried {
 			tried = true
 			if now < home.trial {
-				t.Errorf("tried before it was due")
+				t.Errorf("trial before it was due")
 			}
 		}
 		b.Outcome(now+10, Outcome{ID: id, Server: s.server, Status: OK, Latency: 10, Final: true, Load: NoLoad})
 	}
 	if !tried || home.ejected {
-		t.Errorf("tried %v, out %v", tried, home.ejected)
+		t.Errorf("tried %v, ejected %v", tried, home.ejected)
 	}
 }
 
-// Where connections end everywhere, a healthy server's ends come two and three in a row by chance and put nobody out;
-// one that fails every second attempt still goes out soon, and a dead one sooner.
+// If connections end everywhere, a healthy server has two or three failures in a row by chance, which must
+// not eject it. One that fails every second attempt is still ejected soon, and a dead one sooner.
 func TestFailuresCountAgainstTheFleets(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(9))
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -886,7 +907,7 @@
 		}
 	}
 	if out > 15 { // of 27,000 outcomes
-		t.Errorf("healthy servers were out after %d outcomes", out)
+		t.Errorf("healthy servers were ejected after %d outcomes", out)
 	}
 	for _, c := range []struct {
 		name    string
@@ -904,12 +925,13 @@
 			b.observeHealth(s, st, b.now)
 		}
 		if n < c.atLeast || n > c.within {
-			t.Errorf("%s: out after %d outcomes, want %d to %d", c.name, n, c.atLeast, c.within)
+			t.Errorf("%s: ejected after %d outcomes, want %d to %d", c.name, n, c.atLeast, c.within)
 		}
 	}
 }
 
-// What was out when a server was put out comes back failed and late: it was no trial, and the first pause stays short.
+// Attempts in flight when a server is ejected may fail later. They are not failed trials, and the first
+// pause stays short.
 func TestOldAttemptsAreNoFailedTrials(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.order[2]
@@ -917,7 +939,7 @@
 		b.observeHealth(s, Reset, b.now)
 	}
 	if !s.ejected {
-		t.Fatal("two resets do not take a server out of a quiet fleet")
+		t.Fatal("two resets do not eject a server of a quiet fleet")
 	}
 	trial := s.trial
 	for range 10 {
@@ -925,16 +947,17 @@
 		b.eject(s, true)
 	}
 	if s.trial != trial || s.overdue != trial {
-		t.Errorf("trial due at %.0f (%.0f), at %.0f (%.0f) after what was sent before", trial, trial, s.trial, s.overdue)
+		t.Errorf("trial due at %.0f (%.0f), at %.0f (%.0f) after failures of older attempts", trial, trial, s.trial, s.overdue)
 	}
 	b.now = trial + 1
 	if b.observeHealth(s, Reset, b.now); s.trial <= trial+minEjectionPause {
-		t.Errorf("a failed trial is followed by another after %.0f ms", s.trial-trial)
+		t.Errorf("a failed trial is followed by the next after %.0f ms", s.trial-trial)
 	}
 }
 
-// A light request takes nearly as long as any other: seen first, its latency for a unit of work made a server look
-// twenty times as slow as it is, and it was hardly used for half a minute.
+// A light request takes nearly as long as any other. If it is a server's first request, its latency for a
+// unit of work made the server look twenty times as slow as it is, and it was hardly used for half a
+// minute.
 func TestFirstLatencyCountsForItsWork(t *testing.T) {
 	cfg := testConfig()
 	b, h := start(t, cfg, fleet(6))
@@ -954,14 +977,14 @@
 			continue
 		}
 		if s.lat.v > 30 {
-			t.Errorf("latency of a unit of work %.0f ms, want some 10", s.lat.v)
+			t.Errorf("latency of a unit of work %.0f ms, want about 10", s.lat.v)
 		}
 		return
 	}
 }
 
-// Latencies have a part that no hint foretells: light requests were given up after a few milliseconds, and a pause of a
-// server with four of them out looked like its death.
+// A part of the latency doesn't depend on a request's work. Light requests were given up after a few
+// milliseconds, and a pause of a server with four of them in flight looked like its death.
 func TestLightRequestsGetThePatienceOfHalfAUnit(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	patience := func(id uint32, hint float64) float64 {
