--- a/decide/decide.go
+++ b/decide/decide.go
@@ -190,7 +190,8 @@
 		s.weigh(!ok, b.usual)
 	}
 	if !ok {
-		if s.accept *= failureAcceptFactor; st == Spoilt { // a server that fails fast must not look cheap
+		// A server that fails fast must not look cheap.
+		if s.accept *= failureAcceptFactor; st == Spoilt {
 			s.accept *= spoiltAcceptFactor // a server that spoils most answers is still ejected
 		}
 		if s.ejected || s.doubt >= ejectionSuspicion || s.strikes >= maxConsecutiveFailures {
@@ -205,9 +206,11 @@
 		// connection for every second request for the rest of a day.
 		s.refused, b.keep = false, max(minIdleKeep, b.keep/2)
 	}
-	s.accept, s.pause = s.accept+successAcceptGain*(1-s.accept), successPauseFactor*s.pause
+	s.accept, s.pause = s.accept+successAcceptGain*(1-s.accept),
+		successPauseFactor*s.pause
 	if s.ejected { // the trial succeeded: half of its channels, and half of the suspicion that ejects
-		s.ejected, s.accept, s.doubt, b.dirty = false, acceptAfterTrial, ejectionSuspicion/2, true
+		s.ejected, s.accept, s.doubt, b.dirty =
+			false, acceptAfterTrial, ejectionSuspicion/2, true
 	}
 }
 
@@ -215,7 +218,8 @@
 // unresponsive, the cause is this router or the origin, and the server stays.
 func (b *Balancer) eject(s *server, unresponsive bool) {
 	if unresponsive && !s.ejected &&
-		(s.strikes < maxConsecutiveFailures || 2*ejected(b.order)+2 > len(b.order)) {
+		(s.strikes < maxConsecutiveFailures ||
+			2*ejected(b.order)+2 > len(b.order)) {
 		return
 	}
 	if s.ejected && b.now < s.trial { // sent before the ejection, so it is not a failed trial
@@ -238,7 +242,8 @@
 	if z.reply >= sent || slices.Contains(z.silent, s) {
 		return
 	}
-	if z.silent = append(z.silent, s); len(z.silent) < zoneEjectionServers || !b.othersReply(z, sent) {
+	if z.silent = append(z.silent, s); len(z.silent) < zoneEjectionServers ||
+		!b.othersReply(z, sent) {
 		z.silent = z.silent[max(0, len(z.silent)-zoneEjectionServers):]
 		return
 	}
@@ -270,9 +275,11 @@
 // influence of that latency decays, or a single refusal would never end.
 func (b *Balancer) expectedWait(s *server) float64 {
 	freshness := math.Exp((s.lat.at - b.now) / serverLatencyTau)
-	others := max(0, s.qps-b.perSecond(&s.sent, sendRateTau)) * s.lat.v / 1000 * freshness
+	others := max(0, s.qps-b.perSecond(&s.sent, sendRateTau)) *
+		s.lat.v / 1000 * freshness
 	// If each server is seldom used, the latency of the whole fleet is the only estimate of its queue.
-	fleetWait := (b.jam.v - b.jam.floor) * math.Exp((b.jam.at-b.now)/fleetLatencyTau)
+	fleetWait := (b.jam.v - b.jam.floor) *
+		math.Exp((b.jam.at-b.now)/fleetLatencyTau)
 	if !s.ejected { // for an ejected one, used as a last resort, there is no better estimate
 		fleetWait *= b.seldom()
 	}
@@ -438,7 +445,8 @@
 			}
 			wait := b.expectedWait(s)
 			if s != selected && s != r.missed && s != r.key.storeAt {
-				wait += b.olat.v // a fetch there; spreading keys would keep a slow origin overloaded
+				// It needs a fetch there; spreading keys would keep a slow origin overloaded.
+				wait += b.olat.v
 			}
 			if fallback = s; wait <= maxWait-
 				latencyFloorShare*s.lat.floor*math.Exp((s.lat.at-b.now)/staleAfter)*r.work {
@@ -472,7 +480,8 @@
 	if u := b.used[r.Tenant]; u != nil && u.add(b.now, keyRateTau, 1) > q+quotaDeviations*math.Sqrt(q) {
 		r.worth *= b.cfg.OverWorth
 	}
-	r.worth *= [...]float64{Within: 1, Borrowed: leasedWorthFactor, Over: b.cfg.OverWorth}[r.Standing]
+	r.worth *= [...]float64{Within: 1, Borrowed: leasedWorthFactor,
+		Over: b.cfg.OverWorth}[r.Standing]
 	if b.told && b.shouldShed(r) {
 		b.host.Refuse(r.ID, b.retryAfter(r))
 		b.closeRequest(r)
@@ -513,7 +522,8 @@
 		s.sent.add(b.now, sendRateTau, r.work)
 		// At least half a unit of work is assumed: hints are rough, and a server's pauses don't depend on
 		// work.
-		expected := max(s.lat.floor, b.x.mean/2, minExpectedTime)*max(0.5, r.work) + b.expectedWait(s)
+		expected := max(s.lat.floor, b.x.mean/2, minExpectedTime)*max(0.5, r.work) +
+			b.expectedWait(s)
 		available := r.aim - b.now - retryTimeFactor*expected // leaves time for a retry
 		patience := max(minPatienceFactor*expected, min(maxPatienceFactor*expected, available))
 		// An unknown server, or one on trial, answers over a new connection and perhaps from another zone.
@@ -527,7 +537,8 @@
 		}
 	}
 	if s == b.origin { // a fetch whose answer is lost blocks all requests that wait for the key
-		b.host.Timer(fetchPatienceFactor*max(b.olat.v, minExpectedTime), uint64(r.ID)<<8|uint64(len(r.tries)))
+		b.host.Timer(fetchPatienceFactor*max(b.olat.v, minExpectedTime),
+			uint64(r.ID)<<8|uint64(len(r.tries)))
 	}
 	b.host.Send(r.ID, s.ID, 0)
 }
@@ -539,7 +550,8 @@
 		if !a.ran || r.class.Effect == Repeatable {
 			continue
 		}
-		sameGroup := a.s.group(r.class.Scope) == s.group(r.class.Scope) && a.s != b.origin && s != b.origin
+		sameGroup := a.s.group(r.class.Scope) == s.group(r.class.Scope) &&
+			a.s != b.origin && s != b.origin
 		if r.class.Effect == Once || !sameGroup || b.now >= a.at+r.class.Window-1 {
 			return false
 		}
@@ -591,7 +603,8 @@
 func (b *Balancer) handleOutcome(r *request, a *attempt, o Outcome) {
 	// fetchFailed: the origin failed, not the server that fetched from it.
 	likelyFetch, fetchFailed := r.asks, o.Status == Failed && o.Note == 2 && !b.cfg.Aside
-	if b.setAsks(r, false); o.Status.tells() && !fetchFailed && !(likelyFetch && o.Status == TimedOut) {
+	if b.setAsks(r, false); o.Status.tells() && !fetchFailed &&
+		!(likelyFetch && o.Status == TimedOut) {
 		b.observeHealth(a.s, o.Status, a.at)
 	}
 	if timeout := o.Status == TimedOut && !likelyFetch; a.s != b.origin &&
@@ -623,8 +636,10 @@
 			// Weighted by its work: a light request takes several times as long for each unit of work,
 			// which would look like a queue.
 			b.jam.see(b.now, o.Latency/r.work, min(maxLatencyWeight, fleetLatencyWeight*r.work))
-			if a.s.lat.v == 0 { // a light request says little: the fleet's mean makes up for the rest
-				a.s.lat.see(b.now, b.x.mean+min(1, r.work)*(o.Latency/r.work-b.x.mean), 1)
+			// A light request says little: the fleet's mean makes up for the rest.
+			if a.s.lat.v == 0 {
+				a.s.lat.see(b.now,
+					b.x.mean+min(1, r.work)*(o.Latency/r.work-b.x.mean), 1)
 			}
 			a.s.lat.see(b.now, o.Latency/r.work, min(maxLatencyWeight, latencyWeight*r.work))
 		}
@@ -694,7 +709,8 @@
 	if !r.asks {
 		// A key that meets an overloaded server is most likely its cause.
 		r.key.rate.add(b.now, b.keyMem(), b.seldom())
-		b.jam.see(b.now, b.jam.floor+r.class.Aim, fleetLatencyWeight) // a second earlier than by the time-out
+		// A stall is known a second earlier than the time-out.
+		b.jam.see(b.now, b.jam.floor+r.class.Aim, fleetLatencyWeight)
 		a.s.strikes++
 		b.eject(a.s, true)
 		b.recordNoResponse(a.s, a.at)
@@ -785,7 +801,8 @@
 		case !r.Write && k.fetch != nil && !b.absent(k) || b.fetchLimitReached(r):
 			return false
 		case b.fetches < 1 &&
-			b.asked.add(b.now, keyRateTau, 0) >= b.fetches*keyRateTau/max(b.olat.v, minFetchLatency):
+			b.asked.add(b.now, keyRateTau, 0) >=
+				b.fetches*keyRateTau/max(b.olat.v, minFetchLatency):
 			return false // a fetch in flight at each of hundreds of routers overloaded the origin
 		default:
 			if r.held = 0; !r.Write {
@@ -819,7 +836,8 @@
 	}
 	// Even if the floor has risen in an overload, answers that come too late count as slow. Drawback: if
 	// the aim is short for the origin, few fetches are in flight at once.
-	slow := min(maxSlowFactor*b.olat.floor, max(minSlowFactor*b.olat.floor, minSlowAimShare*r.class.Aim),
+	slow := min(maxSlowFactor*b.olat.floor,
+		max(minSlowFactor*b.olat.floor, minSlowAimShare*r.class.Aim),
 		maxSlowAimShare*r.class.Aim)
 	if (st == OK || late) && b.olat.v < slow {
 		gain := min(1/max(1, b.fetches), max(fetchLimitGrowth*b.fetches, tierFetchLimitGrowth/b.parts))
@@ -833,7 +851,8 @@
 		if st == Failed { // the origin has stopped, or works for clients that have left
 			factor, minLimit = failedCutFactor, minLimit/failedMinDivisor
 		}
-		if b.cutAt = b.now; b.olat.v >= slow { // a queue: the limit may be far above the fetches in flight
+		// A queue: the limit may be far above the fetches in flight.
+		if b.cutAt = b.now; b.olat.v >= slow {
 			b.fetches = min(b.fetches, max(minLimit, b.fetching()+1))
 		}
 		b.fetches = max(min(minLimit, b.fetches), factor*b.fetches)
@@ -847,8 +866,10 @@
 		// Reports overstate the capacity while many requests are cheap misses, and all do if the origin is
 		// down.
 		bound := max(defaultColdCapacity, leastReportFactor*b.least*s.unit(b.sized))
-		return coldBudgetShare * b.cfg.FallMult * min(b.typical(s, defaultColdCapacity), bound) * b.warmth(s)
-	case s.cap.v > 0 && s.last.Util >= inflatedReportUtilisation: // at low load the least report is chance
+		return coldBudgetShare * b.cfg.FallMult *
+			min(b.typical(s, defaultColdCapacity), bound) * b.warmth(s)
+	case s.cap.v > 0 && s.last.Util >= inflatedReportUtilisation:
+		// At low load the least report is chance.
 		return warmCapacityShare * min(s.cap.v, inflatedReportFactor*s.cap.floor)
 	}
 	return warmCapacityShare * s.cap.v
@@ -928,7 +949,8 @@
 	band := BandOf(r.worth / max(b.maxWorth, 1e-9))
 	admitted := b.now > threshold.Until || band < threshold.Band ||
 		band == threshold.Band && b.bandPosition(r) < threshold.Share
-	if admitted = admitted || b.idle.v >= maxIdle*(1-idleReserveShare*b.relativeWorth(r)); admitted {
+	if admitted = admitted ||
+		b.idle.v >= maxIdle*(1-idleReserveShare*b.relativeWorth(r)); admitted {
 		b.idle.v = max(-maxIdle, b.idle.v-r.work)
 		b.demand.Admitted += r.work
 	} else if !r.Retry {
