--- a/decide/admission.go
+++ b/decide/admission.go
@@ -68,28 +68,28 @@
 	if err := l.Validate(); err != nil {
 		return err
 	}
-	b.begin(now)
-	b.line, b.lineAt = l, now
+	b.advance(now)
+	b.admission, b.admissionAt = l, now
 	return nil
 }
 
 // Demand returns the demand counted so far. It is zero unless the routers of the tier coordinate.
 func (b *Balancer) Demand() Demand {
-	if !b.told {
+	if !b.tierKnown {
 		return Demand{}
 	}
 	d := b.demand
-	d.Capacity = b.room
+	d.Capacity = b.totalCapacity
 	return d
 }
 
 // usableCapacity returns the work a second that all routers together may send to the usable servers, or 0
 // while no server has reported its capacity.
 func (b *Balancer) usableCapacity() (sum float64) {
-	if !b.told || b.median == 0 {
+	if !b.tierKnown || b.medianCapacity == 0 {
 		return 0
 	}
-	for _, s := range b.order {
+	for _, s := range b.serverList {
 		switch limit := b.sendLimit(s); {
 		case s.State != Ready || s.ejected:
 		case limit > 0:
@@ -104,10 +104,10 @@
 // bandPosition returns the current position of a request in the threshold's band, from 0 to 1. The request
 // is admitted while its position is below Share.
 func (b *Balancer) bandPosition(r *request) float64 {
-	h := mix(r.key.id)
+	h := mix64(r.key.id)
 	for _, c := range []byte(r.Tenant) {
-		h = mix(h ^ uint64(c))
+		h = mix64(h ^ uint64(c))
 	}
-	u := float64(h>>11)/(1<<53) + b.line.Rotation + (b.now-b.lineAt)/b.line.RotationPeriod
+	u := float64(h>>11)/(1<<53) + b.admission.Rotation + (b.now-b.admissionAt)/b.admission.RotationPeriod
 	return u - math.Floor(u)
 }
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		if l.Band > 0 || !math.IsInf(l.Until, 1) {
-			b.room = 0 // no idle capacity
+			b.totalCapacity = 0 // no idle capacity
 		}
 	}
 	return tier
@@ -71,7 +71,7 @@
 	tier := routersWithThreshold(t, 5000, AdmissionThreshold{Band: BandOf(0.25), Share: 0.3, Rotation: 0.9, RotationPeriod: 10e3, Until: 2e5})
 	b, inTime := tier[0], 0
 	for key := range uint64(300) {
-		r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &flow{id: key}}
+		r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &keyTraffic{id: key}}
 		b.now = 1e5 + float64(key)
 		if !b.shouldShed(r) {
 			continue
@@ -92,7 +92,7 @@
 		t.Errorf("%d of 300 requests were retried at the time of their admission", inTime)
 	}
 	b.cfg.MaxAfter = 800
-	r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &flow{id: 7}}
+	r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &keyTraffic{id: 7}}
 	for range 100 {
 		if after := b.retryAfter(r); after > 800 {
 			t.Errorf("retry after %.0f ms, want at most 800", after)
@@ -157,7 +157,7 @@
 		t.Error("a threshold applies, or demand is counted, where routers don't coordinate")
 	}
 	for _, l := range []AdmissionThreshold{{Band: -1}, {Band: NumBands + 1}, {Share: 2, RotationPeriod: 1}, {Share: math.NaN(), RotationPeriod: 1}, {Rotation: -1, RotationPeriod: 1}, {}, {RotationPeriod: math.Inf(1)}, {RotationPeriod: 1, Until: math.NaN()}} {
-		if err := tier[1].SetAdmissionThreshold(1e5, l); err == nil || !strings.Contains(err.Error(), "invalid admission threshold") || tier[1].line != all {
+		if err := tier[1].SetAdmissionThreshold(1e5, l); err == nil || !strings.Contains(err.Error(), "invalid admission threshold") || tier[1].admission != all {
 			t.Errorf("%+v: %v", l, err)
 		}
 	}
@@ -181,7 +181,7 @@
 	if got := d.Arrived[BandOf(0.25)]; math.Abs(got-100) > 1e-9 || d.Shed[BandOf(0.25)] < 80 || d.Shed[BandOf(0.25)] > 100 {
 		t.Errorf("%v arrived, %v of them were shed; want 100 first requests, without their retries", got, d.Shed[BandOf(0.25)])
 	}
-	b.order[0].ejected = true
+	b.serverList[0].ejected = true
 	b.Timer(1e5+100, tickToken)
 	if room := b.Demand().Capacity; math.Abs(room-2*0.95*120) > 1 {
 		t.Errorf("capacity of %.1f with one server ejected", room)
@@ -219,16 +219,16 @@
 	tier := routersWithThreshold(t, 120, AdmitAll)
 	alone := newRouters(t, testConfig(), 120)[0]
 	for _, b := range []*Balancer{tier[0], alone} {
-		b.bear, b.lateAt = 0, 1e5
+		b.waitShare, b.lastLate = 0, 1e5
 		for now := 1e5; now < 1e5+3500; now += housekeepInterval {
 			b.Timer(now, tickToken)
-			if now < 1e5+waitShareRecoveryDelay && b.bear > 0 {
-				t.Fatalf("base wait share %.3f, %.0f ms after a late answer", b.bear, now-1e5)
+			if now < 1e5+waitShareRecoveryDelay && b.waitShare > 0 {
+				t.Fatalf("base wait share %.3f, %.0f ms after a late answer", b.waitShare, now-1e5)
 			}
 		}
 	}
-	if tier[0].bear < 0.2 || alone.bear > 0 {
-		t.Errorf("base wait share %.3f at one of four routers, %.3f at one that doesn't coordinate", tier[0].bear, alone.bear)
+	if tier[0].waitShare < 0.2 || alone.waitShare > 0 {
+		t.Errorf("base wait share %.3f at one of four routers, %.3f at one that doesn't coordinate", tier[0].waitShare, alone.waitShare)
 	}
 }
 
@@ -242,14 +242,14 @@
 			if err := b.SetTier(1e5, Tier{Routers: routers, Shares: float64(routers), Until: math.Inf(1), SharesAfter: float64(routers)}); err != nil {
 				t.Fatal(err)
 			}
-			b.fetches = 8 / float64(routers)
-			k := &flow{id: 1}
+			b.fetchLimit = 8 / float64(routers)
+			k := &keyTraffic{id: 1}
 			for range 240 / routers {
 				r := &request{class: b.classes["read"], key: k}
 				k.fetch = r
 				b.adjustFetchLimit(r, OK, 20)
 			}
-			if sum += b.fetches; i == routers-1 {
+			if sum += b.fetchLimit; i == routers-1 {
 				break
 			}
 		}
@@ -318,8 +318,8 @@
 	tier := routersWithThreshold(t, 5000, AdmitAll)
 	b := tier[0]
 	h := b.host.(*fakeHost)
-	dead, redirected, refusals := b.order[0].ID, 0, 0
-	b.spare = 1
+	dead, redirected, refusals := b.serverList[0].ID, 0, 0
+	b.retryBudget = 1
 	for id := uint32(1); id <= 300; id++ {
 		now, was := 1e5+float64(id), len(h.sends)
 		b.Request(now, Request{ID: id, Class: "read", Tenant: "t", Key: uint64(id), HasKey: true, Left: 600})
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -128,37 +128,37 @@
 
 // Servers applies an update of the server list, or a refused list call.
 func (b *Balancer) Servers(now float64, kind ListKind, entries []Entry) {
-	b.begin(now)
-	if kind == Refused {
+	b.advance(now)
+	if kind == ListFailed {
 		// The pause is random, or all routers would call at once again. The list service works through its
 		// queue in order, calls that have timed out included: hundreds of retries a second would keep it
 		// permanently overloaded.
-		pause := (500 + 1000*b.rng.Float64()) * b.crowd() *
-			math.Exp2(float64(min(b.refusals, maxListCallDoublings)))
-		b.watchAt = now + b.untold(3, pause)
-		b.refusals++
+		pause := (500 + 1000*b.rng.Float64()) * b.tierScale() *
+			math.Exp2(float64(min(b.listFailures, maxListCallDoublings)))
+		b.watchAt = now + b.boundListWait(3, pause)
+		b.listFailures++
 		return
 	}
-	b.refusals = 0
-	if b.watchAt = math.Inf(1); b.cfg.AskList && kind == Remembered {
+	b.listFailures = 0
+	if b.watchAt = math.Inf(1); b.cfg.AskList && kind == Restored {
 		// In a small tier the next round of housekeeping requests the list.
-		b.watchAt = now + b.untold(0.8, listCallSpread*(b.crowd()-1))*b.rng.Float64()
+		b.watchAt = now + b.boundListWait(0.8, listCallSpread*(b.tierScale()-1))*b.rng.Float64()
 	}
-	for _, s := range b.apply(kind, entries) {
+	for _, s := range b.applyList(kind, entries) {
 		if s.Started > now-b.cfg.Cold { // a new process starts with a clean record
-			s.fresh, s.ejected, s.strikes, s.accept = s.Started, false, 0, 1
-			s.budget = rate{b.firstPart(), now}
-			s.doubt, s.fails, s.refused, s.lost = 0, b.usual, false, false
+			s.coldSince, s.ejected, s.consecutiveFailures, s.acceptShare = s.Started, false, 0, 1
+			s.sendBudget = decayingSum{b.firstColdBudget(), now}
+			s.suspicion, s.failShare, s.connRefused, s.zoneLost = 0, b.usualFailures, false, false
 		}
 	}
 	b.buildTable()
-	b.dirty = true
+	b.solveNeeded = true
 }
 
 // usable reports whether a request, or the solver if r is nil, may use a server. An ejected server gets one
 // trial request at a time.
 func (b *Balancer) usable(s *server, r *request) bool {
-	trial := s.ejected && r != nil && b.now >= s.trial && s.out == 0 && r.class.Effect == Repeatable
+	trial := s.ejected && r != nil && b.now >= s.trialAt && s.inFlight == 0 && r.class.Effect == Repeatable
 	allowed := s.listed && s.State == Ready && (trial || !s.ejected)
 	return allowed && (r == nil || b.budgetAllows(s, r.work, b.relativeWorth(r)))
 }
@@ -167,15 +167,15 @@
 func (b *Balancer) observeHealth(s *server, st Status, sent float64) {
 	ok := st == OK || st == Miss
 	switch {
-	case ok || st == Failed || st == QueueFull || st == Spoilt:
-		s.reply, s.strikes, s.passed = b.now, 0, max(s.passed, sent)
+	case ok || st == Failed || st == QueueFull || st == InvalidAnswer:
+		s.lastReply, s.consecutiveFailures, s.answeredSentAt = b.now, 0, max(s.answeredSentAt, sent)
 		b.recordResponse(s)
 	case st == ConnectError: // dead, or its connection table is full: the next answer tells which
-		s.refused = true
+		s.connRefused = true
 		b.recordNoResponse(s, sent)
 	case st == Reset:
-	case s.reply < sent:
-		s.strikes++
+	case s.lastReply < sent:
+		s.consecutiveFailures++
 		b.recordNoResponse(s, sent)
 	default:
 		return // it answers others: this one was queued or waited for a fetch; moving keys would add fetches
@@ -184,32 +184,32 @@
 	// overload servers everywhere are not a fault of this one. Drawback: if most of a fleet fails at once,
 	// that is detected later.
 	if !ok {
-		b.usual = usualFails(b.order)
+		b.usualFailures = medianFailShare(b.serverList)
 	}
 	if st != TimedOut {
-		s.weigh(!ok, b.usual)
+		s.updateSuspicion(!ok, b.usualFailures)
 	}
 	if !ok {
 		// A server that fails fast must not look cheap.
-		if s.accept *= failureAcceptFactor; st == Spoilt {
-			s.accept *= spoiltAcceptFactor // a server that spoils most answers is still ejected
+		if s.acceptShare *= failureAcceptFactor; st == InvalidAnswer {
+			s.acceptShare *= spoiltAcceptFactor // a server that spoils most answers is still ejected
 		}
-		if s.ejected || s.doubt >= ejectionSuspicion || s.strikes >= maxConsecutiveFailures {
+		if s.ejected || s.suspicion >= ejectionSuspicion || s.consecutiveFailures >= maxConsecutiveFailures {
 			b.eject(s, st == TimedOut)
 		}
 		return
 	}
-	if b.keep = min(b.cfg.ConnIdle, idleKeepGrowth*b.keep); s.refused {
+	if b.connKeep = min(b.cfg.ConnIdle, idleKeepGrowth*b.connKeep); s.connRefused {
 		// The server answers, so its connection table was full: all routers keep idle connections for a
 		// shorter time. Servers stopped by a release whose removal was announced late or never also refuse
 		// connections but don't answer later. Counting those made a tier of eighty routers open a
 		// connection for every second request for the rest of a day.
-		s.refused, b.keep = false, max(minIdleKeep, b.keep/2)
+		s.connRefused, b.connKeep = false, max(minIdleKeep, b.connKeep/2)
 	}
-	s.accept, s.pause = s.accept+successAcceptGain*(1-s.accept),
-		successPauseFactor*s.pause
+	s.acceptShare, s.trialPause = s.acceptShare+successAcceptGain*(1-s.acceptShare),
+		successPauseFactor*s.trialPause
 	if s.ejected { // the trial succeeded: half of its channels, and half of the suspicion that ejects
-		s.ejected, s.accept, s.doubt, b.dirty =
+		s.ejected, s.acceptShare, s.suspicion, b.solveNeeded =
 			false, acceptAfterTrial, ejectionSuspicion/2, true
 	}
 }
@@ -218,19 +218,19 @@
 // unresponsive, the cause is this router or the origin, and the server stays.
 func (b *Balancer) eject(s *server, unresponsive bool) {
 	if unresponsive && !s.ejected &&
-		(s.strikes < maxConsecutiveFailures ||
-			2*ejected(b.order)+2 > len(b.order)) {
+		(s.consecutiveFailures < maxConsecutiveFailures ||
+			2*countEjected(b.serverList)+2 > len(b.serverList)) {
 		return
 	}
-	if s.ejected && b.now < s.trial { // sent before the ejection, so it is not a failed trial
+	if s.ejected && b.now < s.trialAt { // sent before the ejection, so it is not a failed trial
 		return
 	}
-	s.pause = min(maxPauseFactor*minEjectionPause, max(minEjectionPause, 2*s.pause))
-	s.trial = b.now + s.pause*(0.75+0.5*b.rng.Float64()) // spread: routers must not try all at once
-	if s.overdue = s.trial; unresponsive {
-		s.overdue += unresponsiveTrialDelay
+	s.trialPause = min(maxPauseFactor*minEjectionPause, max(minEjectionPause, 2*s.trialPause))
+	s.trialAt = b.now + s.trialPause*(0.75+0.5*b.rng.Float64()) // spread: routers must not try all at once
+	if s.trialOverdue = s.trialAt; unresponsive {
+		s.trialOverdue += unresponsiveTrialDelay
 	}
-	s.ejected, b.dirty = true, b.dirty || !s.ejected
+	s.ejected, b.solveNeeded = true, b.solveNeeded || !s.ejected
 }
 
 // recordNoResponse records that an attempt at a server got no response. If several servers of a zone don't
@@ -239,19 +239,19 @@
 // took each router three requests to each of them, and four seconds.
 func (b *Balancer) recordNoResponse(s *server, sent float64) {
 	z := b.zoneOf(s)
-	if z.reply >= sent || slices.Contains(z.silent, s) {
+	if z.lastReply >= sent || slices.Contains(z.unresponsive, s) {
 		return
 	}
-	if z.silent = append(z.silent, s); len(z.silent) < zoneEjectionServers ||
-		!b.othersReply(z, sent) {
-		z.silent = z.silent[max(0, len(z.silent)-zoneEjectionServers):]
+	if z.unresponsive = append(z.unresponsive, s); len(z.unresponsive) < zoneEjectionServers ||
+		!b.otherZoneReplied(z, sent) {
+		z.unresponsive = z.unresponsive[max(0, len(z.unresponsive)-zoneEjectionServers):]
 		return
 	}
-	for _, o := range b.order {
+	for _, o := range b.serverList {
 		if o.Zone == s.Zone && !o.ejected {
-			o.strikes, o.lost = maxConsecutiveFailures, true
+			o.consecutiveFailures, o.zoneLost = maxConsecutiveFailures, true
 			b.eject(o, false)
-			o.overdue += unresponsiveTrialDelay
+			o.trialOverdue += unresponsiveTrialDelay
 		}
 	}
 }
@@ -260,12 +260,12 @@
 // that were ejected with it become due at once.
 func (b *Balancer) recordResponse(s *server) {
 	z := b.zoneOf(s)
-	if z.reply, z.silent = b.now, z.silent[:0]; !s.lost {
+	if z.lastReply, z.unresponsive = b.now, z.unresponsive[:0]; !s.zoneLost {
 		return
 	}
-	for _, o := range b.order {
-		if o.Zone == s.Zone && o.lost {
-			o.lost, o.trial, o.overdue = false, b.now, b.now
+	for _, o := range b.serverList {
+		if o.Zone == s.Zone && o.zoneLost {
+			o.zoneLost, o.trialAt, o.trialOverdue = false, b.now, b.now
 		}
 	}
 }
@@ -274,42 +274,42 @@
 // flight are known; those of other routers follow by Little's law from their rate and the latency seen. The
 // influence of that latency decays, or a single refusal would never end.
 func (b *Balancer) expectedWait(s *server) float64 {
-	freshness := math.Exp((s.lat.at - b.now) / serverLatencyTau)
-	others := max(0, s.qps-b.perSecond(&s.sent, sendRateTau)) *
-		s.lat.v / 1000 * freshness
+	freshness := math.Exp((s.latency.updated - b.now) / serverLatencyTau)
+	others := max(0, s.reportedRate-b.perSecond(&s.sentWork, sendRateTau)) *
+		s.latency.value / 1000 * freshness
 	// If each server is seldom used, the latency of the whole fleet is the only estimate of its queue.
-	fleetWait := (b.jam.v - b.jam.floor) *
-		math.Exp((b.jam.at-b.now)/fleetLatencyTau)
+	fleetWait := (b.fleetLatency.value - b.fleetLatency.floor) *
+		math.Exp((b.fleetLatency.updated-b.now)/fleetLatencyTau)
 	if !s.ejected { // for an ejected one, used as a last resort, there is no better estimate
-		fleetWait *= b.seldom()
+		fleetWait *= b.sendSparsity()
 	}
 	return max(0, fleetWait) +
-		max(0, (float64(s.out)+others+1)*1000/(b.capacityOf(s)*b.warmth(s))-s.lat.floor)
+		max(0, (float64(s.inFlight)+others+1)*1000/(b.capacityOf(s)*b.warmFraction(s))-s.latency.floor)
 }
 
 // capacityOf returns a server's capacity in requests a second. Until the server reports one, an estimate
 // stands in: without it, all servers would be overloaded in the first second.
 func (b *Balancer) capacityOf(s *server) float64 {
-	if s.cap.v > 0 {
-		return s.cap.v
+	if s.capacity.value > 0 {
+		return s.capacity.value
 	}
-	return b.typical(s, defaultChannelsTime/max(1, b.x.mean))
+	return b.typicalCapacity(s, defaultChannelsTime/max(1, b.latencies.mean))
 }
 
 // candidates returns the usable servers of a key in the order of its list.
-func (b *Balancer) candidates(k *flow) []*server {
-	return slices.DeleteFunc(slices.Clone(b.list(k)), func(s *server) bool { return !b.usable(s, nil) })
+func (b *Balancer) candidates(k *keyTraffic) []*server {
+	return slices.DeleteFunc(slices.Clone(b.hashListOf(k)), func(s *server) bool { return !b.usable(s, nil) })
 }
 
 // balanceFlow distributes the rates x over the servers by the procedure of Table 1 and returns F.
 func (b *Balancer) balanceFlow(v []*server, x []float64) float64 {
 	var d, h [maxCandidates]float64
-	c2 := b.x.ratio()
+	c2 := b.latencies.momentRatio()
 	for sweep, was := 0, 0.0; ; sweep++ {
 		f, low, rest := 0.0, 0, 0.0
 		for j, s := range v {
 			var fj float64
-			fj, d[j], h[j] = delay(s.load+x[j], s.n, s.mu, c2)
+			fj, d[j], h[j] = waitingRequests(s.modelLoad+x[j], s.channels, s.serviceRate, c2)
 			if f, rest = f+fj, rest+x[j]; d[j] < d[low] {
 				low = j
 			}
@@ -330,9 +330,12 @@
 // splitFlow assigns a flow to its first server and adds further servers, in ascending FDL, while the
 // waiting falls. Shares are solved at scaled rates, but at the actual rates a further copy has to reduce
 // the waiting by more than the latency of a fetch for each request.
-func (b *Balancer) splitFlow(k *flow, v []*server, total float64) {
-	c2 := b.x.ratio()
-	fdl := func(s *server) float64 { _, d, _ := delay(s.load, s.n, s.mu, c2); return d }
+func (b *Balancer) splitFlow(k *keyTraffic, v []*server, total float64) {
+	c2 := b.latencies.momentRatio()
+	fdl := func(s *server) float64 {
+		_, d, _ := waitingRequests(s.modelLoad, s.channels, s.serviceRate, c2)
+		return d
+	}
 	slices.SortStableFunc(v[1:], func(p, q *server) int { return cmp.Compare(fdl(p), fdl(q)) })
 	x := []float64{total}
 	for i := 1; i < len(v); i++ {
@@ -340,20 +343,20 @@
 		y, gain := slices.Clone(x), 0.0
 		b.balanceFlow(v[:i+1], y)
 		for j, s := range v[:i+1] {
-			f, _, _ := delay((s.load+x[j])/b.scale, s.n, s.mu, c2)
-			g, _, _ := delay((s.load+y[j])/b.scale, s.n, s.mu, c2)
+			f, _, _ := waitingRequests((s.modelLoad+x[j])/b.loadScale, s.channels, s.serviceRate, c2)
+			g, _, _ := waitingRequests((s.modelLoad+y[j])/b.loadScale, s.channels, s.serviceRate, c2)
 			gain += f - g
 		}
-		if gain <= total/b.scale*b.olat.v/1000+solveTolerance {
+		if gain <= total/b.loadScale*b.fetchLatency.value/1000+solveTolerance {
 			x = x[:i]
 			break
 		}
 		x = y
 	}
-	k.v, k.p = v[:len(x)], x
-	for j, s := range k.v {
-		s.load += x[j]
-		s.hot += x[j] / b.scale * (1 - b.portion)
+	k.splitServers, k.splitShares = v[:len(x)], x
+	for j, s := range k.splitServers {
+		s.modelLoad += x[j]
+		s.othersHotLoad += x[j] / b.loadScale * (1 - b.trafficShare)
 		x[j] /= total
 	}
 }
@@ -361,24 +364,24 @@
 // buildModel sets the channels and the background load of all servers, and the scale of the rates to the
 // utilisation that is solved for.
 func (b *Balancer) buildModel() {
-	mu, mean, ownRate, total, capacity := 1000/max(1, b.x.mean), b.survey(), 0.0, 0.0, 0.0
-	for _, s := range b.order {
-		channels := b.capacityOf(s) * s.accept * s.accept * b.warmth(s) / mu
-		s.mu, s.n = mu, int(min(maxChannels, max(1, channels)))
-		own := b.perSecond(&s.sent, sendRateTau)
+	mu, mean, ownRate, total, capacity := 1000/max(1, b.latencies.mean), b.updateMedians(), 0.0, 0.0, 0.0
+	for _, s := range b.serverList {
+		channels := b.capacityOf(s) * s.acceptShare * s.acceptShare * b.warmFraction(s) / mu
+		s.serviceRate, s.channels = mu, int(min(maxChannels, max(1, channels)))
+		own := b.perSecond(&s.sentWork, sendRateTau)
 		// The weight of a report decays towards the mean rate. Hot keys are added on top.
-		fresh := math.Exp((s.heard - b.now) / keyRateTau)
-		s.load, s.hot = fresh*max(0, s.qps-own-s.hot)+(1-fresh)*mean, 0
+		fresh := math.Exp((s.reportedAt - b.now) / keyRateTau)
+		s.modelLoad, s.othersHotLoad = fresh*max(0, s.reportedRate-own-s.othersHotLoad)+(1-fresh)*mean, 0
 		if ownRate += own; b.usable(s, nil) {
-			total, capacity = total+own+s.load, capacity+float64(s.n)*mu
+			total, capacity = total+own+s.modelLoad, capacity+float64(s.channels)*mu
 		}
 	}
-	if b.portion = 1 / float64(b.cfg.Routers); mean > 0 {
-		b.portion = max(ownRate/max(total, ownRate, 1e-3), minTrafficShare*b.portion)
+	if b.trafficShare = 1 / float64(b.cfg.Routers); mean > 0 {
+		b.trafficShare = max(ownRate/max(total, ownRate, 1e-3), minTrafficShare*b.trafficShare)
 	}
-	b.scale = targetUtilisation * capacity / max(total, 1e-3)
-	for _, s := range b.order {
-		s.load *= b.scale
+	b.loadScale = targetUtilisation * capacity / max(total, 1e-3)
+	for _, s := range b.serverList {
+		s.modelLoad *= b.loadScale
 	}
 }
 
@@ -386,18 +389,18 @@
 // candidates: when they were split in groups by shares, keys moved with every solve, and the misses
 // overloaded the origin.
 func (b *Balancer) solve() {
-	b.solvedAt, b.dirty = b.now, false
+	b.solvedAt, b.solveNeeded = b.now, false
 	b.buildModel()
-	mem := b.keyMem()
-	for _, k := range b.hottest() {
-		c, lam := b.candidates(k), b.perSecond(&k.rate, mem)*k.work*b.scale
+	mem := b.keyMemory()
+	for _, k := range b.hottestKeys() {
+		c, lam := b.candidates(k), b.perSecond(&k.rate, mem)*k.meanWork*b.loadScale
 		switch {
 		case len(c) == 0:
-		case k.rate.v >= minHotArrivals:
+		case k.rate.value >= minHotArrivals:
 			// The arrival that brought the rate above the limit is left out, as it would bias the rate.
-			b.splitFlow(k, c, lam/b.portion*(1-1/k.rate.v))
+			b.splitFlow(k, c, lam/b.trafficShare*(1-1/k.rate.value))
 		default:
-			c[0].load += lam
+			c[0].modelLoad += lam
 		}
 	}
 }
@@ -406,55 +409,55 @@
 // probabilities, or takes the first candidate of a key that is not hot, and goes on to others if that one
 // can't be used or the expected wait is too long.
 func (b *Balancer) pickServer(r *request) *server {
-	if b.now >= r.until-1 || r.class.Late == 0 && b.now >= r.aim {
+	if b.now >= r.deadline-1 || r.class.Late == 0 && b.now >= r.aimAt {
 		return nil // an answer would come too late to have any worth
 	}
 	var selected, fallback *server
-	list := b.list(r.key)
+	list := b.hashListOf(r.key)
 	if i := slices.IndexFunc(list, func(s *server) bool { return b.usable(s, nil) }); i >= 0 {
 		selected = list[i]
 	}
-	if selected != nil && !r.may(selected) {
+	if selected != nil && !r.canUse(selected) {
 		selected = nil
 	}
 	home := selected
 	if len(list) > 0 {
 		home = list[0]
 	}
-	trialDue := home != selected && r.may(home) && home.ejected && b.now >= home.overdue
-	if trialDue && len(r.tries) == 0 && b.usable(home, r) {
+	trialDue := home != selected && r.canUse(home) && home.ejected && b.now >= home.trialOverdue
+	if trialDue && len(r.attempts) == 0 && b.usable(home, r) {
 		return home // its trial: without a queue at the others no request would try it otherwise
 	}
-	for j, u := 0, b.rng.Float64(); j < len(r.key.v) && u >= 0; j++ {
-		if u -= r.key.p[j]; r.may(r.key.v[j]) {
-			selected = r.key.v[j]
+	for j, u := 0, b.rng.Float64(); j < len(r.key.splitServers) && u >= 0; j++ {
+		if u -= r.key.splitShares[j]; r.canUse(r.key.splitServers[j]) {
+			selected = r.key.splitServers[j]
 		}
 	}
 	// The accepted wait grows with the worth: the lowest worth is shed first, and early rather than late.
-	maxWait := (b.bear + worthWaitShare*b.relativeWorth(r)) * (r.aim - b.now)
-	list = append([]*server{r.missed, selected}, list...)
+	maxWait := (b.waitShare + worthWaitShare*b.relativeWorth(r)) * (r.aimAt - b.now)
+	list = append([]*server{r.missedOn, selected}, list...)
 	if r.Owners != nil { // a redirect may name other servers than the key's
-		list = append(list, b.listed(r.Owners)...)
+		list = append(list, b.listedServers(r.Owners)...)
 	}
 	for pass := 0; pass < 2 && fallback == nil; pass++ {
 		for _, s := range list {
-			if s == nil || !r.may(s) || s != r.missed && r.tried(s) || !b.mayAttempt(r, s) ||
+			if s == nil || !r.canUse(s) || s != r.missedOn && r.triedOn(s) || !b.mayAttempt(r, s) ||
 				!b.usable(s, r) &&
 					(pass == 0 || s.State != Ready || !b.budgetAllows(s, r.work, b.relativeWorth(r))) {
 				continue
 			}
 			wait := b.expectedWait(s)
-			if s != selected && s != r.missed && s != r.key.storeAt {
+			if s != selected && s != r.missedOn && s != r.key.storedOn {
 				// It needs a fetch there; spreading keys would keep a slow origin overloaded.
-				wait += b.olat.v
+				wait += b.fetchLatency.value
 			}
 			if fallback = s; wait <= maxWait-
-				latencyFloorShare*s.lat.floor*math.Exp((s.lat.at-b.now)/staleAfter)*r.work {
+				latencyFloorShare*s.latency.floor*math.Exp((s.latency.updated-b.now)/staleAfter)*r.work {
 				return s
 			}
 		}
 	}
-	if b.mayRefuse(r) || r.out > 0 {
+	if b.mayRefuse(r) || r.inFlight > 0 {
 		return nil
 	}
 	return fallback
@@ -467,34 +470,34 @@
 		b.sendOrEnd(r)
 		return
 	}
-	if r.Standing == Beyond { // not served, so it doesn't count as traffic and changes no share
+	if r.Standing == QuotaDenied { // not served, so it doesn't count as traffic and changes no share
 		b.host.Refuse(r.ID, r.Again)
 		b.closeRequest(r)
 		return
 	}
 	b.arrivals.add(b.now, keyRateTau, 1)
-	b.spare, b.probes = min(b.retryBudgetCap(), b.spare+b.retryBudgetGain()),
-		min(maxSavedProbes, b.probes+probesPerRequest)
+	b.retryBudget, b.probeBudget = min(b.retryBudgetCap(), b.retryBudget+b.retryBudgetGain()),
+		min(maxSavedProbes, b.probeBudget+probesPerRequest)
 	// A few arrivals above this router's share of the quota are chance; two standard deviations are not.
-	q := b.quota[r.Tenant] * b.portion * keyRateTau / 1000
-	if u := b.used[r.Tenant]; u != nil && u.add(b.now, keyRateTau, 1) > q+quotaDeviations*math.Sqrt(q) {
+	q := b.quotas[r.Tenant] * b.trafficShare * keyRateTau / 1000
+	if u := b.tenantUse[r.Tenant]; u != nil && u.add(b.now, keyRateTau, 1) > q+quotaDeviations*math.Sqrt(q) {
 		r.worth *= b.cfg.OverWorth
 	}
-	r.worth *= [...]float64{Within: 1, Borrowed: leasedWorthFactor,
-		Over: b.cfg.OverWorth}[r.Standing]
-	if b.told && b.shouldShed(r) {
+	r.worth *= [...]float64{QuotaGuaranteed: 1, QuotaLeased: leasedWorthFactor,
+		QuotaExceeded: b.cfg.OverWorth}[r.Standing]
+	if b.tierKnown && b.shouldShed(r) {
 		b.host.Refuse(r.ID, b.retryAfter(r))
 		b.closeRequest(r)
 		return
 	}
 	k := r.key
-	k.work += keyWorkWeight * (r.work - k.work)
-	k.rate.add(b.now, b.keyMem(), 1)
+	k.meanWork += keyWorkWeight * (r.work - k.meanWork)
+	k.rate.add(b.now, b.keyMemory(), 1)
 	// Where servers fetch by themselves, writes and keys that were not stored lately lead to a fetch from
 	// the origin too. A write whose servers are named goes to these.
 	if b.cfg.Alone || r.Write && r.Owners != nil {
 		b.sendOrEnd(r)
-	} else if r.Write || k.fetch != nil || !b.cfg.Aside && b.now > k.stored+staleAfter {
+	} else if r.Write || k.fetch != nil || !b.cfg.Aside && b.now > k.storedAt+staleAfter {
 		b.hold(r)
 		b.dispatchHeld()
 	} else {
@@ -513,32 +516,32 @@
 
 // sendAttempt sends a request to a server and sets the timer after which the attempt counts as stalled.
 func (b *Balancer) sendAttempt(r *request, s *server) {
-	r.tries = append(r.tries, attempt{s: s, at: b.now, ran: true})
-	r.out++
-	s.out, s.sentAt, s.held = s.out+1, b.now, true
+	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, mayHaveRun: true})
+	r.inFlight++
+	s.inFlight, s.lastSent, s.connOpen = s.inFlight+1, b.now, true
 	if s != b.origin {
 		b.demand.Sent += r.work
-		s.budget.v -= (1 + r.work) / 2 // hints are rough: light requests turn out heavier
-		s.sent.add(b.now, sendRateTau, r.work)
+		s.sendBudget.value -= (1 + r.work) / 2 // hints are rough: light requests turn out heavier
+		s.sentWork.add(b.now, sendRateTau, r.work)
 		// At least half a unit of work is assumed: hints are rough, and a server's pauses don't depend on
 		// work.
-		expected := max(s.lat.floor, b.x.mean/2, minExpectedTime)*max(0.5, r.work) +
+		expected := max(s.latency.floor, b.latencies.mean/2, minExpectedTime)*max(0.5, r.work) +
 			b.expectedWait(s)
-		available := r.aim - b.now - retryTimeFactor*expected // leaves time for a retry
+		available := r.aimAt - b.now - retryTimeFactor*expected // leaves time for a retry
 		patience := max(minPatienceFactor*expected, min(maxPatienceFactor*expected, available))
 		// An unknown server, or one on trial, answers over a new connection and perhaps from another zone.
 		// If these attempts are ended early, healthy servers stay ejected forever. Drawback: a dead server
 		// costs such requests most of their time.
-		if s.ejected || s.lat.v == 0 {
-			patience = max(patience, unknownServerAimShare*(r.aim-b.now))
+		if s.ejected || s.latency.value == 0 {
+			patience = max(patience, unknownServerAimShare*(r.aimAt-b.now))
 		}
-		if b.now+patience < r.until {
-			b.host.Timer(patience, uint64(r.ID)<<8|uint64(len(r.tries)))
+		if b.now+patience < r.deadline {
+			b.host.Timer(patience, uint64(r.ID)<<8|uint64(len(r.attempts)))
 		}
 	}
 	if s == b.origin { // a fetch whose answer is lost blocks all requests that wait for the key
-		b.host.Timer(fetchPatienceFactor*max(b.olat.v, minExpectedTime),
-			uint64(r.ID)<<8|uint64(len(r.tries)))
+		b.host.Timer(fetchPatienceFactor*max(b.fetchLatency.value, minExpectedTime),
+			uint64(r.ID)<<8|uint64(len(r.attempts)))
 	}
 	b.host.Send(r.ID, s.ID, 0)
 }
@@ -546,28 +549,28 @@
 // mayAttempt reports whether a further attempt may run on s. It is the only check of that. An attempt
 // counts as possibly executed from its send on, until its outcome proves the contrary.
 func (b *Balancer) mayAttempt(r *request, s *server) bool {
-	for _, a := range r.tries {
-		if !a.ran || r.class.Effect == Repeatable {
+	for _, a := range r.attempts {
+		if !a.mayHaveRun || r.class.Effect == Repeatable {
 			continue
 		}
-		sameGroup := a.s.group(r.class.Scope) == s.group(r.class.Scope) &&
-			a.s != b.origin && s != b.origin
-		if r.class.Effect == Once || !sameGroup || b.now >= a.at+r.class.Window-1 {
+		sameGroup := a.server.dedupGroup(r.class.Scope) == s.dedupGroup(r.class.Scope) &&
+			a.server != b.origin && s != b.origin
+		if r.class.Effect == Once || !sameGroup || b.now >= a.sentAt+r.class.Window-1 {
 			return false
 		}
 	}
-	return len(r.tries) < b.cfg.MaxAttempts && (r.out == 0 || b.cfg.Copies)
+	return len(r.attempts) < b.cfg.MaxAttempts && (r.inFlight == 0 || b.cfg.Copies)
 }
 
 // mayRefuse reports whether a refusal is true: either no attempt can have run, or a retry is harmless.
 func (b *Balancer) mayRefuse(r *request) bool {
 	return r.class.Effect == Repeatable || r.class.Effect == Keyed && r.class.Scope == "all" ||
-		!slices.ContainsFunc(r.tries, func(a attempt) bool { return a.ran })
+		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 }
 
 // endRequest refuses or fails a request, unless an attempt in flight may still bring an answer.
 func (b *Balancer) endRequest(r *request) {
-	if r.closed || r.out > 0 && b.now < r.until-1 {
+	if r.finished || r.inFlight > 0 && b.now < r.deadline-1 {
 		return
 	}
 	if b.mayRefuse(r) {
@@ -582,103 +585,103 @@
 // closeRequest cancels the attempts of a request that has its final answer and forgets it once none is in
 // flight.
 func (b *Balancer) closeRequest(r *request) {
-	if r.asks && !r.closed {
-		b.asking--
+	if r.mayFetch && !r.finished {
+		b.mayFetchCount--
 	}
-	r.closed = true
-	for i, a := range r.tries {
-		if !a.over && b.cfg.Cancel {
+	r.finished = true
+	for i, a := range r.attempts {
+		if !a.done && b.cfg.Cancel {
 			b.host.Cancel(r.ID, i)
 		}
 	}
 	if r.key.fetch == r {
 		r.key.fetch = nil
 	}
-	if r.out == 0 {
-		delete(b.reqs, r.ID)
+	if r.inFlight == 0 {
+		delete(b.requests, r.ID)
 	}
 }
 
 // handleOutcome records the outcome of an attempt, then retries, holds, ends or closes its request.
 func (b *Balancer) handleOutcome(r *request, a *attempt, o Outcome) {
 	// fetchFailed: the origin failed, not the server that fetched from it.
-	likelyFetch, fetchFailed := r.asks, o.Status == Failed && o.Note == 2 && !b.cfg.Aside
-	if b.setAsks(r, false); o.Status.tells() && !fetchFailed &&
+	likelyFetch, fetchFailed := r.mayFetch, o.Status == Failed && o.CacheResult == 2 && !b.cfg.Aside
+	if b.setMayFetch(r, false); o.Status.concernsServer() && !fetchFailed &&
 		!(likelyFetch && o.Status == TimedOut) {
-		b.observeHealth(a.s, o.Status, a.at)
+		b.observeHealth(a.server, o.Status, a.sentAt)
 	}
-	if timeout := o.Status == TimedOut && !likelyFetch; a.s != b.origin &&
+	if timeout := o.Status == TimedOut && !likelyFetch; a.server != b.origin &&
 		(timeout || o.Status == QueueFull) {
-		b.jam.see(b.now, b.jam.floor+r.class.Aim, fleetLatencyWeight)
+		b.fleetLatency.update(b.now, b.fleetLatency.floor+r.class.Aim, fleetLatencyWeight)
 		// A time-out shows a queue even if the server answers some requests in time.
-		if unitLatency := o.Latency / r.work; timeout && unitLatency > a.s.lat.v {
-			a.s.lat.see(b.now, unitLatency, min(maxLatencyWeight, latencyWeight*r.work))
+		if unitLatency := o.Latency / r.work; timeout && unitLatency > a.server.latency.value {
+			a.server.latency.update(b.now, unitLatency, min(maxLatencyWeight, latencyWeight*r.work))
 		}
 	}
-	if a.passed && (o.Status == OK || o.Status == Miss) {
-		b.lost -= lostAnswerWeight * b.lost
+	if a.wasOvertaken && (o.Status == OK || o.Status == Miss) {
+		b.lostShare -= lostAnswerWeight * b.lostShare
 	}
-	if a.s == b.origin || likelyFetch && o.Note != 1 { // 1: a hit, so there was no fetch
+	if a.server == b.origin || likelyFetch && o.CacheResult != 1 { // 1: a hit, so there was no fetch
 		b.adjustFetchLimit(r, o.Status, o.Latency)
 	}
-	if o.Note == noteAbsent {
-		r.key.stored, r.key.absent = 0, b.now
+	if o.CacheResult == noteAbsent {
+		r.key.storedAt, r.key.absentAt = 0, b.now
 	}
 	if fetchFailed {
-		r.key.stored = 0 // the next request of the key counts as a fetch again
+		r.key.storedAt = 0 // the next request of the key counts as a fetch again
 	}
-	if a.s != b.origin && o.Status == OK {
-		if o.Note != 2 { // after a fetch, the latency says nothing about the server
-			if b.bear = min(maxBaseWaitShare, b.bear+waitShareGain); b.now > r.aim {
-				b.bear, b.lateAt = max(0, b.bear-waitShareCut), b.now
+	if a.server != b.origin && o.Status == OK {
+		if o.CacheResult != 2 { // after a fetch, the latency says nothing about the server
+			if b.waitShare = min(maxBaseWaitShare, b.waitShare+waitShareGain); b.now > r.aimAt {
+				b.waitShare, b.lastLate = max(0, b.waitShare-waitShareCut), b.now
 			}
-			b.x.see(o.Latency)
+			b.latencies.update(o.Latency)
 			// Weighted by its work: a light request takes several times as long for each unit of work,
 			// which would look like a queue.
-			b.jam.see(b.now, o.Latency/r.work, min(maxLatencyWeight, fleetLatencyWeight*r.work))
+			b.fleetLatency.update(b.now, o.Latency/r.work, min(maxLatencyWeight, fleetLatencyWeight*r.work))
 			// A light request says little: the fleet's mean makes up for the rest.
-			if a.s.lat.v == 0 {
-				a.s.lat.see(b.now,
-					b.x.mean+min(1, r.work)*(o.Latency/r.work-b.x.mean), 1)
+			if a.server.latency.value == 0 {
+				a.server.latency.update(b.now,
+					b.latencies.mean+min(1, r.work)*(o.Latency/r.work-b.latencies.mean), 1)
 			}
-			a.s.lat.see(b.now, o.Latency/r.work, min(maxLatencyWeight, latencyWeight*r.work))
+			a.server.latency.update(b.now, o.Latency/r.work, min(maxLatencyWeight, latencyWeight*r.work))
 		}
-		r.key.stored, r.key.storeAt, b.stored = b.now, a.s, true
+		r.key.storedAt, r.key.storedOn, b.keyStored = b.now, a.server, true
 	}
 	// A read whose answer was spoilt, or whose connection ended at a server that is not suspected, is
 	// retried where the key is stored, which needs no fetch. If that server is dead, this costs a second
 	// attempt, which the retry budget bounds.
 	disconnected := o.Status == Reset || o.Status == ConnectError
-	repeatFetch := a.s == b.origin && (disconnected || o.Status == Canceled)
+	repeatFetch := a.server == b.origin && (disconnected || o.Status == Canceled)
 	if o.Owners != nil {
 		r.Owners = o.Owners
 	}
-	retryHere := (o.Status == Spoilt ||
-		disconnected && a.s != b.origin && a.s.doubt < ejectionSuspicion/2) && !r.Write
-	if retryHere && a.s != b.origin {
-		r.missed = a.s
+	retryHere := (o.Status == InvalidAnswer ||
+		disconnected && a.server != b.origin && a.server.suspicion < ejectionSuspicion/2) && !r.Write
+	if retryHere && a.server != b.origin {
+		r.missedOn = a.server
 	} else if (retryHere || repeatFetch) && r.key.fetch == r {
 		r.key.fetch = nil
 	}
 	switch {
-	case r.closed || o.Final:
+	case r.finished || o.Final:
 		b.closeRequest(r)
-	case repeatFetch && b.spare >= 1 && b.mayAttempt(r, a.s): // it counts as a new fetch
-		b.spare--
+	case repeatFetch && b.retryBudget >= 1 && b.mayAttempt(r, a.server): // it counts as a new fetch
+		b.retryBudget--
 		b.hold(r)
-	case b.now >= r.until-1 || a.s == b.origin && !retryHere || fetchFailed:
+	case b.now >= r.deadline-1 || a.server == b.origin && !retryHere || fetchFailed:
 		b.endRequest(r)
 	case o.Status == Miss && b.cfg.Aside:
-		r.missed = a.s
+		r.missedOn = a.server
 		b.hold(r)
-	case o.Owners != nil && r.out == 0: // a redirect is not a retry, and MaxAttempts ends loops
+	case o.Owners != nil && r.inFlight == 0: // a redirect is not a retry, and MaxAttempts ends loops
 		b.sendOrEnd(r)
-	case r.out == 0 && b.told && disconnected && a.s.ejected:
+	case r.inFlight == 0 && b.tierKnown && disconnected && a.server.ejected:
 		b.sendOrEnd(r) // the server died: all requests sent to it have to go elsewhere, whatever the budget
-	case r.out > 0 || b.spare < 1: // prevents retry storms
+	case r.inFlight > 0 || b.retryBudget < 1: // prevents retry storms
 		b.endRequest(r)
 	default:
-		b.spare--
+		b.retryBudget--
 		b.sendOrEnd(r)
 	}
 	b.dispatchHeld()
@@ -687,39 +690,39 @@
 // handleStall acts on an attempt that has had no outcome in time. A server that has answered other requests
 // since the attempt was sent is not suspected.
 func (b *Balancer) handleStall(r *request, i int) {
-	if i >= len(r.tries) || r.tries[i].over || b.now >= r.aim && r.tries[i].s != b.origin {
+	if i >= len(r.attempts) || r.attempts[i].done || b.now >= r.aimAt && r.attempts[i].server != b.origin {
 		return
 	}
-	a := &r.tries[i]
-	if a.s.reply >= a.at || a.s == b.origin {
+	a := &r.attempts[i]
+	if a.server.lastReply >= a.sentAt || a.server == b.origin {
 		// Later attempts were answered, so this one is lost or its request is heavy. It is given half as
 		// much time again, unless most such attempts were lost lately. Drawbacks: a heavy request may be
 		// executed twice, and losses are known only after a few of them.
-		mayCancel := !b.cfg.Copies && b.cfg.Cancel && r.class.Effect == Repeatable && b.spare >= 1
-		if mayCancel && a.s.passed > a.at && b.overtaken(a) {
-			if a.s != b.origin {
-				r.missed = a.s
+		mayCancel := !b.cfg.Copies && b.cfg.Cancel && r.class.Effect == Repeatable && b.retryBudget >= 1
+		if mayCancel && a.server.answeredSentAt > a.sentAt && b.recordOvertaken(a) {
+			if a.server != b.origin {
+				r.missedOn = a.server
 			}
 			b.host.Cancel(r.ID, i)
 			return
 		}
-		b.host.Timer(overtakenWaitFactor*(b.now-a.at), uint64(r.ID)<<8|uint64(i+1))
+		b.host.Timer(overtakenWaitFactor*(b.now-a.sentAt), uint64(r.ID)<<8|uint64(i+1))
 		return
 	}
-	if !r.asks {
+	if !r.mayFetch {
 		// A key that meets an overloaded server is most likely its cause.
-		r.key.rate.add(b.now, b.keyMem(), b.seldom())
+		r.key.rate.add(b.now, b.keyMemory(), b.sendSparsity())
 		// A stall is known a second earlier than the time-out.
-		b.jam.see(b.now, b.jam.floor+r.class.Aim, fleetLatencyWeight)
-		a.s.strikes++
-		b.eject(a.s, true)
-		b.recordNoResponse(a.s, a.at)
+		b.fleetLatency.update(b.now, b.fleetLatency.floor+r.class.Aim, fleetLatencyWeight)
+		a.server.consecutiveFailures++
+		b.eject(a.server, true)
+		b.recordNoResponse(a.server, a.sentAt)
 	}
-	if b.spare < 1 || r.out > 1 {
+	if b.retryBudget < 1 || r.inFlight > 1 {
 		return
 	}
 	if s := b.pickServer(r); b.cfg.Copies && s != nil {
-		b.spare--
+		b.retryBudget--
 		b.sendAttempt(r, s)
 	} else if !b.cfg.Copies && b.cfg.Cancel && r.class.Effect == Repeatable {
 		b.host.Cancel(r.ID, i)
@@ -729,29 +732,29 @@
 // housekeep does the periodic work: solving, list calls, probes and closing idle connections.
 func (b *Balancer) housekeep() {
 	b.host.Timer(housekeepInterval, tickToken)
-	b.room = b.usableCapacity()
+	b.totalCapacity = b.usableCapacity()
 	// By answers alone, one router of many, which sees few of them, would take many times as long to
 	// recover.
-	if b.told && b.now > b.lateAt+waitShareRecoveryDelay {
-		b.bear = min(maxBaseWaitShare, b.bear+waitShareRecovery)
+	if b.tierKnown && b.now > b.lastLate+waitShareRecoveryDelay {
+		b.waitShare = min(maxBaseWaitShare, b.waitShare+waitShareRecovery)
 	}
-	if since := b.now - b.solvedAt; since >= solveInterval || b.dirty && since >= minSolveInterval {
+	if since := b.now - b.solvedAt; since >= solveInterval || b.solveNeeded && since >= minSolveInterval {
 		b.solve()
 	}
 	if b.now >= b.watchAt {
 		b.watchAt = b.now + listCallTimeout
-		b.host.Watch()
+		b.host.WatchList()
 	}
 	// Requests pay for probes: in a large fleet, a bound on the age of reports cost many probes for each
 	// request.
-	for i, first := 0, b.turn; i < len(b.order); i++ {
-		s := b.order[(first+i)%len(b.order)]
-		if s.held && s.out == 0 && b.keep < b.cfg.ConnIdle && b.now > s.sentAt+b.keep {
-			s.held = false
+	for i, first := 0, b.nextProbe; i < len(b.serverList); i++ {
+		s := b.serverList[(first+i)%len(b.serverList)]
+		if s.connOpen && s.inFlight == 0 && b.connKeep < b.cfg.ConnIdle && b.now > s.lastSent+b.connKeep {
+			s.connOpen = false
 			b.host.Close(s.ID)
 		}
-		if b.cfg.ByProbe && b.cfg.Probes && b.probes >= 1 && b.now-s.probed >= probeInterval {
-			b.probes, b.turn, s.probed = b.probes-1, first+i+1, b.now
+		if b.cfg.ByProbe && b.cfg.Probes && b.probeBudget >= 1 && b.now-s.probedAt >= probeInterval {
+			b.probeBudget, b.nextProbe, s.probedAt = b.probeBudget-1, first+i+1, b.now
 			b.host.Probe(s.ID)
 		}
 	}
@@ -760,21 +763,21 @@
 // fetchLimitShares are the shares of the fetch limit up to which requests of each standing may fetch.
 // Without them, requests over a tenant's guaranteed floor would fill the limit, and those within it would
 // wait.
-var fetchLimitShares = [...]float64{Within: 1, Borrowed: 0.5, Over: 0.25}
+var fetchLimitShares = [...]float64{QuotaGuaranteed: 1, QuotaLeased: 0.5, QuotaExceeded: 0.25}
 
 // fetchLimitReached reports whether too many fetches are in flight for a request to start another.
 func (b *Balancer) fetchLimitReached(r *request) bool {
-	return b.fetching() >= max(1, b.fetches*fetchLimitShares[r.Standing])
+	return b.fetchesInFlight() >= max(1, b.fetchLimit*fetchLimitShares[r.Standing])
 }
 
 // hold makes a request wait for the fetch limit or for a fetch of its key, as long as its answer can be in
 // time.
 func (b *Balancer) hold(r *request) {
-	latest := r.until - minExpectedTime
+	latest := r.deadline - minExpectedTime
 	if r.class.Late == 0 {
-		latest = min(latest, r.aim-b.olat.v/2)
+		latest = min(latest, r.aimAt-b.fetchLatency.value/2)
 	}
-	r.held, b.held = b.now, append(b.held, r)
+	r.waitingSince, b.waiting = b.now, append(b.waiting, r)
 	b.host.Timer(max(1, latest-b.now), uint64(r.ID)<<8)
 }
 
@@ -783,38 +786,38 @@
 func (b *Balancer) dispatchHeld() {
 	// Where servers fetch by themselves, no request can go on while the limit is reached and no key was
 	// stored. In overload thousands wait, and checking all of them at every event prolonged the overload.
-	if !b.cfg.Aside && !b.stored && b.fetching() >= max(1, b.fetches) {
+	if !b.cfg.Aside && !b.keyStored && b.fetchesInFlight() >= max(1, b.fetchLimit) {
 		return
 	}
-	b.stored = false
-	slices.SortStableFunc(b.held, func(p, q *request) int { return cmp.Compare(q.worth, p.worth) })
-	b.held = slices.DeleteFunc(b.held, func(r *request) bool {
+	b.keyStored = false
+	slices.SortStableFunc(b.waiting, func(p, q *request) int { return cmp.Compare(q.worth, p.worth) })
+	b.waiting = slices.DeleteFunc(b.waiting, func(r *request) bool {
 		k, o := r.key, b.origin
 		switch {
-		case r.closed:
-		case !r.Write && k.stored > r.held:
-			r.missed, r.held = k.storeAt, 0
+		case r.finished:
+		case !r.Write && k.storedAt > r.waitingSince:
+			r.missedOn, r.waitingSince = k.storedOn, 0
 			b.sendOrEnd(r)
 		case b.cfg.Aside &&
-			(o == nil || o.State != Ready || !b.mayAttempt(r, o) || b.now+b.olat.floor > r.until):
+			(o == nil || o.State != Ready || !b.mayAttempt(r, o) || b.now+b.fetchLatency.floor > r.deadline):
 			b.endRequest(r)
-		case !r.Write && k.fetch != nil && !b.absent(k) || b.fetchLimitReached(r):
+		case !r.Write && k.fetch != nil && !b.recentlyAbsent(k) || b.fetchLimitReached(r):
 			return false
-		case b.fetches < 1 &&
-			b.asked.add(b.now, keyRateTau, 0) >=
-				b.fetches*keyRateTau/max(b.olat.v, minFetchLatency):
+		case b.fetchLimit < 1 &&
+			b.fetchesSent.add(b.now, keyRateTau, 0) >=
+				b.fetchLimit*keyRateTau/max(b.fetchLatency.value, minFetchLatency):
 			return false // a fetch in flight at each of hundreds of routers overloaded the origin
 		default:
-			if r.held = 0; !r.Write {
+			if r.waitingSince = 0; !r.Write {
 				k.fetch = r
 			}
-			if b.setAsks(r, !b.cfg.Aside); r.asks {
+			if b.setMayFetch(r, !b.cfg.Aside); r.mayFetch {
 				b.sendOrEnd(r)
 			} else {
 				b.sendAttempt(r, o)
 			}
-			if r.out > 0 {
-				b.asked.add(b.now, keyRateTau, 1)
+			if r.inFlight > 0 {
+				b.fetchesSent.add(b.now, keyRateTau, 1)
 			}
 		}
 		return true
@@ -824,38 +827,38 @@
 // adjustFetchLimit raises the limit on fetches while answers are quick and cuts it when they are slow or
 // fail.
 func (b *Balancer) adjustFetchLimit(r *request, st Status, lat float64) {
-	if st == Spoilt { // the origin did its work, and the answer was stored
+	if st == InvalidAnswer { // the origin did its work, and the answer was stored
 		st = OK
 	}
 	if r.key.fetch == r && st == OK {
-		r.key.stored, r.key.storeAt, b.stored = b.now, r.missed, true
+		r.key.storedAt, r.key.storedOn, b.keyStored = b.now, r.missedOn, true
 	}
-	late := st == TimedOut && lat > 2*b.olat.floor // else sent too late: no sign of a slow origin
+	late := st == TimedOut && lat > 2*b.fetchLatency.floor // else sent too late: no sign of a slow origin
 	if st == OK || late {
-		b.olat.see(b.now, lat, b.fetchLatencyWeight())
+		b.fetchLatency.update(b.now, lat, b.fetchLatencyWeight())
 	}
 	// Even if the floor has risen in an overload, answers that come too late count as slow. Drawback: if
 	// the aim is short for the origin, few fetches are in flight at once.
-	slow := min(maxSlowFactor*b.olat.floor,
-		max(minSlowFactor*b.olat.floor, minSlowAimShare*r.class.Aim),
+	slow := min(maxSlowFactor*b.fetchLatency.floor,
+		max(minSlowFactor*b.fetchLatency.floor, minSlowAimShare*r.class.Aim),
 		maxSlowAimShare*r.class.Aim)
-	if (st == OK || late) && b.olat.v < slow {
-		gain := min(1/max(1, b.fetches), max(fetchLimitGrowth*b.fetches, tierFetchLimitGrowth/b.parts))
+	if (st == OK || late) && b.fetchLatency.value < slow {
+		gain := min(1/max(1, b.fetchLimit), max(fetchLimitGrowth*b.fetchLimit, tierFetchLimitGrowth/b.shares))
 		// An answer to any router adds to all limits together what it adds to the limit of a single router.
-		if b.told {
-			gain = min(gain, 1/max(1, b.fetches*b.parts))
+		if b.tierKnown {
+			gain = min(gain, 1/max(1, b.fetchLimit*b.shares))
 		}
-		b.fetches = min(maxFetchLimit, b.fetches+gain)
-	} else if st.tells() && (st != TimedOut || late) && b.now-b.cutAt > fetchCutInterval {
-		factor, minLimit := slowCutFactor, min(2, tierMinFetchLimit/b.parts)
+		b.fetchLimit = min(maxFetchLimit, b.fetchLimit+gain)
+	} else if st.concernsServer() && (st != TimedOut || late) && b.now-b.limitCutAt > fetchCutInterval {
+		factor, minLimit := slowCutFactor, min(2, tierMinFetchLimit/b.shares)
 		if st == Failed { // the origin has stopped, or works for clients that have left
 			factor, minLimit = failedCutFactor, minLimit/failedMinDivisor
 		}
 		// A queue: the limit may be far above the fetches in flight.
-		if b.cutAt = b.now; b.olat.v >= slow {
-			b.fetches = min(b.fetches, max(minLimit, b.fetching()+1))
+		if b.limitCutAt = b.now; b.fetchLatency.value >= slow {
+			b.fetchLimit = min(b.fetchLimit, max(minLimit, b.fetchesInFlight()+1))
 		}
-		b.fetches = max(min(minLimit, b.fetches), factor*b.fetches)
+		b.fetchLimit = max(min(minLimit, b.fetchLimit), factor*b.fetchLimit)
 	}
 }
 
@@ -865,24 +868,24 @@
 	case b.isCold(s):
 		// Reports overstate the capacity while many requests are cheap misses, and all do if the origin is
 		// down.
-		bound := max(defaultColdCapacity, leastReportFactor*b.least*s.unit(b.sized))
+		bound := max(defaultColdCapacity, leastReportFactor*b.medianFloor*s.sizeUnit(b.sizesKnown))
 		return coldBudgetShare * b.cfg.FallMult *
-			min(b.typical(s, defaultColdCapacity), bound) * b.warmth(s)
-	case s.cap.v > 0 && s.last.Util >= inflatedReportUtilisation:
+			min(b.typicalCapacity(s, defaultColdCapacity), bound) * b.warmFraction(s)
+	case s.capacity.value > 0 && s.lastLoad.Util >= inflatedReportUtilisation:
 		// At low load the least report is chance.
-		return warmCapacityShare * min(s.cap.v, inflatedReportFactor*s.cap.floor)
+		return warmCapacityShare * min(s.capacity.value, inflatedReportFactor*s.capacity.floor)
 	}
-	return warmCapacityShare * s.cap.v
+	return warmCapacityShare * s.capacity.value
 }
 
 // isCold reports whether a server is in its cold phase.
-func (b *Balancer) isCold(s *server) bool { return b.now < s.fresh+coldPhaseFactor*b.cfg.Cold }
+func (b *Balancer) isCold(s *server) bool { return b.now < s.coldSince+coldPhaseFactor*b.cfg.Cold }
 
 // retryBudgetGain returns the retry budget that a request adds. If the routers coordinate, the retries of
 // all of them add up to a tenth of the first attempts: two dozen routers that had each saved up twenty
 // retries sent a second wave of requests.
 func (b *Balancer) retryBudgetGain() float64 {
-	if b.told {
+	if b.tierKnown {
 		return tierRetriesPerRequest
 	}
 	return retriesPerRequest
@@ -891,7 +894,7 @@
 // retryBudgetCap returns the upper bound of the retry budget: if the routers coordinate, one retry or half
 // a second's worth.
 func (b *Balancer) retryBudgetCap() float64 {
-	if b.told {
+	if b.tierKnown {
 		return min(maxSavedRetries, max(1, tierRetriesPerRequest/2*b.perSecond(&b.arrivals, keyRateTau)))
 	}
 	return maxSavedRetries
@@ -900,10 +903,10 @@
 // fetchLatencyWeight returns the weight of a fetch in the latency of fetches. It grows with the number of
 // routers, as each of many sees few fetches.
 func (b *Balancer) fetchLatencyWeight() float64 {
-	if !b.told {
+	if !b.tierKnown {
 		return fleetLatencyWeight
 	}
-	return min(0.5, fleetLatencyWeight*max(1, b.parts/4))
+	return min(0.5, fleetLatencyWeight*max(1, b.shares/4))
 }
 
 // budgetAllows reports whether this router's share of a server's capacity leaves room for a request: the
@@ -914,26 +917,26 @@
 	fillRate, window, minSize, reserve := b.sendLimit(s)/1000, b.cfg.FallFor/coldBurstDivisor, 1.0, 0.0
 	switch {
 	case b.isCold(s):
-		fillRate /= b.parts
-	case !b.told || s.cap.v == 0:
+		fillRate /= b.shares
+	case !b.tierKnown || s.capacity.value == 0:
 		return true
 	default:
 		fillRate /= b.warmServerShares()
 		// Each call drops the budget saved beyond the size for its rank: a lower rank needs a time without
 		// higher ones.
 		window, minSize, reserve = warmBurstWindow, 2-rank, warmReserveShare*(1-rank)
-		s.budget.v = max(-1000*fillRate, s.budget.v) // old debt counts for one second at most
+		s.sendBudget.value = max(-1000*fillRate, s.sendBudget.value) // old debt counts for one second at most
 	}
 	size := max(minSize, fillRate*window)
-	s.budget.v = min(size, s.budget.v+fillRate*(b.now-s.budget.at))
-	s.budget.at = b.now
-	return s.budget.v >= min((1+work)/2+reserve*size, size)
+	s.sendBudget.value = min(size, s.sendBudget.value+fillRate*(b.now-s.sendBudget.updated))
+	s.sendBudget.updated = b.now
+	return s.sendBudget.value >= min((1+work)/2+reserve*size, size)
 }
 
 // warmServerShares returns the number of shares that warm servers are divided into. A router that has no
 // share yet takes half of an equal one, so that no server is overloaded.
 func (b *Balancer) warmServerShares() float64 {
-	return min(b.parts, noShareFactor*float64(b.cfg.Routers))
+	return min(b.shares, noShareFactor*float64(b.cfg.Routers))
 }
 
 // shouldShed reports whether a request is to be refused because the fleet can't serve all, and counts it.
@@ -942,16 +945,16 @@
 // under the threshold, the highest worth first, so a wrong or malicious threshold costs no more than their
 // order. Drawback: the budget for that fills for a fraction of a second first.
 func (b *Balancer) shouldShed(r *request) bool {
-	threshold, fillRate := b.line, b.room/b.warmServerShares()/1000
+	threshold, fillRate := b.admission, b.totalCapacity/b.warmServerShares()/1000
 	maxIdle := max(minIdleBudget, fillRate*idleBudgetWindow)
-	b.idle.v = min(maxIdle, b.idle.v+fillRate*(b.now-b.idle.at))
-	b.idle.at = b.now
+	b.idleBudget.value = min(maxIdle, b.idleBudget.value+fillRate*(b.now-b.idleBudget.updated))
+	b.idleBudget.updated = b.now
 	band := BandOf(r.worth / max(b.maxWorth, 1e-9))
 	admitted := b.now > threshold.Until || band < threshold.Band ||
 		band == threshold.Band && b.bandPosition(r) < threshold.Share
 	if admitted = admitted ||
-		b.idle.v >= maxIdle*(1-idleReserveShare*b.relativeWorth(r)); admitted {
-		b.idle.v = max(-maxIdle, b.idle.v-r.work)
+		b.idleBudget.value >= maxIdle*(1-idleReserveShare*b.relativeWorth(r)); admitted {
+		b.idleBudget.value = max(-maxIdle, b.idleBudget.value-r.work)
 		b.demand.Admitted += r.work
 	} else if !r.Retry {
 		b.demand.Shed[band] += r.work
@@ -970,7 +973,7 @@
 	if b.cfg.MaxAfter > 0 {
 		limit = min(limit, b.cfg.MaxAfter)
 	}
-	return min(max(1, (1-b.bandPosition(r))*b.line.RotationPeriod), limit*(0.5+b.rng.Float64()/2))
+	return min(max(1, (1-b.bandPosition(r))*b.admission.RotationPeriod), limit*(0.5+b.rng.Float64()/2))
 }
 
 // relativeWorth returns the square root of a request's worth relative to the highest, 0 to 1. The root
--- a/decide/shares_test.go
+++ b/decide/shares_test.go
@@ -14,8 +14,8 @@
 			t.Fatal(err)
 		}
 		b.Servers(1e5, Full, fleet(3))
-		for _, s := range b.order {
-			s.cap.see(1e5, perSecond, 1)
+		for _, s := range b.serverList {
+			s.capacity.update(1e5, perSecond, 1)
 		}
 		tier = append(tier, b)
 	}
@@ -45,7 +45,7 @@
 		for _, b := range tier {
 			b.now = now
 			if s := b.servers[id]; b.budgetAllows(s, 1, rank) {
-				s.budget.v--
+				s.sendBudget.value--
 				perSecond += 1 / seconds
 			}
 		}
@@ -72,7 +72,7 @@
 		s := b.servers[id]
 		for _, rank := range []float64{0.1, 1} { // the lowest worth first
 			if b.budgetAllows(s, 1, rank) {
-				s.budget.v--
+				s.sendBudget.value--
 				if rank == 1 {
 					best++
 				} else {
@@ -97,12 +97,12 @@
 		t.Errorf("one of four routers without a share sends %.1f a second, want about half of 30", got)
 	}
 	b := tier[1]
-	b.servers[id].cap = level{}
+	b.servers[id].capacity = movingAverage{}
 	if got := sendWhileAllowed(tier[1:2], id, 1, 1); got < 199 {
 		t.Errorf("a server that has reported nothing gets %.1f of 200", got)
 	}
 	b = tier[2]
-	b.told = false
+	b.tierKnown = false
 	if got := sendWhileAllowed(tier[2:3], id, 1, 1); got < 199 {
 		t.Errorf("without coordination %.1f of 200 are sent", got)
 	}
@@ -111,7 +111,7 @@
 // Debt from sends before the shares applied delays a router by a second at most.
 func TestOldDebtDelaysSharesBriefly(t *testing.T) {
 	tier, id := newTier(t, 2, Tier{Routers: 2, Shares: 2, Until: math.Inf(1), SharesAfter: 2})
-	tier[0].servers[id].budget = rate{-5000, 1e5}
+	tier[0].servers[id].sendBudget = decayingSum{-5000, 1e5}
 	if got := sendWhileAllowed(tier[:1], id, 4, 1); got < 40 {
 		t.Errorf("%.1f a second are sent, its share is 57", got)
 	}
@@ -124,7 +124,7 @@
 	for now := 1e5; now < 1e5+60e3; now += 5 {
 		b.now = now
 		if s := b.servers[id]; b.budgetAllows(s, 8, 0.1) {
-			s.budget.v -= (1 + 8) / 2.0
+			s.sendBudget.value -= (1 + 8) / 2.0
 			sent++
 		}
 	}
@@ -140,7 +140,7 @@
 	for _, c := range []struct{ util, least, most float64 }{{0.5, 100, 120}, {1, 55, 70}} {
 		tier, id := newTier(t, 1, Tier{Routers: 1, Shares: 1, Until: math.Inf(1), SharesAfter: 1})
 		s := tier[0].servers[id]
-		s.cap.floor, s.last.Util = 60, c.util
+		s.capacity.floor, s.lastLoad.Util = 60, c.util
 		if got := sendWhileAllowed(tier, id, 10, 1); got < c.least || got > c.most {
 			t.Errorf("at utilisation %v %.1f a second are sent to a server of 120 that once reported 60; want %v to %v", c.util, got, c.least, c.most)
 		}
--- a/decide/tier.go
+++ b/decide/tier.go
@@ -27,8 +27,8 @@
 	if err := t.Validate(); err != nil {
 		return err
 	}
-	b.begin(now)
-	b.tier, b.told = t, true
+	b.advance(now)
+	b.tier, b.tierKnown = t, true
 	b.applyShares()
 	return nil
 }
@@ -36,7 +36,7 @@
 // SetProcesses sets the number of processes of this router that decide at the same time, each as a router
 // of its own. The router's share of the common resources is divided among them.
 func (b *Balancer) SetProcesses(now float64, processes int) {
-	b.begin(now)
+	b.advance(now)
 	b.processes = max(1, processes)
 	b.applyShares()
 }
@@ -46,18 +46,18 @@
 	if b.now > b.tier.Until {
 		b.tier.Shares, b.tier.Until = b.tier.SharesAfter, math.Inf(1)
 	}
-	was := b.parts
-	b.cfg.Routers, b.parts = b.tier.Routers*b.processes, b.tier.Shares*float64(b.processes)
-	ratio := was / b.parts
+	was := b.shares
+	b.cfg.Routers, b.shares = b.tier.Routers*b.processes, b.tier.Shares*float64(b.processes)
+	ratio := was / b.shares
 	switch {
 	case ratio > maxShareGrowth: // its share was close to nothing: it starts like a new router
-		b.fetches = max(b.fetches, initialFetchLimit(b.parts))
+		b.fetchLimit = max(b.fetchLimit, initialFetchLimit(b.shares))
 	default:
-		b.fetches = min(maxFetchLimit, b.fetches*ratio)
+		b.fetchLimit = min(maxFetchLimit, b.fetchLimit*ratio)
 	}
-	b.spare *= min(1, ratio)
+	b.retryBudget *= min(1, ratio)
 	for _, s := range b.servers {
-		s.budget.v *= min(1, ratio)
+		s.sendBudget.value *= min(1, ratio)
 	}
 }
 
--- a/decide/tier_test.go
+++ b/decide/tier_test.go
@@ -9,17 +9,17 @@
 // A router's resources follow each update of the tier at once, up and down. When an update expires, they
 // shrink to its smaller share at the next event of any kind.
 func TestTierScalesSharedResources(t *testing.T) {
-	b := experienced(t)
+	b := newExperienced(t)
 	cold := b.servers[fleet(6)[1].ID]
-	b.begin(cold.fresh + 2000)
+	b.advance(cold.coldSince + 2000)
 	gained := func() float64 {
-		cold.budget = rate{0, b.now}
-		b.begin(b.now + 100)
+		cold.sendBudget = decayingSum{0, b.now}
+		b.advance(b.now + 100)
 		b.budgetAllows(cold, 1, 1)
-		return cold.budget.v
+		return cold.sendBudget.value
 	}
-	whole, fetches := gained(), b.fetches
-	was := b.parts
+	whole, fetches := gained(), b.fetchLimit
+	was := b.shares
 	update := func(tier Tier) {
 		t.Helper()
 		if err := b.SetTier(b.now, tier); err != nil {
@@ -27,33 +27,33 @@
 		}
 	}
 	update(Tier{Routers: 24, Shares: 4 * was, Until: b.now + 500, SharesAfter: 8 * was})
-	if got := gained(); math.Abs(got-whole/4) > whole/50 || math.Abs(b.fetches-fetches/4) > 1e-9 || b.cfg.Routers != 24 {
-		t.Errorf("a quarter of the share: %v of %v in 100 ms, %v of %v fetches, %d routers", got, whole, b.fetches, fetches, b.cfg.Routers)
+	if got := gained(); math.Abs(got-whole/4) > whole/50 || math.Abs(b.fetchLimit-fetches/4) > 1e-9 || b.cfg.Routers != 24 {
+		t.Errorf("a quarter of the share: %v of %v in 100 ms, %v of %v fetches, %d routers", got, whole, b.fetchLimit, fetches, b.cfg.Routers)
 	}
-	b.Gone(b.now+600, 1<<31) // any event, after the update has expired
-	if got := gained(); math.Abs(got-whole/8) > whole/50 || math.Abs(b.fetches-fetches/8) > fetches/8*0.2 {
-		t.Errorf("expired: %v of %v in 100 ms, %v of %v fetches", got, whole, b.fetches, fetches)
+	b.ClientGone(b.now+600, 1<<31) // any event, after the update has expired
+	if got := gained(); math.Abs(got-whole/8) > whole/50 || math.Abs(b.fetchLimit-fetches/8) > fetches/8*0.2 {
+		t.Errorf("expired: %v of %v in 100 ms, %v of %v fetches", got, whole, b.fetchLimit, fetches)
 	}
 	update(Tier{Routers: 24, Shares: 1 << 20, Until: math.Inf(1), SharesAfter: 1 << 20})
-	if got := gained(); got > whole/1e4 || b.fetches > 0.01 {
-		t.Errorf("without a share: %v in 100 ms, %v fetches", got, b.fetches)
+	if got := gained(); got > whole/1e4 || b.fetchLimit > 0.01 {
+		t.Errorf("without a share: %v in 100 ms, %v fetches", got, b.fetchLimit)
 	}
 	update(Tier{Routers: 24, Shares: 24, Until: math.Inf(1), SharesAfter: 24})
-	if want := initialFetchLimit(24); b.fetches < want || b.fetches > 2*want {
-		t.Errorf("with a share again: %v fetches, a new router has %v", b.fetches, want)
+	if want := initialFetchLimit(24); b.fetchLimit < want || b.fetchLimit > 2*want {
+		t.Errorf("with a share again: %v fetches, a new router has %v", b.fetchLimit, want)
 	}
 	b.SetProcesses(b.now, 2)
-	if b.parts != 48 || b.cfg.Routers != 48 {
-		t.Errorf("two processes: %v shares, %d routers", b.parts, b.cfg.Routers)
+	if b.shares != 48 || b.cfg.Routers != 48 {
+		t.Errorf("two processes: %v shares, %d routers", b.shares, b.cfg.Routers)
 	}
 }
 
 func TestInvalidTiers(t *testing.T) {
-	b := experienced(t)
+	b := newExperienced(t)
 	for _, tier := range []Tier{{}, {Routers: 1, Shares: 0.5, SharesAfter: 1}, {Routers: 1, Shares: 1}, {Routers: 1, Shares: math.Inf(1), SharesAfter: 1},
 		{Routers: 1, Shares: 1, SharesAfter: 1, Until: math.NaN()}, {Routers: -1, Shares: 1, SharesAfter: 1}} {
-		before := b.parts
-		if err := b.SetTier(b.now, tier); err == nil || !strings.Contains(err.Error(), "invalid tier") || b.parts != before {
+		before := b.shares
+		if err := b.SetTier(b.now, tier); err == nil || !strings.Contains(err.Error(), "invalid tier") || b.shares != before {
 			t.Errorf("%+v: %v", tier, err)
 		}
 	}
--- a/internal/model/fleetnet/lines.go
+++ b/internal/model/fleetnet/lines.go
@@ -23,7 +23,7 @@
 
 func (m meeter) Send(to line.Peer, b []byte) {
 	nd := m.Node
-	nd.cargo = append(nd.cargo, func() { nd.Carry(nd.net.Now, to.Name, to.Start, b) })
+	nd.cargo = append(nd.cargo, func() { nd.SendPayload(nd.net.Now, to.Name, to.Start, b) })
 }
 
 // beginLine has a process begin without a word of anything; its servers and clients are those of before.
@@ -75,10 +75,10 @@
 // routers drawn at random would say different things, by their lines alone.
 func (n *Net) Over() (share, differ float64) {
 	var all, over float64
-	var lines []line.Line
+	var lines []line.Threshold
 	running := n.Running()
 	for _, nd := range running {
-		l := nd.Line.Line(n.Now)
+		l := nd.Line.Threshold(n.Now)
 		lines = append(lines, l)
 		for i, rate := range nd.Asks {
 			all += rate
@@ -107,7 +107,7 @@
 }
 
 // passes is the share of a band that is over a line.
-func passes(l line.Line, band int) float64 {
+func passes(l line.Threshold, band int) float64 {
 	switch {
 	case band < l.Band:
 		return 1
