--- a/decide/decide.go
+++ b/decide/decide.go
@@ -127,34 +127,34 @@
 
 // Servers takes a list update.
 func (b *Balancer) Servers(now float64, kind ListKind, entries []Entry) {
-	b.begin(now)
-	if kind == Refused {
+	b.advance(now)
+	if kind == ListFailed {
 		// Spread, or all routers ask at once again. One service works through the calls of all in turn, also
 		// those that have waited too long: hundreds that come back each second get nothing, for good.
-		pause := (500 + 1000*b.rng.Float64()) * b.crowd() * math.Exp2(float64(min(b.refusals, askDoubles)))
-		b.watchAt = now + b.untold(3, pause)
-		b.refusals++
+		pause := (500 + 1000*b.rng.Float64()) * b.tierScale() * math.Exp2(float64(min(b.listFailures, askDoubles)))
+		b.watchAt = now + b.boundListWait(3, pause)
+		b.listFailures++
 		return
 	}
-	b.refusals = 0
-	if b.watchAt = math.Inf(1); b.cfg.AskList && kind == Remembered {
+	b.listFailures = 0
+	if b.watchAt = math.Inf(1); b.cfg.AskList && kind == Restored {
 		// A small tier's next housekeeping asks.
-		b.watchAt = now + b.untold(0.8, askSpread*(b.crowd()-1))*b.rng.Float64()
+		b.watchAt = now + b.boundListWait(0.8, askSpread*(b.tierScale()-1))*b.rng.Float64()
 	}
-	for _, s := range b.apply(kind, entries) {
+	for _, s := range b.applyList(kind, entries) {
 		if s.Started > now-b.cfg.Cold { // a new process has a new record
-			s.fresh, s.ejected, s.strikes, s.accept = s.Started, false, 0, 1
-			s.budget = rate{b.firstPart(), now}
-			s.doubt, s.fails, s.refused, s.lost = 0, b.usual, false, false
+			s.coldSince, s.ejected, s.consecutiveFailures, s.acceptShare = s.Started, false, 0, 1
+			s.sendBudget = decayingSum{b.firstColdBudget(), now}
+			s.suspicion, s.failShare, s.connRefused, s.zoneLost = 0, b.usualFailures, false, false
 		}
 	}
 	b.buildTable()
-	b.dirty = true
+	b.solveNeeded = true
 }
 
 // usable says whether a request, or with nil the solver, may use a server. An ejected one gets single trials.
 func (b *Balancer) usable(s *server, r *request) bool {
-	trial := s.ejected && r != nil && b.now >= s.trial && s.out == 0 && r.class.Effect == Repeatable
+	trial := s.ejected && r != nil && b.now >= s.trialAt && s.inFlight == 0 && r.class.Effect == Repeatable
 	may := s.listed && s.State == Ready && (trial || !s.ejected)
 	return may && (r == nil || b.afford(s, r.work, b.rank(r)))
 }
@@ -163,15 +163,15 @@
 func (b *Balancer) observe(s *server, st Status, sent float64) {
 	ok := st == OK || st == Miss
 	switch {
-	case ok || st == Failed || st == QueueFull || st == Spoilt:
-		s.reply, s.strikes, s.passed = b.now, 0, max(s.passed, sent)
+	case ok || st == Failed || st == QueueFull || st == InvalidAnswer:
+		s.lastReply, s.consecutiveFailures, s.answeredSentAt = b.now, 0, max(s.answeredSentAt, sent)
 		b.heardOf(s)
 	case st == ConnectError: // dead, or its table is full of idle connections: the next answer tells
-		s.refused = true
+		s.connRefused = true
 		b.silence(s, sent)
 	case st == Reset:
-	case s.reply < sent:
-		s.strikes++
+	case s.lastReply < sent:
+		s.consecutiveFailures++
 		b.silence(s, sent)
 	default:
 		return // it answers others: this waited in line or for a fetch, and moving keys would add fetches
@@ -179,45 +179,45 @@
 	// Failures count as far as they stand out from the fleet's: what ends connections, spoils answers or
 	// overloads everywhere is no server's own. Harm: where most of a fleet fails at once, it is seen later.
 	if !ok {
-		b.usual = usualFails(b.order)
+		b.usualFailures = medianFailShare(b.serverList)
 	}
 	if st != TimedOut {
-		s.weigh(!ok, b.usual)
+		s.updateSuspicion(!ok, b.usualFailures)
 	}
 	if !ok {
-		if s.accept *= failKeeps; st == Spoilt { // who fails fast must look expensive
-			s.accept *= spoiltKeeps // one that spoils most still goes out
+		if s.acceptShare *= failKeeps; st == InvalidAnswer { // who fails fast must look expensive
+			s.acceptShare *= spoiltKeeps // one that spoils most still goes out
 		}
-		if s.ejected || s.doubt >= maxDoubt || s.strikes >= maxStrike {
+		if s.ejected || s.suspicion >= maxDoubt || s.consecutiveFailures >= maxStrike {
 			b.eject(s, st == TimedOut)
 		}
 		return
 	}
-	if b.keep = min(b.cfg.ConnIdle, keepGrows*b.keep); s.refused {
+	if b.connKeep = min(b.cfg.ConnIdle, keepGrows*b.connKeep); s.connRefused {
 		// Its table was full, and all routers hold fewer. Those that a release had ended, told late or never,
 		// looked alike, and for the rest of a day a tier of eighty opened one for each second request.
-		s.refused, b.keep = false, max(leastKeep, b.keep/2)
+		s.connRefused, b.connKeep = false, max(leastKeep, b.connKeep/2)
 	}
-	s.accept, s.pause = s.accept+okGains*(1-s.accept), pauseFade*s.pause
+	s.acceptShare, s.trialPause = s.acceptShare+okGains*(1-s.acceptShare), pauseFade*s.trialPause
 	if s.ejected { // the trial came back: in again at half its channels, and half way out
-		s.ejected, s.accept, s.doubt, b.dirty = false, trialBack, maxDoubt/2, true
+		s.ejected, s.acceptShare, s.suspicion, b.solveNeeded = false, trialBack, maxDoubt/2, true
 	}
 }
 
 // eject takes a server out of use. Silence of half the fleet is our own trouble or the origin's.
 func (b *Balancer) eject(s *server, silent bool) {
-	if silent && !s.ejected && (s.strikes < maxStrike || 2*ejected(b.order)+2 > len(b.order)) {
+	if silent && !s.ejected && (s.consecutiveFailures < maxStrike || 2*countEjected(b.serverList)+2 > len(b.serverList)) {
 		return
 	}
-	if s.ejected && b.now < s.trial { // sent before it went out: no trial has failed
+	if s.ejected && b.now < s.trialAt { // sent before it went out: no trial has failed
 		return
 	}
-	s.pause = min(maxPause*minPause, max(minPause, 2*s.pause))
-	s.trial = b.now + s.pause*(0.75+0.5*b.rng.Float64()) // or all routers try at once
-	if s.overdue = s.trial; silent {
-		s.overdue += silentFor
+	s.trialPause = min(maxPause*minPause, max(minPause, 2*s.trialPause))
+	s.trialAt = b.now + s.trialPause*(0.75+0.5*b.rng.Float64()) // or all routers try at once
+	if s.trialOverdue = s.trialAt; silent {
+		s.trialOverdue += silentFor
 	}
-	s.ejected, b.dirty = true, b.dirty || !s.ejected
+	s.ejected, b.solveNeeded = true, b.solveNeeded || !s.ejected
 }
 
 // silence books that nothing has come of an attempt at a server. Where each is asked every few seconds, half
@@ -225,18 +225,18 @@
 // servers of a zone of which none answers, while others do, are taken for lost together.
 func (b *Balancer) silence(s *server, sent float64) {
 	z := b.zoneOf(s)
-	if z.reply >= sent || slices.Contains(z.silent, s) {
+	if z.lastReply >= sent || slices.Contains(z.unresponsive, s) {
 		return
 	}
-	if z.silent = append(z.silent, s); len(z.silent) < maxSilent || !b.othersReply(z, sent) {
-		z.silent = z.silent[max(0, len(z.silent)-maxSilent):]
+	if z.unresponsive = append(z.unresponsive, s); len(z.unresponsive) < maxSilent || !b.otherZoneReplied(z, sent) {
+		z.unresponsive = z.unresponsive[max(0, len(z.unresponsive)-maxSilent):]
 		return
 	}
-	for _, o := range b.order {
+	for _, o := range b.serverList {
 		if o.Zone == s.Zone && !o.ejected {
-			o.strikes, o.lost = maxStrike, true
+			o.consecutiveFailures, o.zoneLost = maxStrike, true
 			b.eject(o, false)
-			o.overdue += silentFor
+			o.trialOverdue += silentFor
 		}
 	}
 }
@@ -244,12 +244,12 @@
 // heardOf books an answer. What was lost with the zone of a server that answers again is tried again too.
 func (b *Balancer) heardOf(s *server) {
 	z := b.zoneOf(s)
-	if z.reply, z.silent = b.now, z.silent[:0]; !s.lost {
+	if z.lastReply, z.unresponsive = b.now, z.unresponsive[:0]; !s.zoneLost {
 		return
 	}
-	for _, o := range b.order {
-		if o.Zone == s.Zone && o.lost {
-			o.lost, o.trial, o.overdue = false, b.now, b.now
+	for _, o := range b.serverList {
+		if o.Zone == s.Zone && o.zoneLost {
+			o.zoneLost, o.trialAt, o.trialOverdue = false, b.now, b.now
 		}
 	}
 }
@@ -257,38 +257,38 @@
 // waitAt is the wait that a new request will find: by Little's law others hold their rate times the latency
 // seen, which fades, or one refusal would last for good. Own attempts out are known.
 func (b *Balancer) waitAt(s *server) float64 {
-	seen := math.Exp((s.lat.at - b.now) / seenTau)
-	others := max(0, s.qps-b.perSecond(&s.sent, sendTau)) * s.lat.v / 1000 * seen
+	seen := math.Exp((s.latency.updated - b.now) / seenTau)
+	others := max(0, s.reportedRate-b.perSecond(&s.sentWork, sendTau)) * s.latency.value / 1000 * seen
 	// Where each server is seldom asked, what all show is the best guess of a queue, and the only one.
-	guess := (b.jam.v - b.jam.floor) * math.Exp((b.jam.at-b.now)/jamTau)
+	guess := (b.fleetLatency.value - b.fleetLatency.floor) * math.Exp((b.fleetLatency.updated-b.now)/jamTau)
 	if !s.ejected { // one taken for sick, tried as the last resort, has no better
-		guess *= b.seldom()
+		guess *= b.sendSparsity()
 	}
-	return max(0, guess) + max(0, (float64(s.out)+others+1)*1000/(b.capacity(s)*b.warmth(s))-s.lat.floor)
+	return max(0, guess) + max(0, (float64(s.inFlight)+others+1)*1000/(b.capacity(s)*b.warmFraction(s))-s.latency.floor)
 }
 
 // capacity has a stand-in until a report comes, or the first second chokes all servers.
 func (b *Balancer) capacity(s *server) float64 {
-	if s.cap.v > 0 {
-		return s.cap.v
+	if s.capacity.value > 0 {
+		return s.capacity.value
 	}
-	return b.typical(s, guessedRate/max(1, b.x.mean))
+	return b.typicalCapacity(s, guessedRate/max(1, b.latencies.mean))
 }
 
 // candidates leaves out the servers that can't be used: they are skipped in their place.
-func (b *Balancer) candidates(k *flow) []*server {
-	return slices.DeleteFunc(slices.Clone(b.list(k)), func(s *server) bool { return !b.usable(s, nil) })
+func (b *Balancer) candidates(k *keyTraffic) []*server {
+	return slices.DeleteFunc(slices.Clone(b.hashListOf(k)), func(s *server) bool { return !b.usable(s, nil) })
 }
 
 // balance moves the rates x over the servers by the procedure of Table 1 and returns F.
 func (b *Balancer) balance(v []*server, x []float64) float64 {
 	var d, h [listLen]float64
-	c2 := b.x.ratio()
+	c2 := b.latencies.momentRatio()
 	for sweep, was := 0, 0.0; ; sweep++ {
 		f, low, rest := 0.0, 0, 0.0
 		for j, s := range v {
 			var fj float64
-			fj, d[j], h[j] = delay(s.load+x[j], s.n, s.mu, c2)
+			fj, d[j], h[j] = waitingRequests(s.modelLoad+x[j], s.channels, s.serviceRate, c2)
 			if f, rest = f+fj, rest+x[j]; d[j] < d[low] {
 				low = j
 			}
@@ -308,9 +308,12 @@
 
 // split starts a flow at its first server; later ones join, in ascending FDL, while the waiting falls.
 // Shares are solved at scaled rates, but a copy must save each request a fetch at the rates as they are.
-func (b *Balancer) split(k *flow, v []*server, total float64) {
-	c2 := b.x.ratio()
-	fdl := func(s *server) float64 { _, d, _ := delay(s.load, s.n, s.mu, c2); return d }
+func (b *Balancer) split(k *keyTraffic, v []*server, total float64) {
+	c2 := b.latencies.momentRatio()
+	fdl := func(s *server) float64 {
+		_, d, _ := waitingRequests(s.modelLoad, s.channels, s.serviceRate, c2)
+		return d
+	}
 	slices.SortStableFunc(v[1:], func(p, q *server) int { return cmp.Compare(fdl(p), fdl(q)) })
 	x := []float64{total}
 	for i := 1; i < len(v); i++ {
@@ -318,112 +321,112 @@
 		y, gain := slices.Clone(x), 0.0
 		b.balance(v[:i+1], y)
 		for j, s := range v[:i+1] {
-			f, _, _ := delay((s.load+x[j])/b.scale, s.n, s.mu, c2)
-			g, _, _ := delay((s.load+y[j])/b.scale, s.n, s.mu, c2)
+			f, _, _ := waitingRequests((s.modelLoad+x[j])/b.loadScale, s.channels, s.serviceRate, c2)
+			g, _, _ := waitingRequests((s.modelLoad+y[j])/b.loadScale, s.channels, s.serviceRate, c2)
 			gain += f - g
 		}
-		if gain <= total/b.scale*b.olat.v/1000+epsilon {
+		if gain <= total/b.loadScale*b.fetchLatency.value/1000+epsilon {
 			x = x[:i]
 			break
 		}
 		x = y
 	}
-	k.v, k.p = v[:len(x)], x
-	for j, s := range k.v {
-		s.load += x[j]
-		s.hot += x[j] / b.scale * (1 - b.portion)
+	k.splitServers, k.splitShares = v[:len(x)], x
+	for j, s := range k.splitServers {
+		s.modelLoad += x[j]
+		s.othersHotLoad += x[j] / b.loadScale * (1 - b.trafficShare)
 		x[j] /= total
 	}
 }
 
 // model sets channels and background of all servers and the scale to the utilisation that is solved for.
 func (b *Balancer) model() {
-	mu, mean, mine, total, room := 1000/max(1, b.x.mean), b.survey(), 0.0, 0.0, 0.0
-	for _, s := range b.order {
-		channels := b.capacity(s) * s.accept * s.accept * b.warmth(s) / mu
-		s.mu, s.n = mu, int(min(maxChannels, max(1, channels)))
-		own := b.perSecond(&s.sent, sendTau)
-		fresh := math.Exp((s.heard - b.now) / keyTau) // an old report tells the mean, hot keys come on top
-		s.load, s.hot = fresh*max(0, s.qps-own-s.hot)+(1-fresh)*mean, 0
+	mu, mean, mine, total, room := 1000/max(1, b.latencies.mean), b.updateMedians(), 0.0, 0.0, 0.0
+	for _, s := range b.serverList {
+		channels := b.capacity(s) * s.acceptShare * s.acceptShare * b.warmFraction(s) / mu
+		s.serviceRate, s.channels = mu, int(min(maxChannels, max(1, channels)))
+		own := b.perSecond(&s.sentWork, sendTau)
+		fresh := math.Exp((s.reportedAt - b.now) / keyTau) // an old report tells the mean, hot keys come on top
+		s.modelLoad, s.othersHotLoad = fresh*max(0, s.reportedRate-own-s.othersHotLoad)+(1-fresh)*mean, 0
 		if mine += own; b.usable(s, nil) {
-			total, room = total+own+s.load, room+float64(s.n)*mu
+			total, room = total+own+s.modelLoad, room+float64(s.channels)*mu
 		}
 	}
-	if b.portion = 1 / float64(b.cfg.Routers); mean > 0 {
-		b.portion = max(mine/max(total, mine, 1e-3), leastPortion*b.portion)
+	if b.trafficShare = 1 / float64(b.cfg.Routers); mean > 0 {
+		b.trafficShare = max(mine/max(total, mine, 1e-3), leastPortion*b.trafficShare)
 	}
-	b.scale = scaledTo * room / max(total, 1e-3)
-	for _, s := range b.order {
-		s.load *= b.scale
+	b.loadScale = scaledTo * room / max(total, 1e-3)
+	for _, s := range b.serverList {
+		s.modelLoad *= b.loadScale
 	}
 }
 
 // solve splits hot keys singly, hottest first by λ_i/μ_i. The tail stays at its homes: split by shares in
 // groups, keys moved with every solve, and the misses jammed the origin.
 func (b *Balancer) solve() {
-	b.solvedAt, b.dirty = b.now, false
+	b.solvedAt, b.solveNeeded = b.now, false
 	b.model()
-	mem := b.keyMem()
-	for _, k := range b.hottest() {
-		c, lam := b.candidates(k), b.perSecond(&k.rate, mem)*k.work*b.scale
+	mem := b.keyMemory()
+	for _, k := range b.hottestKeys() {
+		c, lam := b.candidates(k), b.perSecond(&k.rate, mem)*k.meanWork*b.loadScale
 		switch {
 		case len(c) == 0:
-		case k.rate.v >= hotSeen:
-			b.split(k, c, lam/b.portion*(1-1/k.rate.v)) // the arrival that brought it up is no fair sample
+		case k.rate.value >= hotSeen:
+			b.split(k, c, lam/b.trafficShare*(1-1/k.rate.value)) // the arrival that brought it up is no fair sample
 		default:
-			c[0].load += lam
+			c[0].modelLoad += lam
 		}
 	}
 }
 
 // pick draws a server by the solved probabilities; a cold key's is its first candidate.
 func (b *Balancer) pick(r *request) *server {
-	if b.now >= r.until-1 || r.class.Late == 0 && b.now >= r.aim {
+	if b.now >= r.deadline-1 || r.class.Late == 0 && b.now >= r.aimAt {
 		return nil // nothing left to earn
 	}
 	var drawn, any *server
-	list := b.list(r.key)
+	list := b.hashListOf(r.key)
 	if i := slices.IndexFunc(list, func(s *server) bool { return b.usable(s, nil) }); i >= 0 {
 		drawn = list[i]
 	}
-	if drawn != nil && !r.may(drawn) {
+	if drawn != nil && !r.canUse(drawn) {
 		drawn = nil
 	}
 	home := drawn
 	if len(list) > 0 {
 		home = list[0]
 	}
-	due := home != drawn && r.may(home) && home.ejected && b.now >= home.overdue
-	if due && len(r.tries) == 0 && b.usable(home, r) {
+	due := home != drawn && r.canUse(home) && home.ejected && b.now >= home.trialOverdue
+	if due && len(r.attempts) == 0 && b.usable(home, r) {
 		return home // its trial: where no queue makes a request look further, it would stay out for good
 	}
-	for j, u := 0, b.rng.Float64(); j < len(r.key.v) && u >= 0; j++ {
-		if u -= r.key.p[j]; r.may(r.key.v[j]) {
-			drawn = r.key.v[j]
+	for j, u := 0, b.rng.Float64(); j < len(r.key.splitServers) && u >= 0; j++ {
+		if u -= r.key.splitShares[j]; r.canUse(r.key.splitServers[j]) {
+			drawn = r.key.splitServers[j]
 		}
 	}
 	// The wait that is borne falls with the worth: the least worth is shed first, and early rather than late.
-	bear := (b.bear + bearWorth*b.rank(r)) * (r.aim - b.now)
-	list = append([]*server{r.missed, drawn}, list...)
+	bear := (b.waitShare + bearWorth*b.rank(r)) * (r.aimAt - b.now)
+	list = append([]*server{r.missedOn, drawn}, list...)
 	if r.Owners != nil { // it may have been sent on to others than the key's
-		list = append(list, b.listed(r.Owners)...)
+		list = append(list, b.listedServers(r.Owners)...)
 	}
 	for sick := 0; sick < 2 && any == nil; sick++ {
 		for _, s := range list {
-			if s == nil || !r.may(s) || s != r.missed && r.tried(s) || !b.mayRun(r, s) ||
+			if s == nil || !r.canUse(s) || s != r.missedOn && r.triedOn(s) || !b.mayRun(r, s) ||
 				!b.usable(s, r) && (sick == 0 || s.State != Ready || !b.afford(s, r.work, b.rank(r))) {
 				continue
 			}
 			wait := b.waitAt(s)
-			if s != drawn && s != r.missed && s != r.key.storeAt {
-				wait += b.olat.v // it takes a fetch there; spreading keys would jam a slow origin for good
+			if s != drawn && s != r.missedOn && s != r.key.storedOn {
+				wait += b.fetchLatency.value // it takes a fetch there; spreading keys would jam a slow origin for good
 			}
-			if any = s; wait <= bear-ownTime*s.lat.floor*math.Exp((s.lat.at-b.now)/oldReport)*r.work {
+			if any = s; wait <= bear-ownTime*s.latency.floor*math.Exp((s.latency.updated-b.now)/oldReport)*r.work {
 				return s
 			}
 		}
 	}
-	if b.mayRefuse(r) || r.out > 0 {
+	if b.mayRefuse(r) || r.inFlight > 0 {
 		return nil
 	}
 	return any
@@ -435,32 +438,32 @@
 		b.try(r)
 		return
 	}
-	if r.Standing == Beyond { // what is not served is no traffic either: it changes nobody's part
+	if r.Standing == QuotaDenied { // what is not served is no traffic either: it changes nobody's part
 		b.host.Refuse(r.ID, r.Again)
 		b.close(r)
 		return
 	}
 	b.arrivals.add(b.now, keyTau, 1)
-	b.spare, b.probes = min(b.mostSpare(), b.spare+b.spareGains()), min(maxProbes, b.probes+probeShare)
+	b.retryBudget, b.probeBudget = min(b.mostSpare(), b.retryBudget+b.spareGains()), min(maxProbes, b.probeBudget+probeShare)
 	// A few arrivals over the quota's part are chance: two deviations of a count are not.
-	q := b.quota[r.Tenant] * b.portion * keyTau / 1000
-	if u := b.used[r.Tenant]; u != nil && u.add(b.now, keyTau, 1) > q+deviations*math.Sqrt(q) {
+	q := b.quotas[r.Tenant] * b.trafficShare * keyTau / 1000
+	if u := b.tenantUse[r.Tenant]; u != nil && u.add(b.now, keyTau, 1) > q+deviations*math.Sqrt(q) {
 		r.worth *= b.cfg.OverWorth
 	}
-	r.worth *= [...]float64{Within: 1, Borrowed: lent, Over: b.cfg.OverWorth}[r.Standing]
-	if b.told && b.under(r) {
+	r.worth *= [...]float64{QuotaGuaranteed: 1, QuotaLeased: lent, QuotaExceeded: b.cfg.OverWorth}[r.Standing]
+	if b.tierKnown && b.under(r) {
 		b.host.Refuse(r.ID, b.back(r))
 		b.close(r)
 		return
 	}
 	k := r.key
-	k.work += workTells * (r.work - k.work)
-	k.rate.add(b.now, b.keyMem(), 1)
+	k.meanWork += workTells * (r.work - k.meanWork)
+	k.rate.add(b.now, b.keyMemory(), 1)
 	// Where servers fetch by themselves, writes and keys not seen for a while go to the origin too. A write
 	// whose servers are named is theirs.
 	if b.cfg.Alone || r.Write && r.Owners != nil {
 		b.try(r)
-	} else if r.Write || k.fetch != nil || !b.cfg.Aside && b.now > k.stored+oldReport {
+	} else if r.Write || k.fetch != nil || !b.cfg.Aside && b.now > k.storedAt+oldReport {
 		b.hold(r)
 		b.pump()
 	} else {
@@ -478,28 +481,28 @@
 }
 
 func (b *Balancer) send(r *request, s *server) {
-	r.tries = append(r.tries, attempt{s: s, at: b.now, ran: true})
-	r.out++
-	s.out, s.sentAt, s.held = s.out+1, b.now, true
+	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, mayHaveRun: true})
+	r.inFlight++
+	s.inFlight, s.lastSent, s.connOpen = s.inFlight+1, b.now, true
 	if s != b.origin {
 		b.demand.Sent += r.work
-		s.budget.v -= (1 + r.work) / 2 // hints are rough: light ones turn out heavier
-		s.sent.add(b.now, sendTau, r.work)
+		s.sendBudget.value -= (1 + r.work) / 2 // hints are rough: light ones turn out heavier
+		s.sentWork.add(b.now, sendTau, r.work)
 		// Hints are rough, pauses are not.
-		e := max(s.lat.floor, b.x.mean/2, leastTime)*max(0.5, r.work) + b.waitAt(s)
-		left := r.aim - b.now - nextNeeds*e // for this one, so that there is time for another
+		e := max(s.latency.floor, b.latencies.mean/2, leastTime)*max(0.5, r.work) + b.waitAt(s)
+		left := r.aimAt - b.now - nextNeeds*e // for this one, so that there is time for another
 		patience := max(patient*e, min(mostPatient*e, left))
 		// An unknown server, and one on trial, answers over a new connection, perhaps from another zone:
 		// ended early, healthy ones stayed out for good. Harm: a dead one costs these most of their time.
-		if s.ejected || s.lat.v == 0 {
-			patience = max(patience, firstGets*(r.aim-b.now))
+		if s.ejected || s.latency.value == 0 {
+			patience = max(patience, firstGets*(r.aimAt-b.now))
 		}
-		if b.now+patience < r.until {
-			b.host.Timer(patience, uint64(r.ID)<<8|uint64(len(r.tries)))
+		if b.now+patience < r.deadline {
+			b.host.Timer(patience, uint64(r.ID)<<8|uint64(len(r.attempts)))
 		}
 	}
 	if s == b.origin { // a fetch whose answer is lost holds all that wait for the key
-		b.host.Timer(fetchWaits*max(b.olat.v, leastTime), uint64(r.ID)<<8|uint64(len(r.tries)))
+		b.host.Timer(fetchWaits*max(b.fetchLatency.value, leastTime), uint64(r.ID)<<8|uint64(len(r.attempts)))
 	}
 	b.host.Send(r.ID, s.ID, 0)
 }
@@ -507,26 +510,26 @@
 // mayRun alone says whether a further attempt may run on s, mayRefuse whether a refusal is true. An attempt
 // may have run from its send on, until its outcome proves the contrary.
 func (b *Balancer) mayRun(r *request, s *server) bool {
-	for _, a := range r.tries {
-		if !a.ran || r.class.Effect == Repeatable {
+	for _, a := range r.attempts {
+		if !a.mayHaveRun || r.class.Effect == Repeatable {
 			continue
 		}
-		same := a.s.group(r.class.Scope) == s.group(r.class.Scope) && a.s != b.origin && s != b.origin
-		if r.class.Effect == Once || !same || b.now >= a.at+r.class.Window-1 {
+		same := a.server.dedupGroup(r.class.Scope) == s.dedupGroup(r.class.Scope) && a.server != b.origin && s != b.origin
+		if r.class.Effect == Once || !same || b.now >= a.sentAt+r.class.Window-1 {
 			return false
 		}
 	}
-	return len(r.tries) < b.cfg.MaxAttempts && (r.out == 0 || b.cfg.Copies)
+	return len(r.attempts) < b.cfg.MaxAttempts && (r.inFlight == 0 || b.cfg.Copies)
 }
 
 func (b *Balancer) mayRefuse(r *request) bool {
 	return r.class.Effect == Repeatable || r.class.Effect == Keyed && r.class.Scope == "all" ||
-		!slices.ContainsFunc(r.tries, func(a attempt) bool { return a.ran })
+		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 }
 
 // end gives the final answer, unless an attempt is still out that may give a better one.
 func (b *Balancer) end(r *request) {
-	if r.closed || r.out > 0 && b.now < r.until-1 {
+	if r.finished || r.inFlight > 0 && b.now < r.deadline-1 {
 		return
 	}
 	if b.mayRefuse(r) {
@@ -540,93 +543,93 @@
 
 // close forgets a request that has its final answer, but for attempts still out.
 func (b *Balancer) close(r *request) {
-	if r.asks && !r.closed {
-		b.asking--
+	if r.mayFetch && !r.finished {
+		b.mayFetchCount--
 	}
-	r.closed = true
-	for i, a := range r.tries {
-		if !a.over && b.cfg.Cancel {
+	r.finished = true
+	for i, a := range r.attempts {
+		if !a.done && b.cfg.Cancel {
 			b.host.Cancel(r.ID, i)
 		}
 	}
 	if r.key.fetch == r {
 		r.key.fetch = nil
 	}
-	if r.out == 0 {
-		delete(b.reqs, r.ID)
+	if r.inFlight == 0 {
+		delete(b.requests, r.ID)
 	}
 }
 
 func (b *Balancer) ended(r *request, a *attempt, o Outcome) {
-	asked, lost := r.asks, o.Status == Failed && o.Note == 2 && !b.cfg.Aside // lost: the origin's failure
-	if b.setAsks(r, false); o.Status.tells() && !lost && !(asked && o.Status == TimedOut) {
-		b.observe(a.s, o.Status, a.at)
-	}
-	if timeout := o.Status == TimedOut && !asked; a.s != b.origin && (timeout || o.Status == QueueFull) {
-		b.jam.see(b.now, b.jam.floor+r.class.Aim, jamTells)
-		if took := o.Latency / r.work; timeout && took > a.s.lat.v { // a jam, though some are answered
-			a.s.lat.see(b.now, took, min(latMost, latTells*r.work))
+	asked, lost := r.mayFetch, o.Status == Failed && o.CacheResult == 2 && !b.cfg.Aside // lost: the origin's failure
+	if b.setMayFetch(r, false); o.Status.concernsServer() && !lost && !(asked && o.Status == TimedOut) {
+		b.observe(a.server, o.Status, a.sentAt)
+	}
+	if timeout := o.Status == TimedOut && !asked; a.server != b.origin && (timeout || o.Status == QueueFull) {
+		b.fleetLatency.update(b.now, b.fleetLatency.floor+r.class.Aim, jamTells)
+		if took := o.Latency / r.work; timeout && took > a.server.latency.value { // a jam, though some are answered
+			a.server.latency.update(b.now, took, min(latMost, latTells*r.work))
 		}
 	}
-	if a.passed && (o.Status == OK || o.Status == Miss) {
-		b.lost -= lostTells * b.lost
+	if a.wasOvertaken && (o.Status == OK || o.Status == Miss) {
+		b.lostShare -= lostTells * b.lostShare
 	}
-	if a.s == b.origin || asked && o.Note != 1 { // 1: it was there after all
+	if a.server == b.origin || asked && o.CacheResult != 1 { // 1: it was there after all
 		b.fetched(r, o.Status, o.Latency)
 	}
-	if o.Note == noneThere {
-		r.key.stored, r.key.absent = 0, b.now
+	if o.CacheResult == noneThere {
+		r.key.storedAt, r.key.absentAt = 0, b.now
 	}
 	if lost {
-		r.key.stored = 0 // the next request of the key takes a place too
+		r.key.storedAt = 0 // the next request of the key takes a place too
 	}
-	if a.s != b.origin && o.Status == OK {
-		if o.Note != 2 { // what waited for a fetch says nothing of the server
-			if b.bear = min(bearMost, b.bear+bearUp); b.now > r.aim {
-				b.bear, b.lateAt = max(0, b.bear-bearDown), b.now
+	if a.server != b.origin && o.Status == OK {
+		if o.CacheResult != 2 { // what waited for a fetch says nothing of the server
+			if b.waitShare = min(bearMost, b.waitShare+bearUp); b.now > r.aimAt {
+				b.waitShare, b.lastLate = max(0, b.waitShare-bearDown), b.now
 			}
-			b.x.see(o.Latency)
+			b.latencies.update(o.Latency)
 			// By its work: a light one takes several times as long for each unit, which looked like a queue.
-			b.jam.see(b.now, o.Latency/r.work, min(latMost, jamTells*r.work))
-			if a.s.lat.v == 0 { // a light request tells little: the fleet's mean stands in for the rest
-				a.s.lat.see(b.now, b.x.mean+min(1, r.work)*(o.Latency/r.work-b.x.mean), 1)
+			b.fleetLatency.update(b.now, o.Latency/r.work, min(latMost, jamTells*r.work))
+			if a.server.latency.value == 0 { // a light request tells little: the fleet's mean stands in for the rest
+				a.server.latency.update(b.now, b.latencies.mean+min(1, r.work)*(o.Latency/r.work-b.latencies.mean), 1)
 			}
-			a.s.lat.see(b.now, o.Latency/r.work, min(latMost, latTells*r.work))
+			a.server.latency.update(b.now, o.Latency/r.work, min(latMost, latTells*r.work))
 		}
-		r.key.stored, r.key.storeAt, b.stored = b.now, a.s, true
+		r.key.storedAt, r.key.storedOn, b.keyStored = b.now, a.server, true
 	}
 	// A read whose answer was spoilt, or whose connection ended at a server not thought sick, is asked for
 	// again where it is kept: it takes no fetch. A dead server costs a second attempt, which spare bounds.
 	cut := o.Status == Reset || o.Status == ConnectError
-	again := a.s == b.origin && (cut || o.Status == Canceled)
+	again := a.server == b.origin && (cut || o.Status == Canceled)
 	if o.Owners != nil {
 		r.Owners = o.Owners
 	}
-	spoilt := (o.Status == Spoilt || cut && a.s != b.origin && a.s.doubt < maxDoubt/2) && !r.Write
-	if spoilt && a.s != b.origin {
-		r.missed = a.s
+	spoilt := (o.Status == InvalidAnswer || cut && a.server != b.origin && a.server.suspicion < maxDoubt/2) && !r.Write
+	if spoilt && a.server != b.origin {
+		r.missedOn = a.server
 	} else if (spoilt || again) && r.key.fetch == r {
 		r.key.fetch = nil
 	}
 	switch {
-	case r.closed || o.Final:
+	case r.finished || o.Final:
 		b.close(r)
-	case again && b.spare >= 1 && b.mayRun(r, a.s): // it takes a place again
-		b.spare--
+	case again && b.retryBudget >= 1 && b.mayRun(r, a.server): // it takes a place again
+		b.retryBudget--
 		b.hold(r)
-	case b.now >= r.until-1 || a.s == b.origin && !spoilt || lost:
+	case b.now >= r.deadline-1 || a.server == b.origin && !spoilt || lost:
 		b.end(r)
 	case o.Status == Miss && b.cfg.Aside:
-		r.missed = a.s
+		r.missedOn = a.server
 		b.hold(r)
-	case o.Owners != nil && r.out == 0: // sent on: no retry, and the bound on attempts ends loops
+	case o.Owners != nil && r.inFlight == 0: // sent on: no retry, and the bound on attempts ends loops
 		b.try(r)
-	case r.out == 0 && b.told && cut && a.s.ejected: // it died: what all had there has to go elsewhere
+	case r.inFlight == 0 && b.tierKnown && cut && a.server.ejected: // it died: what all had there has to go elsewhere
 		b.try(r)
-	case r.out > 0 || b.spare < 1: // retries must not become a storm
+	case r.inFlight > 0 || b.retryBudget < 1: // retries must not become a storm
 		b.end(r)
 	default:
-		b.spare--
+		b.retryBudget--
 		b.try(r)
 	}
 	b.pump()
@@ -634,36 +637,36 @@
 
 // stalled acts on an attempt past its patience; a server that has answered others since is not suspected.
 func (b *Balancer) stalled(r *request, i int) {
-	if i >= len(r.tries) || r.tries[i].over || b.now >= r.aim && r.tries[i].s != b.origin {
+	if i >= len(r.attempts) || r.attempts[i].done || b.now >= r.aimAt && r.attempts[i].server != b.origin {
 		return
 	}
-	a := &r.tries[i]
-	if a.s.reply >= a.at || a.s == b.origin {
+	a := &r.attempts[i]
+	if a.server.lastReply >= a.sentAt || a.server == b.origin {
 		// Later ones were answered: it is lost, or heavy, and waited for half as long again unless most such
 		// were lost. Harm: a heavy one may be done twice, and a few must tell before losses are known.
-		may := !b.cfg.Copies && b.cfg.Cancel && r.class.Effect == Repeatable && b.spare >= 1
-		if may && a.s.passed > a.at && b.overtaken(a) {
-			if a.s != b.origin {
-				r.missed = a.s
+		may := !b.cfg.Copies && b.cfg.Cancel && r.class.Effect == Repeatable && b.retryBudget >= 1
+		if may && a.server.answeredSentAt > a.sentAt && b.recordOvertaken(a) {
+			if a.server != b.origin {
+				r.missedOn = a.server
 			}
 			b.host.Cancel(r.ID, i)
 			return
 		}
-		b.host.Timer(stretched*(b.now-a.at), uint64(r.ID)<<8|uint64(i+1))
+		b.host.Timer(stretched*(b.now-a.sentAt), uint64(r.ID)<<8|uint64(i+1))
 		return
 	}
-	if !r.asks {
-		r.key.rate.add(b.now, b.keyMem(), b.seldom())       // the key that meets a jam most likely makes it
-		b.jam.see(b.now, b.jam.floor+r.class.Aim, jamTells) // known a second before the time-out
-		a.s.strikes++
-		b.eject(a.s, true)
-		b.silence(a.s, a.at)
+	if !r.mayFetch {
+		r.key.rate.add(b.now, b.keyMemory(), b.sendSparsity())                   // the key that meets a jam most likely makes it
+		b.fleetLatency.update(b.now, b.fleetLatency.floor+r.class.Aim, jamTells) // known a second before the time-out
+		a.server.consecutiveFailures++
+		b.eject(a.server, true)
+		b.silence(a.server, a.sentAt)
 	}
-	if b.spare < 1 || r.out > 1 {
+	if b.retryBudget < 1 || r.inFlight > 1 {
 		return
 	}
 	if s := b.pick(r); b.cfg.Copies && s != nil {
-		b.spare--
+		b.retryBudget--
 		b.send(r, s)
 	} else if !b.cfg.Copies && b.cfg.Cancel && r.class.Effect == Repeatable {
 		b.host.Cancel(r.ID, i)
@@ -672,26 +675,26 @@
 
 func (b *Balancer) housekeep() {
 	b.host.Timer(tick, tickToken)
-	b.room = b.roomOfAll()
-	if b.told && b.now > b.lateAt+bearAfter { // by answers alone one of many came back many times later
-		b.bear = min(bearMost, b.bear+bearBack)
+	b.totalCapacity = b.roomOfAll()
+	if b.tierKnown && b.now > b.lastLate+bearAfter { // by answers alone one of many came back many times later
+		b.waitShare = min(bearMost, b.waitShare+bearBack)
 	}
-	if since := b.now - b.solvedAt; since >= solveEvery || b.dirty && since >= solveSoon {
+	if since := b.now - b.solvedAt; since >= solveEvery || b.solveNeeded && since >= solveSoon {
 		b.solve()
 	}
 	if b.now >= b.watchAt {
 		b.watchAt = b.now + watchAgain
-		b.host.Watch()
+		b.host.WatchList()
 	}
 	// Probes are paid for by own requests: a bound on the age of reports cost many probes a request at size.
-	for i, turn := 0, b.turn; i < len(b.order); i++ {
-		s := b.order[(turn+i)%len(b.order)]
-		if s.held && s.out == 0 && b.keep < b.cfg.ConnIdle && b.now > s.sentAt+b.keep {
-			s.held = false
+	for i, turn := 0, b.nextProbe; i < len(b.serverList); i++ {
+		s := b.serverList[(turn+i)%len(b.serverList)]
+		if s.connOpen && s.inFlight == 0 && b.connKeep < b.cfg.ConnIdle && b.now > s.lastSent+b.connKeep {
+			s.connOpen = false
 			b.host.Close(s.ID)
 		}
-		if b.cfg.ByProbe && b.cfg.Probes && b.probes >= 1 && b.now-s.probed >= probeEvery {
-			b.probes, b.turn, s.probed = b.probes-1, turn+i+1, b.now
+		if b.cfg.ByProbe && b.cfg.Probes && b.probeBudget >= 1 && b.now-s.probedAt >= probeEvery {
+			b.probeBudget, b.nextProbe, s.probedAt = b.probeBudget-1, turn+i+1, b.now
 			b.host.Probe(s.ID)
 		}
 	}
@@ -699,20 +702,20 @@
 
 // fetchParts are the parts of the bound on fetches at which requests of a standing go on: what is asked over
 // a floor would keep the origin as full as it may be, and those within would wait behind it.
-var fetchParts = [...]float64{Within: 1, Borrowed: 0.5, Over: 0.25}
+var fetchParts = [...]float64{QuotaGuaranteed: 1, QuotaLeased: 0.5, QuotaExceeded: 0.25}
 
 // full says whether as many fetches are out as may be where a request goes on.
 func (b *Balancer) full(r *request) bool {
-	return b.fetching() >= max(1, b.fetches*fetchParts[r.Standing])
+	return b.fetchesInFlight() >= max(1, b.fetchLimit*fetchParts[r.Standing])
 }
 
 // hold makes a request wait for a place at the origin or for a fetch of its key while it can be in time.
 func (b *Balancer) hold(r *request) {
-	by := r.until - leastTime
+	by := r.deadline - leastTime
 	if r.class.Late == 0 {
-		by = min(by, r.aim-b.olat.v/2)
+		by = min(by, r.aimAt-b.fetchLatency.value/2)
 	}
-	r.held, b.held = b.now, append(b.held, r)
+	r.waitingSince, b.waiting = b.now, append(b.waiting, r)
 	b.host.Timer(max(1, by-b.now), uint64(r.ID)<<8)
 }
 
@@ -720,35 +723,35 @@
 func (b *Balancer) pump() {
 	// Without a place, and no key stored since, nobody goes on where servers fetch by themselves: in overload
 	// thousands wait, and looking at each for every event of others made the overload last.
-	if !b.cfg.Aside && !b.stored && b.fetching() >= max(1, b.fetches) {
+	if !b.cfg.Aside && !b.keyStored && b.fetchesInFlight() >= max(1, b.fetchLimit) {
 		return
 	}
-	b.stored = false
-	slices.SortStableFunc(b.held, func(p, q *request) int { return cmp.Compare(q.worth, p.worth) })
-	b.held = slices.DeleteFunc(b.held, func(r *request) bool {
+	b.keyStored = false
+	slices.SortStableFunc(b.waiting, func(p, q *request) int { return cmp.Compare(q.worth, p.worth) })
+	b.waiting = slices.DeleteFunc(b.waiting, func(r *request) bool {
 		k, o := r.key, b.origin
 		switch {
-		case r.closed:
-		case !r.Write && k.stored > r.held:
-			r.missed, r.held = k.storeAt, 0
+		case r.finished:
+		case !r.Write && k.storedAt > r.waitingSince:
+			r.missedOn, r.waitingSince = k.storedOn, 0
 			b.try(r)
-		case b.cfg.Aside && (o == nil || o.State != Ready || !b.mayRun(r, o) || b.now+b.olat.floor > r.until):
+		case b.cfg.Aside && (o == nil || o.State != Ready || !b.mayRun(r, o) || b.now+b.fetchLatency.floor > r.deadline):
 			b.end(r)
-		case !r.Write && k.fetch != nil && !b.absent(k) || b.full(r):
+		case !r.Write && k.fetch != nil && !b.recentlyAbsent(k) || b.full(r):
 			return false
-		case b.fetches < 1 && b.asked.add(b.now, keyTau, 0) >= b.fetches*keyTau/max(b.olat.v, leastFetch):
+		case b.fetchLimit < 1 && b.fetchesSent.add(b.now, keyTau, 0) >= b.fetchLimit*keyTau/max(b.fetchLatency.value, leastFetch):
 			return false // a whole fetch at each of hundreds of routers jammed the origin
 		default:
-			if r.held = 0; !r.Write {
+			if r.waitingSince = 0; !r.Write {
 				k.fetch = r
 			}
-			if b.setAsks(r, !b.cfg.Aside); r.asks {
+			if b.setMayFetch(r, !b.cfg.Aside); r.mayFetch {
 				b.try(r)
 			} else {
 				b.send(r, o)
 			}
-			if r.out > 0 {
-				b.asked.add(b.now, keyTau, 1)
+			if r.inFlight > 0 {
+				b.fetchesSent.add(b.now, keyTau, 1)
 			}
 		}
 		return true
@@ -757,34 +760,34 @@
 
 // fetched moves the bound on fetches: up while answers stay quick, down when they slow or fail.
 func (b *Balancer) fetched(r *request, st Status, lat float64) {
-	if st == Spoilt { // it did its work, and its answer was stored
+	if st == InvalidAnswer { // it did its work, and its answer was stored
 		st = OK
 	}
 	if r.key.fetch == r && st == OK {
-		r.key.stored, r.key.storeAt, b.stored = b.now, r.missed, true
+		r.key.storedAt, r.key.storedOn, b.keyStored = b.now, r.missedOn, true
 	}
-	late := st == TimedOut && lat > 2*b.olat.floor // else it was sent too late: no sign of a slow origin
+	late := st == TimedOut && lat > 2*b.fetchLatency.floor // else it was sent too late: no sign of a slow origin
 	if st == OK || late {
-		b.olat.see(b.now, lat, b.fetchTells())
+		b.fetchLatency.update(b.now, lat, b.fetchTells())
 	}
 	// Harm of the bound by the aim: where it is short for the origin, few are out at once. A floor risen in
 	// overload excuses no useless answer.
-	slow := min(slowMost*b.olat.floor, max(slowFloor*b.olat.floor, halfAim*r.class.Aim), mostAim*r.class.Aim)
-	if (st == OK || late) && b.olat.v < slow {
-		more := min(1/max(1, b.fetches), max(fetchGrows*b.fetches, fetchShare/b.parts))
-		if b.told { // a good answer anywhere adds to all bounds together what it adds to that of one router
-			more = min(more, 1/max(1, b.fetches*b.parts))
+	slow := min(slowMost*b.fetchLatency.floor, max(slowFloor*b.fetchLatency.floor, halfAim*r.class.Aim), mostAim*r.class.Aim)
+	if (st == OK || late) && b.fetchLatency.value < slow {
+		more := min(1/max(1, b.fetchLimit), max(fetchGrows*b.fetchLimit, fetchShare/b.shares))
+		if b.tierKnown { // a good answer anywhere adds to all bounds together what it adds to that of one router
+			more = min(more, 1/max(1, b.fetchLimit*b.shares))
 		}
-		b.fetches = min(maxFetches, b.fetches+more)
-	} else if st.tells() && (st != TimedOut || late) && b.now-b.cutAt > cutPause {
-		cut, least := cutSlow, min(2, leastShare/b.parts)
+		b.fetchLimit = min(maxFetches, b.fetchLimit+more)
+	} else if st.concernsServer() && (st != TimedOut || late) && b.now-b.limitCutAt > cutPause {
+		cut, least := cutSlow, min(2, leastShare/b.shares)
 		if st == Failed { // it needs room
 			cut, least = cutFailed, least/deepest
 		}
-		if b.cutAt = b.now; b.olat.v >= slow { // a queue: the bound may be far above those out
-			b.fetches = min(b.fetches, max(least, b.fetching()+1))
+		if b.limitCutAt = b.now; b.fetchLatency.value >= slow { // a queue: the bound may be far above those out
+			b.fetchLimit = min(b.fetchLimit, max(least, b.fetchesInFlight()+1))
 		}
-		b.fetches = max(min(least, b.fetches), cut*b.fetches)
+		b.fetchLimit = max(min(least, b.fetchLimit), cut*b.fetchLimit)
 	}
 }
 
@@ -793,20 +796,20 @@
 	switch {
 	case b.cold(s):
 		// Reports amid cheap misses overstate what a server can do; with a stopped origin all of them.
-		sure := max(guessedCold, leastTold*b.least*s.unit(b.sized))
-		return coldShare * b.cfg.FallMult * min(b.typical(s, guessedCold), sure) * b.warmth(s)
-	case s.cap.v > 0 && s.last.Util >= swollenFrom: // at little load the least is chance
-		return warmShare * min(s.cap.v, aboveLeast*s.cap.floor)
+		sure := max(guessedCold, leastTold*b.medianFloor*s.sizeUnit(b.sizesKnown))
+		return coldShare * b.cfg.FallMult * min(b.typicalCapacity(s, guessedCold), sure) * b.warmFraction(s)
+	case s.capacity.value > 0 && s.lastLoad.Util >= swollenFrom: // at little load the least is chance
+		return warmShare * min(s.capacity.value, aboveLeast*s.capacity.floor)
 	}
-	return warmShare * s.cap.v
+	return warmShare * s.capacity.value
 }
 
-func (b *Balancer) cold(s *server) bool { return b.now < s.fresh+coldLate*b.cfg.Cold }
+func (b *Balancer) cold(s *server) bool { return b.now < s.coldSince+coldLate*b.cfg.Cold }
 
 // spareGains is what a request pays for further attempts. Where routers tell each other who there is, those
 // of all add up to a tenth of the first: two dozen that had each saved up twenty made a second wave of it.
 func (b *Balancer) spareGains() float64 {
-	if b.told {
+	if b.tierKnown {
 		return toldSpare
 	}
 	return sparePer
@@ -814,7 +817,7 @@
 
 // mostSpare is what may be saved up of that: in a fleet one, or half a second's worth.
 func (b *Balancer) mostSpare() float64 {
-	if b.told {
+	if b.tierKnown {
 		return min(maxSpare, max(1, toldSpare/2*b.perSecond(&b.arrivals, keyTau)))
 	}
 	return maxSpare
@@ -822,10 +825,10 @@
 
 // fetchTells is the weight of a fetch in the fetches' latency: a router of many sees few.
 func (b *Balancer) fetchTells() float64 {
-	if !b.told {
+	if !b.tierKnown {
 		return jamTells
 	}
-	return min(0.5, jamTells*max(1, b.parts/4))
+	return min(0.5, jamTells*max(1, b.shares/4))
 }
 
 // afford says whether this router's part of what a server can take has room: of a cold one's send budget and,
@@ -836,37 +839,37 @@
 	fill, window, least, kept := b.gives(s)/1000, b.cfg.FallFor/coldWindow, 1.0, 0.0
 	switch {
 	case b.cold(s):
-		fill /= b.parts
-	case !b.told || s.cap.v == 0:
+		fill /= b.shares
+	case !b.tierKnown || s.capacity.value == 0:
 		return true
 	default:
 		fill /= b.partly()
 		// Each that comes gives up what was saved beyond its bound: less worth needs a time without better.
 		window, least, kept = warmWindow, 2-rank, warmKeeps*(1-rank)
-		s.budget.v = max(-1000*fill, s.budget.v) // what was sent before there were parts is not owed
+		s.sendBudget.value = max(-1000*fill, s.sendBudget.value) // what was sent before there were parts is not owed
 	}
 	most := max(least, fill*window)
-	s.budget.v = min(most, s.budget.v+fill*(b.now-s.budget.at))
-	s.budget.at = b.now
-	return s.budget.v >= min((1+work)/2+kept*most, most)
+	s.sendBudget.value = min(most, s.sendBudget.value+fill*(b.now-s.sendBudget.updated))
+	s.sendBudget.updated = b.now
+	return s.sendBudget.value >= min((1+work)/2+kept*most, most)
 }
 
 // partly is how many parts warm servers are divided by: who has none yet takes half of an equal one.
-func (b *Balancer) partly() float64 { return min(b.parts, noPart*float64(b.cfg.Routers)) }
+func (b *Balancer) partly() float64 { return min(b.shares, noPart*float64(b.cfg.Routers)) }
 
 // under says whether a request is to be refused, as the fleet can't serve all. Where each router shed by its
 // own luck, who was refused by one asked the next, and all saw four times the requests: this is the same at
 // all. What this router's part of all servers has left is for those under the line, the best of them first: a
 // wrong line, or a liar's, costs no more than their order. Harm: they wait for a part of a second first.
 func (b *Balancer) under(r *request) bool {
-	l, fill := b.line, b.room/b.partly()/1000
+	l, fill := b.admission, b.totalCapacity/b.partly()/1000
 	most := max(idleLeast, fill*idleWindow)
-	b.idle.v = min(most, b.idle.v+fill*(b.now-b.idle.at))
-	b.idle.at = b.now
+	b.idleBudget.value = min(most, b.idleBudget.value+fill*(b.now-b.idleBudget.updated))
+	b.idleBudget.updated = b.now
 	band := BandOf(r.worth / max(b.maxWorth, 1e-9))
 	over := b.now > l.Until || band < l.Band || band == l.Band && b.place(r) < l.Share
-	if over = over || b.idle.v >= most*(1-idleKeeps*b.rank(r)); over {
-		b.idle.v = max(-most, b.idle.v-r.work)
+	if over = over || b.idleBudget.value >= most*(1-idleKeeps*b.rank(r)); over {
+		b.idleBudget.value = max(-most, b.idleBudget.value-r.work)
 		b.demand.Passed += r.work
 	} else if !r.Retry {
 		b.demand.Under[band] += r.work
@@ -884,7 +887,7 @@
 	if b.cfg.MaxAfter > 0 {
 		most = min(most, b.cfg.MaxAfter)
 	}
-	return min(max(1, (1-b.place(r))*b.line.Pace), most*(0.5+b.rng.Float64()/2))
+	return min(max(1, (1-b.place(r))*b.admission.Pace), most*(0.5+b.rng.Float64()/2))
 }
 
 // rank is a request's worth beside the highest, 0 to 1, by its root: classes lie far apart.
--- a/decide/line.go
+++ b/decide/line.go
@@ -63,27 +63,27 @@
 	if err := l.Validate(); err != nil {
 		return err
 	}
-	b.begin(now)
-	b.line, b.lineAt = l, now
+	b.advance(now)
+	b.admission, b.admissionAt = l, now
 	return nil
 }
 
 // Demand is what has come so far; nothing where the routers tell each other nothing.
 func (b *Balancer) Demand() Demand {
-	if !b.told {
+	if !b.tierKnown {
 		return Demand{}
 	}
 	d := b.demand
-	d.Room = b.room
+	d.Room = b.totalCapacity
 	return d
 }
 
 // roomOfAll is what all usable servers may be given a second by all routers together; 0 where none has said what it can do.
 func (b *Balancer) roomOfAll() (sum float64) {
-	if !b.told || b.median == 0 {
+	if !b.tierKnown || b.medianCapacity == 0 {
 		return 0
 	}
-	for _, s := range b.order {
+	for _, s := range b.serverList {
 		switch may := b.gives(s); {
 		case s.State != Ready || s.ejected:
 		case may > 0:
@@ -97,10 +97,10 @@
 
 // place is where a request stands in the line's band, from 0 to 1, now.
 func (b *Balancer) place(r *request) float64 {
-	h := mix(r.key.id)
+	h := mix64(r.key.id)
 	for _, c := range []byte(r.Tenant) {
-		h = mix(h ^ uint64(c))
+		h = mix64(h ^ uint64(c))
 	}
-	u := float64(h>>11)/(1<<53) + b.line.Turn + (b.now-b.lineAt)/b.line.Pace
+	u := float64(h>>11)/(1<<53) + b.admission.Turn + (b.now-b.admissionAt)/b.admission.Pace
 	return u - math.Floor(u)
 }
--- a/decide/line_test.go
+++ b/decide/line_test.go
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		if l.Band > 0 || !math.IsInf(l.Until, 1) {
-			b.room = 0 // nothing is left over
+			b.totalCapacity = 0 // nothing is left over
 		}
 	}
 	return tier
@@ -69,7 +69,7 @@
 	tier := under4(t, 5000, Line{Band: BandOf(0.25), Share: 0.3, Turn: 0.9, Pace: 10e3, Until: 2e5})
 	b, own := tier[0], 0
 	for key := range uint64(300) {
-		r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &flow{id: key}}
+		r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &keyTraffic{id: key}}
 		b.now = 1e5 + float64(key)
 		if !b.under(r) {
 			continue
@@ -90,7 +90,7 @@
 		t.Errorf("%d of 300 came back at their own time", own)
 	}
 	b.cfg.MaxAfter = 800
-	r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &flow{id: 7}}
+	r := &request{Request: Request{Tenant: "t"}, class: b.classes["read"], worth: 1, work: 1, key: &keyTraffic{id: 7}}
 	for range 100 {
 		if after := b.back(r); after > 800 {
 			t.Errorf("to come back after %.0f ms, 800 are the most that may be told", after)
@@ -152,7 +152,7 @@
 		t.Error("a line holds, or demand is counted, where routers tell each other nothing")
 	}
 	for _, l := range []Line{{Band: -1}, {Band: Bands + 1}, {Share: 2, Pace: 1}, {Share: math.NaN(), Pace: 1}, {Turn: -1, Pace: 1}, {}, {Pace: math.Inf(1)}, {Pace: 1, Until: math.NaN()}} {
-		if err := tier[1].Line(1e5, l); err == nil || !strings.Contains(err.Error(), "impossible line") || tier[1].line != all {
+		if err := tier[1].Line(1e5, l); err == nil || !strings.Contains(err.Error(), "impossible line") || tier[1].admission != all {
 			t.Errorf("%+v: %v", l, err)
 		}
 	}
@@ -175,7 +175,7 @@
 	if got := d.Work[BandOf(0.25)]; math.Abs(got-100) > 1e-9 || d.Under[BandOf(0.25)] < 80 || d.Under[BandOf(0.25)] > 100 {
 		t.Errorf("%v asked for the first time, %v of them under the line; 100 came, and as many again", got, d.Under[BandOf(0.25)])
 	}
-	b.order[0].ejected = true
+	b.serverList[0].ejected = true
 	b.Timer(1e5+100, tickToken)
 	if room := b.Demand().Room; math.Abs(room-2*0.95*120) > 1 {
 		t.Errorf("with one server sick there is room for %.1f", room)
@@ -213,16 +213,16 @@
 	tier := under4(t, 120, NoLine)
 	alone := routersOf(t, testConfig(), 120)[0]
 	for _, b := range []*Balancer{tier[0], alone} {
-		b.bear, b.lateAt = 0, 1e5
+		b.waitShare, b.lastLate = 0, 1e5
 		for now := 1e5; now < 1e5+3500; now += tick {
 			b.Timer(now, tickToken)
-			if now < 1e5+bearAfter && b.bear > 0 {
-				t.Fatalf("%.3f is borne %.0f ms after a late answer", b.bear, now-1e5)
+			if now < 1e5+bearAfter && b.waitShare > 0 {
+				t.Fatalf("%.3f is borne %.0f ms after a late answer", b.waitShare, now-1e5)
 			}
 		}
 	}
-	if tier[0].bear < 0.2 || alone.bear > 0 {
-		t.Errorf("%.3f is borne by one of four, %.3f by one that is told nothing", tier[0].bear, alone.bear)
+	if tier[0].waitShare < 0.2 || alone.waitShare > 0 {
+		t.Errorf("%.3f is borne by one of four, %.3f by one that is told nothing", tier[0].waitShare, alone.waitShare)
 	}
 }
 
@@ -235,14 +235,14 @@
 			if err := b.Tier(1e5, Tier{Routers: routers, Parts: float64(routers), Until: math.Inf(1), Then: float64(routers)}); err != nil {
 				t.Fatal(err)
 			}
-			b.fetches = 8 / float64(routers)
-			k := &flow{id: 1}
+			b.fetchLimit = 8 / float64(routers)
+			k := &keyTraffic{id: 1}
 			for range 240 / routers {
 				r := &request{class: b.classes["read"], key: k}
 				k.fetch = r
 				b.fetched(r, OK, 20)
 			}
-			if sum += b.fetches; i == routers-1 {
+			if sum += b.fetchLimit; i == routers-1 {
 				break
 			}
 		}
@@ -310,8 +310,8 @@
 	tier := under4(t, 5000, NoLine)
 	b := tier[0]
 	h := b.host.(*fakeHost)
-	dead, again, lost := b.order[0].ID, 0, 0
-	b.spare = 1
+	dead, again, lost := b.serverList[0].ID, 0, 0
+	b.retryBudget = 1
 	for id := uint32(1); id <= 300; id++ {
 		now, was := 1e5+float64(id), len(h.sends)
 		b.Request(now, Request{ID: id, Class: "read", Tenant: "t", Key: uint64(id), HasKey: true, Left: 600})
--- a/decide/parts_test.go
+++ b/decide/parts_test.go
@@ -14,8 +14,8 @@
 			t.Fatal(err)
 		}
 		b.Servers(1e5, Full, fleet(3))
-		for _, s := range b.order {
-			s.cap.see(1e5, perSecond, 1)
+		for _, s := range b.serverList {
+			s.capacity.update(1e5, perSecond, 1)
 		}
 		tier = append(tier, b)
 	}
@@ -43,7 +43,7 @@
 		for _, b := range tier {
 			b.now = now
 			if s := b.servers[id]; b.afford(s, 1, rank) {
-				s.budget.v--
+				s.sendBudget.value--
 				perSecond += 1 / seconds
 			}
 		}
@@ -70,7 +70,7 @@
 		s := b.servers[id]
 		for _, rank := range []float64{0.1, 1} { // the least worth asks first
 			if b.afford(s, 1, rank) {
-				s.budget.v--
+				s.sendBudget.value--
 				if rank == 1 {
 					best++
 				} else {
@@ -94,12 +94,12 @@
 		t.Errorf("one of four that has no part sends %.1f a second, half of 30 is right", got)
 	}
 	b := tier[1]
-	b.servers[id].cap = level{}
+	b.servers[id].capacity = movingAverage{}
 	if got := offer(tier[1:2], id, 1, 1); got < 199 {
 		t.Errorf("a server that has reported nothing gets %.1f of 200", got)
 	}
 	b = tier[2]
-	b.told = false
+	b.tierKnown = false
 	if got := offer(tier[2:3], id, 1, 1); got < 199 {
 		t.Errorf("without a word of the others %.1f of 200 are sent", got)
 	}
@@ -108,7 +108,7 @@
 // What was sent before there were parts is owed for a second at most.
 func TestPartsBeginSoon(t *testing.T) {
 	tier, id := tierAt(t, 2, Tier{Routers: 2, Parts: 2, Until: math.Inf(1), Then: 2})
-	tier[0].servers[id].budget = rate{-5000, 1e5}
+	tier[0].servers[id].sendBudget = decayingSum{-5000, 1e5}
 	if got := offer(tier[:1], id, 4, 1); got < 40 {
 		t.Errorf("%.1f a second are sent, 57 are its part", got)
 	}
@@ -121,7 +121,7 @@
 	for now := 1e5; now < 1e5+60e3; now += 5 {
 		b.now = now
 		if s := b.servers[id]; b.afford(s, 8, 0.1) {
-			s.budget.v -= (1 + 8) / 2.0
+			s.sendBudget.value -= (1 + 8) / 2.0
 			sent++
 		}
 	}
@@ -136,7 +136,7 @@
 	for _, c := range []struct{ util, least, most float64 }{{0.5, 100, 120}, {1, 55, 70}} {
 		tier, id := tierAt(t, 1, Tier{Routers: 1, Parts: 1, Until: math.Inf(1), Then: 1})
 		s := tier[0].servers[id]
-		s.cap.floor, s.last.Util = 60, c.util
+		s.capacity.floor, s.lastLoad.Util = 60, c.util
 		if got := offer(tier, id, 10, 1); got < c.least || got > c.most {
 			t.Errorf("at utilisation %v %.1f a second are sent to a server of 120 that once told 60; %v to %v are right", c.util, got, c.least, c.most)
 		}
--- a/decide/tier.go
+++ b/decide/tier.go
@@ -26,8 +26,8 @@
 	if err := t.Validate(); err != nil {
 		return err
 	}
-	b.begin(now)
-	b.tier, b.told = t, true
+	b.advance(now)
+	b.tier, b.tierKnown = t, true
 	b.resize()
 	return nil
 }
@@ -35,7 +35,7 @@
 // Share tells that so many processes of this router decide at once, each a router of its own: what all share is divided by as many
 // more, and what this one had of it by the processes that have come.
 func (b *Balancer) Share(now float64, processes int) {
-	b.begin(now)
+	b.advance(now)
 	b.processes = max(1, processes)
 	b.resize()
 }
@@ -45,18 +45,18 @@
 	if b.now > b.tier.Until {
 		b.tier.Parts, b.tier.Until = b.tier.Then, math.Inf(1)
 	}
-	was := b.parts
-	b.cfg.Routers, b.parts = b.tier.Routers*b.processes, b.tier.Parts*float64(b.processes)
-	ratio := was / b.parts
+	was := b.shares
+	b.cfg.Routers, b.shares = b.tier.Routers*b.processes, b.tier.Parts*float64(b.processes)
+	ratio := was / b.shares
 	switch {
 	case ratio > regained: // it had next to none: it begins as a new one does
-		b.fetches = max(b.fetches, firstFetches(b.parts))
+		b.fetchLimit = max(b.fetchLimit, firstFetches(b.shares))
 	default:
-		b.fetches = min(maxFetches, b.fetches*ratio)
+		b.fetchLimit = min(maxFetches, b.fetchLimit*ratio)
 	}
-	b.spare *= min(1, ratio)
+	b.retryBudget *= min(1, ratio)
 	for _, s := range b.servers {
-		s.budget.v *= min(1, ratio)
+		s.sendBudget.value *= min(1, ratio)
 	}
 }
 
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -389,7 +389,7 @@
 		_, err = c.in.Peek(1)
 	}
 	if err != nil { // not understood, or it broke off: it has run, and the server was at work
-		a.Status = decide.Spoilt
+		a.Status = decide.InvalidAnswer
 	}
 	return a, last, err
 }
--- a/internal/engine/counts.go
+++ b/internal/engine/counts.go
@@ -119,7 +119,7 @@
 		return
 	}
 	out := &Counts{Tries: c.tries.Load(), Open: len(e.open) + e.passing, Demand: e.b.Demand()}
-	out.Known, out.Avoided = e.b.Fleet()
+	out.Known, out.Avoided = e.b.ServerCounts()
 	if e.tellsRules {
 		out.Rules = e.Guard.Counts()
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -425,8 +425,8 @@
 	d := decide.Request{ID: r.id, Class: q.Class, Tenant: q.Tenant, Key: keyID(q.Key), HasKey: true,
 		Left: left, Hint: q.Hint, Size: q.Size, Retry: q.Retry, Write: q.Write, Owners: q.Owners, Stores: q.Stores}
 	if e.tenants != nil && !q.Stores {
-		d.Standing, d.Again = e.tenants.Arrived(now, e.b.Portion(), q)
-		r.counted = d.Standing != decide.Beyond
+		d.Standing, d.Again = e.tenants.Arrived(now, e.b.TrafficShare(), q)
+		r.counted = d.Standing != decide.QuotaDenied
 	}
 	e.b.Request(now, d)
 }
@@ -444,7 +444,7 @@
 		return
 	}
 	e.finish(r, Answer{Result: Gone})
-	e.b.Gone(e.now(), r.id)
+	e.b.ClientGone(e.now(), r.id)
 	for _, a := range r.tries { // where the Balancer cancels nothing, nobody waits all the same
 		a.cancel(e)
 	}
@@ -514,7 +514,7 @@
 		r.asking = got.Owners
 	}
 	e.b.Outcome(now, decide.Outcome{ID: r.id, Attempt: a.n, Server: a.server, Status: got.Status, Latency: now - a.at,
-		Final: r.over, Note: got.Note, Load: got.Load, Owners: got.Owners})
+		Final: r.over, CacheResult: got.Note, Load: got.Load, Owners: got.Owners})
 }
 
 // fetched makes the request that stores what an attempt at the origin has brought, nil where there is nothing to store.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -50,12 +50,12 @@
 // counting tells what a Tenants is told, in words. It runs on the engine's goroutine.
 type counting struct{ told []string }
 
-func (c *counting) Arrived(_, _ float64, q *Request) (decide.Standing, float64) {
+func (c *counting) Arrived(_, _ float64, q *Request) (decide.QuotaStatus, float64) {
 	if q.Tenant == "nobody" {
-		return decide.Beyond, 0
+		return decide.QuotaDenied, 0
 	}
 	c.told = append(c.told, q.ID+" arrives")
-	return decide.Within, 0
+	return decide.QuotaGuaranteed, 0
 }
 func (c *counting) Fetches(_ float64, q *Request) { c.told = append(c.told, q.ID+" fetches") }
 func (c *counting) Over(_ float64, q *Request)    { c.told = append(c.told, q.ID+" is over") }
--- a/internal/engine/handed.go
+++ b/internal/engine/handed.go
@@ -28,7 +28,7 @@
 
 // Hand is what the engine has to hand over.
 func (e *Engine) Hand() Handed {
-	h := Handed{Learned: e.b.Learned(e.now()), Now: e.now()}
+	h := Handed{Learned: e.b.ExportLearned(e.now()), Now: e.now()}
 	for id, t := range e.targets {
 		s := Server{t.entry, t.addr}
 		if known, ok := e.starts.known[id]; ok && s.Started == known.at {
@@ -47,7 +47,7 @@
 		return fmt.Errorf("handed over: %d servers, 1 to %d are possible", len(h.Servers), maxHanded)
 	}
 	for _, s := range h.Servers {
-		if s.Addr == "" || s.State < decide.Ready || s.State >= decide.Gone || !(s.Size >= 0) || !(s.Started >= 0) {
+		if s.Addr == "" || s.State < decide.Ready || s.State >= decide.Removed || !(s.Size >= 0) || !(s.Started >= 0) {
 			return fmt.Errorf("handed over: server %08x makes no sense", s.ID)
 		}
 	}
@@ -55,8 +55,8 @@
 		return errors.New("handed over: too late, a list is there")
 	}
 	e.settleClock(&h)
-	e.List(decide.Remembered, h.Servers)
-	if err := e.b.Learn(e.now(), h.Learned); err != nil {
+	e.List(decide.Restored, h.Servers)
+	if err := e.b.ImportLearned(e.now(), h.Learned); err != nil {
 		slog.Warn("handover: what was learned is not taken", "why", err)
 	}
 	e.show()
@@ -74,7 +74,7 @@
 	if h.Now <= 0 || math.Abs(by) < sameClock {
 		by = 0
 	}
-	h.Learned.Shift(by)
+	h.Learned.ShiftTimes(by)
 	at := map[uint32]float64{}
 	for _, s := range h.Starts {
 		at[s.ID] = s.At + by
--- a/internal/engine/history_test.go
+++ b/internal/engine/history_test.go
@@ -52,7 +52,7 @@
 	w, given := l.w, make(chan struct{})
 	stop.Then(func() { close(given) })
 	w.mu.Lock()
-	status := []decide.Status{decide.OK, decide.OK, decide.OK, decide.Failed, decide.QueueFull, decide.ConnectError, decide.Reset, decide.Ignored, decide.Spoilt}[w.rng.IntN(9)]
+	status := []decide.Status{decide.OK, decide.OK, decide.OK, decide.Failed, decide.QueueFull, decide.ConnectError, decide.Reset, decide.Ignored, decide.InvalidAnswer}[w.rng.IntN(9)]
 	pause := time.Duration(w.rng.IntN(4)) * time.Millisecond
 	never := w.rng.IntN(12) == 0
 	var owners []uint32
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -88,14 +88,14 @@
 func (e host) Probe(server uint32) {
 	t := e.targets[server]
 	if t == nil {
-		e.later = append(e.later, func() { e.b.Probed(e.now(), server, decide.ConnectError, decide.NoLoad) })
+		e.later = append(e.later, func() { e.b.ProbeResult(e.now(), server, decide.ConnectError, decide.NoLoad) })
 		return
 	}
 	go func() {
 		ctx, stop := context.WithTimeout(e.ctx, probeTimeout*time.Millisecond)
 		defer stop()
 		st, load := t.Probe(ctx)
-		e.Post(func() { e.b.Probed(e.now(), server, st, load) })
+		e.Post(func() { e.b.ProbeResult(e.now(), server, st, load) })
 	}()
 }
 
@@ -118,12 +118,12 @@
 }
 
 // Watch asks discovery for changes from now on.
-func (e host) Watch() {
+func (e host) WatchList() {
 	e.watch()
 }
 
 // Tell sends nothing: the module has nothing to tell other routers.
-func (e host) Tell([]byte) {}
+func (e host) Broadcast([]byte) {}
 
 // Log writes a line of the module's.
 func (e host) Log(text string) { slog.Info(text) }
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -22,7 +22,7 @@
 			entries = append(entries, e.replaced(d)...)
 		}
 		switch {
-		case d.State == decide.Gone:
+		case d.State == decide.Removed:
 			e.drop(d.ID)
 		case t == nil || t.addr != d.Addr:
 			e.drop(d.ID)
@@ -37,7 +37,7 @@
 			t.drains(d.State == decide.Draining, e.now())
 		}
 	}
-	if kind == decide.Full || kind == decide.Remembered {
+	if kind == decide.Full || kind == decide.Restored {
 		for id := range e.targets {
 			if !named[id] {
 				e.drop(id)
@@ -60,7 +60,7 @@
 	for _, old := range slices.Clone(e.addrs[by.Addr]) {
 		if by.Started > e.targets[old].started {
 			e.drop(old)
-			gone = append(gone, decide.Entry{ID: old, State: decide.Gone})
+			gone = append(gone, decide.Entry{ID: old, State: decide.Removed})
 		}
 	}
 	return gone
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -50,7 +50,7 @@
 	case requestDue: // should the Balancer owe an answer even then, the client still gets one in time
 		slog.Error("request: no answer by its deadline", "id", t.r.ID)
 		host{e}.Fail(t.r.id)
-		e.b.Gone(e.now(), t.r.id)
+		e.b.ClientGone(e.now(), t.r.id)
 	}
 }
 
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -10,7 +10,7 @@
 // statusNames are what the log calls the ends of attempts.
 var statusNames = map[decide.Status]string{decide.OK: "ok", decide.Failed: "failed", decide.QueueFull: "queue_full", decide.TimedOut: "timed_out",
 	decide.ConnectError: "connect_error", decide.Reset: "reset", decide.Canceled: "canceled", decide.Ignored: "never_sent", decide.Miss: "miss",
-	decide.Spoilt: "spoilt"}
+	decide.InvalidAnswer: "spoilt"}
 
 // resultNames are what the log calls final answers.
 var resultNames = map[Result]string{Served: "served", Refused: "refused", Failed: "failed", Doubled: "doubled", Gone: "client_gone"}
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -147,7 +147,7 @@
 type Tenants interface {
 	// Arrived tells of each request of a client that is taken, at a time in ms, of a router that has a part of all traffic. With Beyond
 	// it is not counted, and Over is not told of it.
-	Arrived(now, portion float64, q *Request) (s decide.Standing, again float64)
+	Arrived(now, portion float64, q *Request) (s decide.QuotaStatus, again float64)
 	Over(now float64, q *Request) // has its final answer
 	// Fetches tells that a request which was counted goes to the origin, each time.
 	Fetches(now float64, q *Request)
--- a/internal/router/room.go
+++ b/internal/router/room.go
@@ -153,7 +153,7 @@
 				}
 				slog.Warn("handover: the list is not taken", "why", err)
 			}
-			r.list(decide.Remembered, cfg.Known)
+			r.list(decide.Restored, cfg.Known)
 		})
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -502,7 +502,7 @@
 	}
 	d := member.NewDiscovery(cfg.Discovery, ask, known, s.tell, func() {
 		if ask {
-			heard(func(r *router) { r.list(decide.Refused, member.List{}) })
+			heard(func(r *router) { r.list(decide.ListFailed, member.List{}) })
 		}
 	})
 	s.run, s.watch = d.Run, d.Watch
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -149,18 +149,18 @@
 }
 
 // standings are the module's, by the tenant's.
-var standings = [...]decide.Standing{tenant.Within: decide.Within, tenant.Borrowed: decide.Borrowed, tenant.Over: decide.Over,
-	tenant.Beyond: decide.Beyond, tenant.Suspended: decide.Beyond}
+var standings = [...]decide.QuotaStatus{tenant.Within: decide.QuotaGuaranteed, tenant.Borrowed: decide.QuotaLeased, tenant.Over: decide.QuotaExceeded,
+	tenant.Beyond: decide.QuotaDenied, tenant.Suspended: decide.QuotaDenied}
 
 // Arrived is engine.Tenants'.
-func (l *limits) Arrived(now, portion float64, q *engine.Request) (decide.Standing, float64) {
+func (l *limits) Arrived(now, portion float64, q *engine.Request) (decide.QuotaStatus, float64) {
 	if now-l.portion >= portionEvery {
 		l.portion = now
 		l.book.Portion(now, portion)
 	}
 	m, ok := l.of(q)
 	if !ok {
-		return decide.Beyond, 0 // it came in while its tenant went
+		return decide.QuotaDenied, 0 // it came in while its tenant went
 	}
 	class, ok := l.classes[q.Class]
 	if !ok {
@@ -183,11 +183,11 @@
 		m.used.add(now, v.Standing, taken)
 	}
 	if !taken {
-		return decide.Beyond, v.Again
+		return decide.QuotaDenied, v.Again
 	}
 	l.counted[q] = booked{m, class, v.Standing, paid}
 	if l.off {
-		return decide.Within, 0
+		return decide.QuotaGuaranteed, 0
 	}
 	return standings[v.Standing], v.Again
 }
