--- a/decide/state.go
+++ b/decide/state.go
@@ -8,119 +8,119 @@
 	"strconv"
 )
 
-// The records that a Balancer keeps and their arithmetic. Nothing here decides.
+// The state that a Balancer keeps and the arithmetic on it. The decisions are in decide.go.
 
-// tickToken is the token of the housekeeping timer; other tokens hold a request and an attempt.
+// tickToken is the token of the housekeeping timer; other tokens encode a request and an attempt.
 const tickToken = 1 << 63
 
-// Balancer decides for one router.
+// Balancer makes the decisions of one router. It is not safe for concurrent use.
 type Balancer struct {
 	cfg            Config
-	tier           Tier        // what is known of the routers that share
-	tierKnown      bool        // routers tell each other who there is
-	admission      Line        // what they serve while they can't serve all,
-	admissionAt    float64     // and when that was told
-	demand         Demand      // but for its room
-	totalCapacity  float64     // what all servers may be given a second by all routers
-	idleBudget     decayingSum // work that this router's part of that has left over
-	processes      int         // of this router that decide at once
-	shares         float64     // this process has one of so many equal parts of what all share
+	tier           Tier        // known about the routers that share the servers
+	tierKnown      bool        // routers announce themselves to each other
+	admission      Line        // admission threshold of the tier,
+	admissionAt    float64     // and when it was received, ms
+	demand         Demand      // arrivals so far; its capacity is filled in when it is read
+	totalCapacity  float64     // work per second that all routers may send to all servers
+	idleBudget     decayingSum // tokens: work that this router's share of totalCapacity has left
+	processes      int         // of this router that decide at the same time
+	shares         float64     // this process has 1/shares of each shared resource
 	host           Host
 	rng            *rand.Rand
-	now, startedAt float64
+	now, startedAt float64 // latest event; first event, or -1 before it
 	classes        map[string]*Class
-	quotas         map[string]float64
-	tenantUse      map[string]*decayingSum // by tenant
-	maxWorth       float64
+	quotas         map[string]float64      // requests per second, by tenant
+	tenantUse      map[string]*decayingSum // recent requests, by tenant
+	maxWorth       float64                 // highest worth of a class
 	servers        map[uint32]*server
-	serverList     []*server // cache servers on the list, by id
+	serverList     []*server // cache servers on the list, by ID
 	origin         *server   // never a candidate
 	zones          map[string]*zone
-	mayFetchCount  int       // requests that are not closed and ask it by way of a server
-	keyStored      bool      // a key was, since requests that wait were looked at last
+	mayFetchCount  int       // unfinished requests that ask the origin through a server
+	keyStored      bool      // a key was stored since the waiting requests were last checked
 	hashTable      []*server // buckets of the memento-hash; nil = removed
-	tableEpoch     int       // of the table
+	tableEpoch     int       // counts rebuilds of hashTable
 	keys           map[uint64]*keyTraffic
-	keyList        []*keyTraffic
+	keyList        []*keyTraffic // values of keys, in order of first use
 	requests       map[uint32]*request
-	waiting        []*request
-	arrivals       decayingSum
-	meanHint       float64 // mean hint
-	latencies      moments // served latencies, ms
-	solvedAt       float64
-	loadScale      float64       // of rates to the utilisation that is solved for
-	solveNeeded    bool          // something calls for a solve
-	retryBudget    float64       // further attempts in hand
-	probeBudget    float64       // and probes,
-	nextProbe      int           // and whose turn it is to be probed
-	fleetLatency   movingAverage // latency of a unit of work, over all servers
-	connKeep       float64       // how long idle connections are kept
-	waitShare      float64       // least share of the aim that is borne as wait
-	lastLate       float64       // when an answer was late last
-	fetchLimit     float64       // bound on outstanding fetches; under 1, they pause between two
-	limitCutAt     float64       // when it was last cut,
-	fetchesSent    decayingSum   // fetches sent
-	fetchLatency   movingAverage // latency of fetches
+	waiting        []*request    // for the origin or for a fetch of their key
+	arrivals       decayingSum   // requests
+	meanHint       float64       // mean Request.Hint
+	latencies      moments       // of served requests, ms
+	solvedAt       float64       // time of the last solve
+	loadScale      float64       // factor that brings rates to the utilisation solved for
+	solveNeeded    bool          // solve sooner than the usual interval
+	retryBudget    float64       // retries and hedged attempts available
+	probeBudget    float64       // probes available
+	nextProbe      int           // index in serverList of the next server to probe
+	fleetLatency   movingAverage // ms per unit of work, over all servers
+	connKeep       float64       // ms that idle connections are kept
+	waitShare      float64       // least share of the aim accepted as waiting time
+	lastLate       float64       // when an answer was last late
+	fetchLimit     float64       // bound on fetches in flight; below 1 it limits their rate
+	limitCutAt     float64       // when fetchLimit was last cut
+	fetchesSent    decayingSum   // recent fetches
+	fetchLatency   movingAverage // of fetches, ms
 	usualFailures  float64       // share of attempts that fail at the median server
 	lostShare      float64       // share of overtaken attempts whose answers are lost
-	medianCapacity float64       // capacity for a unit of size, of the servers that reported one
-	medianFloor    float64       // and that of what they reported at their least, lately
-	sizesKnown     bool          // whether sizes are told
-	trafficShare   float64       // own part of all traffic, as far as reports tell
-	watchAt        float64       // when to ask for the list again,
-	listFailures   int           // and the calls that have failed in a row
+	medianCapacity float64       // requests per second and unit of size, of the servers that reported
+	medianFloor    float64       // the same, by the lowest recent value of each server
+	sizesKnown     bool          // whether all listed servers have a size
+	trafficShare   float64       // estimated share of all traffic that this router handles
+	watchAt        float64       // when to ask for the list again
+	listFailures   int           // consecutive failed calls for the list
 }
 
-// perSecond reads a rate, corrected for a memory that has not filled yet.
+// perSecond returns a rate per second, corrected for a window that is not filled yet.
 func (b *Balancer) perSecond(r *decayingSum, tau float64) float64 {
 	return r.add(b.now, tau, 0) * 1000 / tau / (1 - math.Exp((b.startedAt-b.now-1)/tau))
 }
 
-// server is what a router knows of a server.
+// server holds what a router knows of a server. Times are in ms.
 type server struct {
 	Entry
-	listed                   bool
-	inFlight                 int     // own attempts outstanding,
-	lastSent                 float64 // when the last was sent,
-	connOpen                 bool    // and whether a connection may be open since
-	connRefused              bool    // a connection was, and nothing has been answered since
-	acceptShare              float64 // share of attempts accepted, lately
-	suspicion                float64 // how much its failures speak for a sickness of its own,
-	failShare                float64 // and their share, over thirty outcomes
-	consecutiveFailures      int     // signs of silence since the last reply
-	lastReply                float64 // time of the last reply
-	answeredSentAt           float64 // when the latest of those that it has answered was sent
-	ejected                  bool
-	zoneLost                 bool        // was, with its whole zone
-	trialAt, trialPause      float64     // ejected: when a trial is due, and the pause before it
-	trialOverdue             float64     // and when it is, if no queue has brought one
-	probedAt                 float64     // time of the last probe
-	coldSince                float64     // start of the cold phase
-	sendBudget               decayingSum // hard send budget while cold
-	sentWork                 decayingSum // own work sent
-	lastLoad                 Load
-	reportedRate, reportedAt float64       // reported, a second, and when
-	capacity                 movingAverage // capacity, requests a second; 0 = not reported
-	latency                  movingAverage // latency of a unit of work
-	channels                 int           // the model's channels,
-	serviceRate, modelLoad   float64       // their rate, and the load set on the server so far,
-	othersHotLoad            float64       // and what others are thought to send there of the keys solved singly
-}
-
-// maxZones bounds the records of zones.
+	listed                   bool          // is on the list
+	inFlight                 int           // own attempts
+	lastSent                 float64       // when the last attempt was sent
+	connOpen                 bool          // a connection may have been open since lastSent
+	connRefused              bool          // a connection was refused, and nothing has been answered since
+	acceptShare              float64       // recent share of attempts accepted
+	suspicion                float64       // CUSUM statistic: evidence that the server itself is faulty
+	failShare                float64       // share of failures, averaged over 30 outcomes
+	consecutiveFailures      int           // signs of no reply since the last reply
+	lastReply                float64       // time of the last reply
+	answeredSentAt           float64       // send time of the latest attempt that it has answered
+	ejected                  bool          // out of use because of its health
+	zoneLost                 bool          // ejected together with its whole zone
+	trialAt, trialPause      float64       // ejected: when a trial is due, and the pause before it
+	trialOverdue             float64       // when to force a trial that no queue has brought about
+	probedAt                 float64       // time of the last probe
+	coldSince                float64       // start of the cold phase; -Inf = long ago
+	sendBudget               decayingSum   // tokens: limits what is sent to a cold server or by a share
+	sentWork                 decayingSum   // own work sent recently
+	lastLoad                 Load          // the latest report
+	reportedRate, reportedAt float64       // reported requests per second, and when
+	capacity                 movingAverage // requests per second; 0 = not reported
+	latency                  movingAverage // ms per unit of work
+	channels                 int           // in the queueing model
+	serviceRate, modelLoad   float64       // of a channel, per second; load assigned so far
+	othersHotLoad            float64       // load that others are expected to send for the keys solved singly
+}
+
+// maxZones bounds the number of zone records.
 const maxZones = 64
 
-// zone is what a router knows of the servers of a zone together.
+// zone holds what a router knows of the servers of a zone together.
 type zone struct {
-	lastReply    float64   // time of the last reply of any of them
-	unresponsive []*server // of which nothing has come since, each once, as many as make a zone lost
+	lastReply    float64   // time of the last reply of any of them, ms
+	unresponsive []*server // distinct servers without a reply since; at most as many as eject a zone
 }
 
-// zoneOf is the record of a server's zone.
+// zoneOf returns the record of a server's zone.
 func (b *Balancer) zoneOf(s *server) *zone {
 	z := b.zones[s.Zone]
 	if z == nil {
-		if len(b.zones) >= maxZones { // names come and go with lists
+		if len(b.zones) >= maxZones { // zone names come and go with lists
 			clear(b.zones)
 		}
 		z = &zone{}
@@ -129,7 +129,7 @@
 	return z
 }
 
-// otherZoneReplied says whether a server of another zone has answered since.
+// otherZoneReplied reports whether a server of another zone has answered since.
 func (b *Balancer) otherZoneReplied(z *zone, since float64) bool {
 	for _, o := range b.zones {
 		if o != z && o.lastReply > since {
@@ -139,7 +139,7 @@
 	return false
 }
 
-// dedupGroup names those that drop repeats together with the server.
+// dedupGroup identifies the servers that drop duplicates together with s.
 func (s *server) dedupGroup(scope string) string {
 	switch scope {
 	case "zone":
@@ -150,44 +150,44 @@
 	return ""
 }
 
-// trafficOf is the traffic of a key.
+// keyTraffic is the traffic of a key and where it is served.
 type keyTraffic struct {
 	id           uint64
-	rate         decayingSum
-	meanWork     float64   // mean work of a request
-	tableEpoch   int       // of the hash table that list comes from
-	owners       []uint32  // that may serve it; nil = any
-	hashList     []*server // memento-hash list
-	splitServers []*server // solved servers
-	splitShares  []float64 // and their shares
-	fetch        *request  // asks the origin for the key, or stores what that has brought
-	absentAt     float64   // when the origin last had none; 0 = never
-	storedAt     float64   // when a fetch last came back,
-	storedOn     *server   // and where its answer was stored
-}
-
-// offeredLoad is λ_i/μ_i but for the memory of the rate, which is the same for all keys.
+	rate         decayingSum // recent requests
+	meanWork     float64     // mean work of a request
+	tableEpoch   int         // value of Balancer.tableEpoch that hashList was built for
+	owners       []uint32    // that may serve it; nil = any
+	hashList     []*server   // candidates in memento-hash order, or the listed owners
+	splitServers []*server   // servers that the solver splits the key over; nil = none
+	splitShares  []float64   // and the share of each
+	fetch        *request    // in flight at the origin, or storing what it returned
+	absentAt     float64     // when the origin last reported it absent, ms; 0 = never
+	storedAt     float64     // when a fetch last came back, ms
+	storedOn     *server     // where that answer was stored
+}
+
+// offeredLoad is λ_i/μ_i up to the window of the rate, which is the same for all keys.
 func (k *keyTraffic) offeredLoad() float64 { return k.rate.value * k.meanWork }
 
 type attempt struct {
 	server           *server
 	sentAt           float64
-	done, mayHaveRun bool // has its outcome; may have run
+	done, mayHaveRun bool // its outcome is known; may have run
 	wasOvertaken     bool // was past its patience when later ones had been answered
 }
 
-// request is a request of a client until its answer is given and its attempts are back.
+// request is a request of a client until it has its final answer and no attempt is in flight.
 type request struct {
 	Request
 	class           *Class
 	key             *keyTraffic
-	deadline, aimAt float64 // when the client leaves, and when the answer loses its worth
+	deadline, aimAt float64 // when the client leaves, and until when the answer has its full worth
 	work, worth     float64
 	attempts        []attempt
-	inFlight        int     // attempts outstanding
-	missedOn        *server // where the key was missing
-	waitingSince    float64 // since when it waits for the origin or for another's fetch; 0 = it doesn't
-	mayFetch        bool    // its attempt is likely to ask the origin by way of the server
+	inFlight        int     // attempts
+	missedOn        *server // where the key was missing, or is known to be stored
+	waitingSince    float64 // since when it waits for the origin or for a fetch of its key; 0 = it doesn't
+	mayFetch        bool    // its attempt is likely to ask the origin through the server
 	finished        bool    // has its final answer
 }
 
@@ -195,7 +195,7 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// recordOutcome books the outcome of an attempt and returns it, or nil if it is not outstanding.
+// recordOutcome records the outcome of an attempt and returns it, or nil if it is not in flight.
 func (r *request) recordOutcome(i int, st Status) *attempt {
 	if r == nil || i < 0 || i >= len(r.attempts) || r.attempts[i].done {
 		return nil
@@ -207,7 +207,7 @@
 	return a
 }
 
-// applyList brings a list update into the records and returns the servers that started anew.
+// applyList merges a list update into the records and returns the servers that have restarted.
 func (b *Balancer) applyList(kind ListKind, entries []Entry) (started []*server) {
 	for _, s := range b.servers {
 		s.listed = s.listed && kind == Changes
@@ -223,7 +223,7 @@
 		}
 		s.Entry, s.listed = e, e.State != Removed
 		if b.cfg.SizesVary {
-			s.Size = 0 // a load figure, which says nothing of the machine
+			s.Size = 0 // a load figure, which doesn't describe the machine
 		}
 	}
 	b.serverList, b.origin = b.serverList[:0], nil
@@ -244,7 +244,7 @@
 }
 
 // buildTable fills the buckets of the memento-hash. A bucket that no listed server claims counts as removed:
-// the table follows from ids alone, not from an order of changes, and few keys move.
+// the table depends on the IDs alone, not on the order of changes, and few keys move.
 func (b *Balancer) buildTable() {
 	b.tableEpoch++
 	b.hashTable = make([]*server, 1<<tableBits)
@@ -258,8 +258,8 @@
 	}
 }
 
-// bucketClaims is how many buckets a server claims. By weight they grow with it, and a change of one weight moves only the
-// keys of the buckets that come or go.
+// bucketClaims returns how many buckets a server claims. They grow with its weight, and a change of one
+// weight moves only the keys of the buckets that are added or removed.
 func (b *Balancer) bucketClaims(s *server) int {
 	if !b.cfg.Weighted || !validFigure(s.Size) {
 		return claims
@@ -267,7 +267,8 @@
 	return int(min(maxClaims, max(1, math.Round(claims*s.Size))))
 }
 
-// hashListOf gives the first distinct servers of a key. Keys of a removed bucket are drawn again over the table.
+// hashListOf returns the first distinct servers of a key. Keys of a removed bucket are hashed again over the
+// table.
 func (b *Balancer) hashListOf(k *keyTraffic) []*server {
 	if k.tableEpoch != b.tableEpoch {
 		k.hashList, k.tableEpoch, k.splitServers = b.listedServers(k.owners), b.tableEpoch, nil
@@ -284,7 +285,7 @@
 	return k.hashList
 }
 
-// listedServers are the servers of these ids that are on the list, at most as many as a key's list has.
+// listedServers returns the listed servers with these IDs, at most as many as a key's list has.
 func (b *Balancer) listedServers(ids []uint32) (list []*server) {
 	for _, id := range ids {
 		if s := b.servers[id]; s != nil && s.listed && len(list) < listLen {
@@ -294,10 +295,11 @@
 	return list
 }
 
-// canUse says whether a server may serve the request at all.
+// canUse reports whether a server may serve the request at all.
 func (r *request) canUse(s *server) bool { return r.Owners == nil || slices.Contains(r.Owners, s.ID) }
 
-// restore counts with exponential forgetting: its value over the memory is a rate.
+// decayingSum is a sum with exponential decay: its value over the time constant is a rate. Times are in ms.
+// It also holds the tokens of a token bucket.
 type decayingSum struct{ value, updated float64 }
 
 func (r *decayingSum) add(now, tau, x float64) float64 {
@@ -309,7 +311,7 @@
 	return r.value
 }
 
-// restore follows a noisy figure, with a floor that rises slowly.
+// movingAverage follows a noisy figure, with a floor that rises slowly and falls quickly.
 type movingAverage struct{ value, floor, updated float64 }
 
 func (l *movingAverage) update(now, x, k float64) {
@@ -332,8 +334,8 @@
 	return x ^ x>>31
 }
 
-// updateMedians brings the median capacity for a unit of size up to date, and returns the mean rate of the servers that
-// reported one, 0 where none did. Where sizes are missing all count alike.
+// updateMedians recomputes the median capacity per unit of size, and returns the mean rate of the servers
+// that reported one, 0 if none did. Where a size is missing all servers count alike.
 func (b *Balancer) updateMedians() (mean float64) {
 	b.medianCapacity, b.medianFloor, b.sizesKnown = 0, 0, !slices.ContainsFunc(b.serverList, func(s *server) bool { return !validFigure(s.Size) || s.Size == 0 })
 	xs, low, n := make([]float64, 0, len(b.serverList)), make([]float64, 0, len(b.serverList)), 0.0
@@ -353,7 +355,7 @@
 	return mean / max(1, n)
 }
 
-// typicalCapacity is the capacity that the median gives a server of the size of s; def where there is none.
+// typicalCapacity returns the median capacity scaled to the size of s, or def if no server has reported one.
 func (b *Balancer) typicalCapacity(s *server, def float64) float64 {
 	if b.medianCapacity == 0 {
 		return def
@@ -361,7 +363,8 @@
 	return b.medianCapacity * s.sizeUnit(b.sizesKnown)
 }
 
-// medianFailShare is the share of attempts that fail at the median server: a few sick ones leave it where it is.
+// medianFailShare returns the share of attempts that fail at the median server, which a few faulty ones don't
+// change.
 func medianFailShare(servers []*server) float64 {
 	fails := make([]float64, 0, len(servers))
 	for _, s := range servers {
@@ -373,8 +376,9 @@
 	return fails[(len(fails)-1)/2]
 }
 
-// updateSuspicion adds an outcome to the evidence for a server that fails every second attempt, against one that fails no
-// more than is usual: Page's test (CUSUM), the quickest to find a change for its rate of false alarms.
+// updateSuspicion adds an outcome to the evidence for a server that fails every second attempt, against one
+// that fails no more than is usual: Page's test (CUSUM), which detects a change soonest for its rate of false
+// alarms.
 func (s *server) updateSuspicion(failed bool, usual float64) {
 	usual = min(0.3, max(0.01, usual))
 	if failed {
@@ -386,9 +390,9 @@
 	s.suspicion = max(0, s.suspicion+math.Log(0.5/(1-usual)))
 }
 
-// recordOvertaken books an attempt past its patience that later ones have overtaken, and says whether it is taken for lost:
-// the second time, or at once where most were. What was given up at once tells nothing, so the share falls a little,
-// and soon the next one is waited for.
+// recordOvertaken records an attempt past its patience that later ones have overtaken, and reports whether it
+// is assumed lost: the second time, or at once if most were. An attempt given up at once shows nothing about
+// losses, so the share decays a little, and soon the next one is waited for.
 func (b *Balancer) recordOvertaken(a *attempt) bool {
 	again, most := a.wasOvertaken, b.lostShare > 0.5
 	switch a.wasOvertaken = true; {
@@ -400,17 +404,17 @@
 	return again || most
 }
 
-// recordLoad takes a load report; absent and absurd figures are passed over.
+// recordLoad applies a load report; reports with absent or absurd figures are ignored.
 func (b *Balancer) recordLoad(s *server, l Load) {
 	if !validFigure(l.QPS) || !validFigure(l.Util) || l == s.lastLoad {
 		return
 	}
 	if s.lastLoad, s.reportedRate, s.reportedAt = l, l.QPS, b.now; l.Util > 0.03 && l.QPS > 0 {
-		s.capacity.update(b.now, l.QPS/min(l.Util, 1.5)/b.warmFraction(s), 0.2) // over five reports, as they are noisy
+		s.capacity.update(b.now, l.QPS/min(l.Util, 1.5)/b.warmFraction(s), 0.2) // averaged over five reports, as they are noisy
 	}
 }
 
-// sizeUnit is what a server's capacity is compared by.
+// sizeUnit returns the size that a server's capacity is divided by for comparison.
 func (s *server) sizeUnit(sized bool) float64 {
 	if sized && s.Size > 0 {
 		return s.Size
@@ -418,10 +422,10 @@
 	return 1
 }
 
-// validFigure says whether a reported figure can be used.
+// validFigure reports whether a reported figure can be used.
 func validFigure(v float64) bool { return v >= 0 && v < 1e9 }
 
-// countEjected counts the servers that are out of use.
+// countEjected counts the ejected servers.
 func countEjected(servers []*server) (n int) {
 	for _, s := range servers {
 		if s.ejected {
@@ -431,7 +435,7 @@
 	return n
 }
 
-// trafficOf finds the record of a request's key; without a key the request gets a place of its own.
+// trafficOf returns the record of a request's key; a request without a key gets a record of its own.
 func (b *Balancer) trafficOf(q Request) *keyTraffic {
 	if !q.HasKey {
 		return &keyTraffic{id: b.rng.Uint64(), meanWork: 1}
@@ -441,7 +445,7 @@
 		k = &keyTraffic{id: q.Key, meanWork: 1}
 		b.keys[q.Key], b.keyList = k, append(b.keyList, k)
 	}
-	// Writes may go to fewer of them than reads, which is no change of the key's owners.
+	// Writes may name fewer owners than reads; that doesn't change the key's owners.
 	part := q.Write && len(q.Owners) > 0 && len(k.owners) > 0 && k.owners[0] == q.Owners[0]
 	if q.Owners != nil && !part && !slices.Equal(q.Owners, k.owners) {
 		k.owners, k.tableEpoch = slices.Clone(q.Owners), 0
@@ -449,9 +453,9 @@
 	return k
 }
 
-// hottestKeys brings all rates up to now, forgets keys that have faded and the shares of the others, and returns the hottest of
-// them in order. One pass without memory of its own: it stands in the way of requests, and keys come by the hundred
-// thousand.
+// hottestKeys decays all rates to the present, forgets faded keys and the shares of the others, and returns
+// the hottest of them in order. It is a single pass without allocations per key: requests wait for it, and
+// there are hundreds of thousands of keys.
 func (b *Balancer) hottestKeys() []*keyTraffic {
 	mem, top := b.keyMemory(), make([]*keyTraffic, 0, hottest+1)
 	b.keyList = slices.DeleteFunc(b.keyList, func(k *keyTraffic) bool {
@@ -465,13 +469,13 @@
 	return top
 }
 
-// insertHottest puts a key among the hottest, which are in order, n at most.
+// insertHottest inserts a key into the hottest, which are in descending order, n at most.
 func insertHottest(top []*keyTraffic, k *keyTraffic, n int) []*keyTraffic {
 	c := k.offeredLoad()
 	if len(top) == n && c <= top[n-1].offeredLoad() {
 		return top
 	}
-	at := len(top) // behind those that are as hot
+	at := len(top) // after those that are as hot
 	for at > 0 && top[at-1].offeredLoad() < c {
 		at--
 	}
@@ -481,7 +485,7 @@
 	return top
 }
 
-// relativeWork is a request's work by its hint, in units of the mean.
+// relativeWork returns a request's work by its hint, in units of the mean.
 func (b *Balancer) relativeWork(hint float64) float64 {
 	if hint <= 0 || !validFigure(hint) {
 		return 1
@@ -493,7 +497,7 @@
 	return min(50, max(0.05, hint/b.meanHint))
 }
 
-// moments are X̄ and X², moving with the last few hundred samples.
+// moments are X̄ and X², moving over the last few hundred samples.
 type moments struct{ mean, meanSquare, samples float64 }
 
 func (m *moments) update(x float64) {
@@ -502,12 +506,12 @@
 	m.meanSquare += (x*x - m.meanSquare) / m.samples
 }
 
-// momentRatio is X²/X̄², bounded.
+// momentRatio is X²/X̄², bounded to 1 to 20.
 func (m *moments) momentRatio() float64 {
 	return min(20, max(1, m.meanSquare/max(m.mean*m.mean, 1e-9)))
 }
 
-// fetchesInFlight counts the fetches out: at the origin, or of keys that servers are likely to fetch by themselves.
+// fetchesInFlight counts the fetches at the origin, or of keys that servers are likely to fetch themselves.
 func (b *Balancer) fetchesInFlight() float64 {
 	if b.origin != nil {
 		return float64(b.origin.inFlight)
@@ -515,7 +519,7 @@
 	return float64(b.mayFetchCount)
 }
 
-// setMayFetch notes whether a request's attempt is likely to ask the origin by way of the server.
+// setMayFetch records whether a request's attempt is likely to ask the origin through the server.
 func (b *Balancer) setMayFetch(r *request, asks bool) {
 	if r.mayFetch == asks {
 		return
@@ -530,11 +534,12 @@
 	}
 }
 
-// tierScale is how many times larger the tier is than ten routers, 1 at least.
+// tierScale returns how many times larger the tier is than ten routers, at least 1.
 func (b *Balancer) tierScale() float64 { return max(1, float64(b.cfg.Routers)/10) }
 
-// firstColdBudget is what a router has of a cold server's budget at first. In a large tier parts take seconds to fill for one request, and
-// all fill at the same time: for as long nobody would use the server, and then all at once. So they begin spread.
+// firstColdBudget returns the initial tokens of a cold server's budget. In a large tier a share takes seconds
+// to fill for one request, and all fill at the same time: nobody would use the server for as long, and then
+// all at once. So the initial values are random.
 func (b *Balancer) firstColdBudget() float64 {
 	if b.tierScale() > 1 {
 		return b.rng.Float64()
@@ -542,7 +547,7 @@
 	return 0
 }
 
-// boundListWait bounds a wait before the next call for the list by a part of the time after which news count as told unasked.
+// boundListWait limits a wait before the next call for the list to a part of Config.MustAsk.
 func (b *Balancer) boundListWait(part, wait float64) float64 {
 	if b.cfg.MustAsk > 0 {
 		return min(wait, part*b.cfg.MustAsk)
@@ -550,29 +555,30 @@
 	return wait
 }
 
-// sendSparsity is near 1 where seconds pass between two own sends to a server, near 0 where there are many.
+// sendSparsity is near 1 if seconds pass between two own sends to a server, near 0 if there are many.
 func (b *Balancer) sendSparsity() float64 {
 	return 1 - math.Exp(-float64(len(b.serverList))/(2*b.perSecond(&b.arrivals, keyTau)+0.01))
 }
 
-// keyMemory is the memory of key rates: a hundred arrivals, so that a router of many tells a hot key at all.
+// keyMemory returns the time constant of key rates, ms: a hundred arrivals, so that one router of many
+// notices a hot key.
 func (b *Balancer) keyMemory() float64 {
 	return min(60000, max(keyTau, 1e5/max(1, b.perSecond(&b.arrivals, keyTau))))
 }
 
-// warmFraction is the share of its capacity that a server has at least.
+// warmFraction returns the share of its capacity that a server has at least.
 func (b *Balancer) warmFraction(s *server) float64 {
-	if math.IsInf(s.coldSince, -1) { // started long ago; with ColdFrom at 1 the line below would give no number
+	if math.IsInf(s.coldSince, -1) { // started long ago; with ColdFrom at 1 the formula below would give NaN
 		return 1
 	}
 	return min(1, b.cfg.ColdFrom+(1-b.cfg.ColdFrom)*max(0, b.now-s.coldSince)/max(b.cfg.Cold, 1))
 }
 
-// waitingRequests gives λT(λ), the requests waiting at an M/G/m server by equations (2) to (5), and its two
-// derivatives. n channels serve mu a second each; c2 is X²/X̄².
+// waitingRequests returns λT(λ), the number of requests waiting at an M/G/m server by equations (2) to (5),
+// and its two derivatives. n channels serve mu per second each; c2 is X²/X̄².
 func waitingRequests(lam float64, n int, mu, c2 float64) (f, d, h float64) {
 	m := float64(n)
-	over := max(0, lam-0.98*m*mu) // λ_j < n_j·μ_o: past the guard a parabola keeps all finite
+	over := max(0, lam-0.98*m*mu) // λ_j < n_j·μ_o: beyond this limit a parabola keeps all values finite
 	a := max((lam-over)/mu, 1e-9)
 	rho, e := a/m, 1.0
 	for k := 1.0; k <= m; k++ {
@@ -591,7 +597,7 @@
 	return f + over*(d+over*h/2), d + over*h, h
 }
 
-// recentlyAbsent says whether the origin had no value of a key lately.
+// recentlyAbsent reports whether the origin lately had no value for a key.
 func (b *Balancer) recentlyAbsent(k *keyTraffic) bool {
 	return k.absentAt > 0 && b.now < k.absentAt+absentFor
 }
