--- a/decide/learned_clock.go
+++ b/decide/learned_clock.go
@@ -1,6 +1,7 @@
 package decide
 
-// ShiftTimes moves all times by some ms, onto the clock of the process that takes what was learned. Times of 0 are long ago and stay so.
+// ShiftTimes moves all times by some ms, onto the clock of the importing process. Times of 0 mean long ago
+// and stay.
 func (l *Learned) ShiftTimes(by float64) {
 	move := func(times ...*float64) {
 		for _, t := range times {
@@ -10,9 +11,9 @@
 		}
 	}
 	move(&l.StartedAt, &l.Arrivals.Updated, &l.FleetLatency.Updated, &l.FetchLatency.Updated)
-	for name, u := range l.TenantUse {
-		move(&u.Updated)
-		l.TenantUse[name] = u
+	for name, use := range l.TenantUse {
+		move(&use.Updated)
+		l.TenantUse[name] = use
 	}
 	for i := range l.Servers {
 		s := &l.Servers[i]
--- a/decide/state.go
+++ b/decide/state.go
@@ -338,27 +338,27 @@
 // that reported one, 0 if none did. Where a size is missing all servers count alike.
 func (b *Balancer) updateMedians() (mean float64) {
 	b.medianCapacity, b.medianFloor, b.sizesKnown = 0, 0, !slices.ContainsFunc(b.serverList, func(s *server) bool { return !validFigure(s.Size) || s.Size == 0 })
-	xs, low, n := make([]float64, 0, len(b.serverList)), make([]float64, 0, len(b.serverList)), 0.0
+	capacities, floors, n := make([]float64, 0, len(b.serverList)), make([]float64, 0, len(b.serverList)), 0.0
 	for _, s := range b.serverList {
 		if s.reportedRate > 0 {
 			mean, n = mean+s.reportedRate, n+1
 		}
 		if s.capacity.value > 0 {
-			xs, low = append(xs, s.capacity.value/s.sizeUnit(b.sizesKnown)), append(low, min(s.capacity.value, s.capacity.floor)/s.sizeUnit(b.sizesKnown))
+			capacities, floors = append(capacities, s.capacity.value/s.sizeUnit(b.sizesKnown)), append(floors, min(s.capacity.value, s.capacity.floor)/s.sizeUnit(b.sizesKnown))
 		}
 	}
-	if len(xs) > 0 {
-		slices.Sort(xs)
-		slices.Sort(low)
-		b.medianCapacity, b.medianFloor = xs[len(xs)/2], low[len(low)/2]
+	if len(capacities) > 0 {
+		slices.Sort(capacities)
+		slices.Sort(floors)
+		b.medianCapacity, b.medianFloor = capacities[len(capacities)/2], floors[len(floors)/2]
 	}
 	return mean / max(1, n)
 }
 
 // typicalCapacity returns the median capacity scaled to the size of s, or def if no server has reported one.
-func (b *Balancer) typicalCapacity(s *server, def float64) float64 {
+func (b *Balancer) typicalCapacity(s *server, fallback float64) float64 {
 	if b.medianCapacity == 0 {
-		return def
+		return fallback
 	}
 	return b.medianCapacity * s.sizeUnit(b.sizesKnown)
 }
@@ -366,14 +366,14 @@
 // medianFailShare returns the share of attempts that fail at the median server, which a few faulty ones don't
 // change.
 func medianFailShare(servers []*server) float64 {
-	fails := make([]float64, 0, len(servers))
+	shares := make([]float64, 0, len(servers))
 	for _, s := range servers {
-		fails = append(fails, s.failShare)
+		shares = append(shares, s.failShare)
 	}
-	if slices.Sort(fails); len(fails) == 0 {
+	if slices.Sort(shares); len(shares) == 0 {
 		return 0
 	}
-	return fails[(len(fails)-1)/2]
+	return shares[(len(shares)-1)/2]
 }
 
 // updateSuspicion adds an outcome to the evidence for a server that fails every second attempt, against one
@@ -394,14 +394,14 @@
 // is assumed lost: the second time, or at once if most were. An attempt given up at once shows nothing about
 // losses, so the share decays a little, and soon the next one is waited for.
 func (b *Balancer) recordOvertaken(a *attempt) bool {
-	again, most := a.wasOvertaken, b.lostShare > 0.5
+	again, mostLost := a.wasOvertaken, b.lostShare > 0.5
 	switch a.wasOvertaken = true; {
 	case again:
 		b.lostShare += lostTells * (1 - b.lostShare)
-	case most:
+	case mostLost:
 		b.lostShare *= 0.97
 	}
-	return again || most
+	return again || mostLost
 }
 
 // recordLoad applies a load report; reports with absent or absurd figures are ignored.
@@ -436,19 +436,19 @@
 }
 
 // trafficOf returns the record of a request's key; a request without a key gets a record of its own.
-func (b *Balancer) trafficOf(q Request) *keyTraffic {
-	if !q.HasKey {
+func (b *Balancer) trafficOf(req Request) *keyTraffic {
+	if !req.HasKey {
 		return &keyTraffic{id: b.rng.Uint64(), meanWork: 1}
 	}
-	k := b.keys[q.Key]
+	k := b.keys[req.Key]
 	if k == nil {
-		k = &keyTraffic{id: q.Key, meanWork: 1}
-		b.keys[q.Key], b.keyList = k, append(b.keyList, k)
+		k = &keyTraffic{id: req.Key, meanWork: 1}
+		b.keys[req.Key], b.keyList = k, append(b.keyList, k)
 	}
 	// Writes may name fewer owners than reads; that doesn't change the key's owners.
-	part := q.Write && len(q.Owners) > 0 && len(k.owners) > 0 && k.owners[0] == q.Owners[0]
-	if q.Owners != nil && !part && !slices.Equal(q.Owners, k.owners) {
-		k.owners, k.tableEpoch = slices.Clone(q.Owners), 0
+	subset := req.Write && len(req.Owners) > 0 && len(k.owners) > 0 && k.owners[0] == req.Owners[0]
+	if req.Owners != nil && !subset && !slices.Equal(req.Owners, k.owners) {
+		k.owners, k.tableEpoch = slices.Clone(req.Owners), 0
 	}
 	return k
 }
@@ -457,9 +457,9 @@
 // the hottest of them in order. It is a single pass without allocations per key: requests wait for it, and
 // there are hundreds of thousands of keys.
 func (b *Balancer) hottestKeys() []*keyTraffic {
-	mem, top := b.keyMemory(), make([]*keyTraffic, 0, hottest+1)
+	memory, top := b.keyMemory(), make([]*keyTraffic, 0, hottest+1)
 	b.keyList = slices.DeleteFunc(b.keyList, func(k *keyTraffic) bool {
-		if k.rate.add(b.now, mem, 0) < 0.02 && k.fetch == nil {
+		if k.rate.add(b.now, memory, 0) < 0.02 && k.fetch == nil {
 			delete(b.keys, k.id)
 			return true
 		}
@@ -475,11 +475,11 @@
 	if len(top) == n && c <= top[n-1].offeredLoad() {
 		return top
 	}
-	at := len(top) // after those that are as hot
-	for at > 0 && top[at-1].offeredLoad() < c {
-		at--
+	pos := len(top) // after those that are as hot
+	for pos > 0 && top[pos-1].offeredLoad() < c {
+		pos--
 	}
-	if top = slices.Insert(top, at, k); len(top) > n {
+	if top = slices.Insert(top, pos, k); len(top) > n {
 		top = top[:n]
 	}
 	return top
@@ -548,9 +548,9 @@
 }
 
 // boundListWait limits a wait before the next call for the list to a part of Config.MustAsk.
-func (b *Balancer) boundListWait(part, wait float64) float64 {
+func (b *Balancer) boundListWait(share, wait float64) float64 {
 	if b.cfg.MustAsk > 0 {
-		return min(wait, part*b.cfg.MustAsk)
+		return min(wait, share*b.cfg.MustAsk)
 	}
 	return wait
 }
