--- a/decide/api.go
+++ b/decide/api.go
@@ -18,7 +18,7 @@
 // The effects that a class of requests can have.
 const (
 	Repeatable Effect = iota // idempotent: safe to repeat
-	Keyed                    // has an idempotency key by which a group of servers drops duplicates for a while
+	Keyed                    // has an idempotency key: a group of servers drops duplicates for a while
 	Once                     // must never run twice
 )
 
@@ -55,7 +55,7 @@
 	Aside      bool   // cache-aside: on a miss the router asks the origin; else servers fetch themselves
 	OriginKind string // Aside: the kind of the listed server that is the origin
 
-	Weighted    bool    // a listed size is a weight, the share of the keys that a server gets; 1 = the default
+	Weighted    bool    // a listed size is a weight: a server's share of the keys, 1 = the default
 	SizesVary   bool    // listed sizes are load figures that change from list to list
 	ByProbe     bool    // loads are reported in probe results only
 	AskList     bool    // the list is sent only to routers that ask for it
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -2,20 +2,21 @@
 
 import "testing"
 
-// Sixty per cent of a fleet is replaced, and eighty routers hear of each new server at the same time. Their parts of what it can do while it
-// is cold took some seven seconds to fill for one request: none sent anything for as long, and the warm servers were overrun. Now
-// they send from the first second on, and all together never more than the rule allows in any of its windows.
+// Guards against leaving new servers unused after 60% of a fleet was replaced. Eighty routers learned of each
+// new server at the same time, and their shares of its cold capacity took about seven seconds to fill for one
+// request: none sent anything for as long, and the warm servers were overloaded. Routers must send from the
+// first second on, and together never more than the limit in any of its windows.
 func TestTierOfEightyUsesAColdServerFromTheFirstSecondOn(t *testing.T) {
 	const routers, step, seconds = 80, 50.0, 8
 	cfg := testConfig()
 	cfg.Routers, cfg.Cold, cfg.ColdFrom, cfg.FallMult, cfg.FallFor = routers, 8000, 0.3, 2.5, 3000
-	var sent []float64 // times
+	var sent []float64 // send times, ms
 	tier := routersOf(t, cfg, 36)
 	for _, b := range tier {
 		b.updateMedians()
-		fresh := fleet(4)[3]
-		fresh.Started = 1e5 + 100
-		b.Servers(1e5+200, Changes, []Entry{fresh})
+		started := fleet(4)[3]
+		started.Started = 1e5 + 100
+		b.Servers(1e5+200, Changes, []Entry{started})
 	}
 	id := fleet(4)[3].ID
 	for now := 1e5 + 200; now < 1e5+seconds*1000; now += step {
@@ -32,7 +33,7 @@
 			early++
 		}
 	}
-	if early < 4 || early > 25 { // a budget of 36 a second times 0.3 to 0.4
+	if early < 4 || early > 25 { // the budget is 36 a second times 0.3 to 0.4
 		t.Errorf("%d requests by all in the first second, of %d in %d s", early, len(sent), seconds)
 	}
 	for i, from := range sent {
@@ -45,7 +46,7 @@
 		b := tier[0]
 		b.now = from
 		if capacity = 36 * b.warmFraction(b.servers[id]) * cfg.FallFor / 1000; float64(n) > cfg.FallMult*capacity {
-			t.Fatalf("%d requests in the window from %v, of %.0f that the server can do", n, from-1e5, capacity)
+			t.Fatalf("%d requests in the window from %v, of %.0f that the server can serve", n, from-1e5, capacity)
 		}
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -53,7 +53,7 @@
 
 func (h *fakeHost) last() sentAttempt { return h.sends[len(h.sends)-1] }
 
-// answers is the number of final answers that a request got from the Balancer itself.
+// answers returns the number of final answers that the Balancer itself gave a request.
 func (h *fakeHost) answers(id uint32) int { return h.refused[id] + h.failed[id] }
 
 func testConfig() Config {
@@ -69,27 +69,27 @@
 	}
 }
 
-// fleet lists n ready servers with ids that are spread like real ones.
+// fleet lists n ready servers with IDs that are spread like real ones.
 func fleet(n int) []Entry {
-	var es []Entry
+	var entries []Entry
 	for i := range n {
-		es = append(es, Entry{ID: uint32(mix64(uint64(i + 1))), Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
+		entries = append(entries, Entry{ID: uint32(mix64(uint64(i + 1))), Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
 	}
-	return es
+	return entries
 }
 
-func start(t testing.TB, cfg Config, es []Entry) (*Balancer, *fakeHost) {
+func start(t testing.TB, cfg Config, entries []Entry) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newHost()
 	b, err := New(cfg, 7, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Servers(100000, Restored, es)
+	b.Servers(100000, Restored, entries)
 	return b, h
 }
 
-// newRead is a request for a key that has time and worth to spare.
+// newRead returns a request for a key with time and worth to spare.
 func newRead(b *Balancer, k *keyTraffic) *request {
 	return &request{class: &b.cfg.Classes[0], key: k, work: 1, worth: 1, deadline: b.now + 600, aimAt: b.now + 300}
 }
@@ -124,7 +124,7 @@
 // ---- M/G/m model ----
 
 func TestDelayAgainstKnownValues(t *testing.T) {
-	erlangC := func(m int, a float64) float64 { // by the sum, as printed in textbooks
+	erlangC := func(m int, a float64) float64 { // by the textbook sum
 		sum, term := 0.0, 1.0
 		for k := range m {
 			if k > 0 {
@@ -249,7 +249,7 @@
 	for j, s := range v {
 		_, d[j], _ = waitingRequests(x[j], s.channels, s.serviceRate, b.latencies.momentRatio())
 		if x[j] >= float64(s.channels)*s.serviceRate {
-			t.Errorf("server %d is sent %v, over its capacity", j, x[j])
+			t.Errorf("server %d gets a rate of %v, over its capacity", j, x[j])
 		}
 	}
 	for j := range d {
@@ -286,11 +286,11 @@
 // ---- Hash list ----
 
 func TestListsAgreeAfterRestart(t *testing.T) {
-	es := fleet(10)
-	b1, _ := start(t, testConfig(), es[:8])
-	b1.Servers(100100, Changes, es[8:])
-	b1.Servers(100200, Changes, []Entry{{ID: es[2].ID, State: Removed}})
-	rest := append(append([]Entry{}, es[3:]...), es[:2]...)
+	entries := fleet(10)
+	b1, _ := start(t, testConfig(), entries[:8])
+	b1.Servers(100100, Changes, entries[8:])
+	b1.Servers(100200, Changes, []Entry{{ID: entries[2].ID, State: Removed}})
+	rest := append(append([]Entry{}, entries[3:]...), entries[:2]...)
 	b2, _ := start(t, testConfig(), rest)
 	for key := range uint64(500) {
 		l1, l2 := b1.hashListOf(&keyTraffic{id: key}), b2.hashListOf(&keyTraffic{id: key})
@@ -299,11 +299,11 @@
 		}
 		for i := range l1 {
 			if l1[i].ID != l2[i].ID {
-				t.Fatalf("key %d: place %d differs", key, i)
+				t.Fatalf("key %d: position %d differs", key, i)
 			}
 			for _, o := range l1[:i] {
 				if o == l1[i] {
-					t.Fatalf("key %d: server twice", key)
+					t.Fatalf("key %d: a server is listed twice", key)
 				}
 			}
 		}
@@ -311,25 +311,25 @@
 }
 
 func TestChangeMovesFewKeys(t *testing.T) {
-	es := fleet(11)
-	homes := func(es []Entry) map[uint64]uint32 {
-		b, _ := start(t, testConfig(), es)
+	entries := fleet(11)
+	homes := func(entries []Entry) map[uint64]uint32 {
+		b, _ := start(t, testConfig(), entries)
 		m := map[uint64]uint32{}
 		for key := range uint64(4000) {
 			m[key] = b.hashListOf(&keyTraffic{id: key})[0].ID
 		}
 		return m
 	}
-	before, without, with := homes(es[:10]), homes(es[1:10]), homes(es)
+	before, without, with := homes(entries[:10]), homes(entries[1:10]), homes(entries)
 	moved, share := 0, map[uint32]int{}
 	for key, h := range before {
 		share[h]++
-		if h != es[0].ID && without[key] != h {
+		if h != entries[0].ID && without[key] != h {
 			t.Fatalf("key %d left a server that stayed", key)
 		}
 		if with[key] != h {
 			moved++
-			if with[key] != es[10].ID {
+			if with[key] != entries[10].ID {
 				t.Fatalf("key %d moved between servers that stayed", key)
 			}
 		}
@@ -351,14 +351,14 @@
 	home.ejected = true
 	b.solve()
 	if b.hashListOf(k)[0] != home {
-		t.Error("an ejected server lost its place")
+		t.Error("an ejected server lost its position in the list")
 	}
 	if c := b.candidates(k); c[0] != b.hashListOf(k)[1] {
-		t.Error("the second does not stand in for an ejected first")
+		t.Error("the second server does not replace an ejected first")
 	}
 }
 
-// ---- Picks ----
+// ---- Server choice ----
 
 func TestPicksMatchShares(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
@@ -374,7 +374,8 @@
 	}
 }
 
-// Groups of cold keys were split by shares, which changed with every solve: keys moved, and each move was a miss.
+// Guards against splitting groups of cold keys by shares that change with every solve: keys moved, and each
+// move was a miss.
 func TestColdKeyStaysHomeWhateverTheSolverFinds(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	for _, s := range b.serverList {
@@ -385,7 +386,7 @@
 	}
 	for round := range 5 {
 		for i, s := range b.serverList {
-			s.reportedRate = float64(30 * ((i + round) % 2)) // load that others send, now here, now there
+			s.reportedRate = float64(30 * ((i + round) % 2)) // alternating load from other routers
 		}
 		b.solve()
 		for key := range uint64(300) {
@@ -399,7 +400,7 @@
 
 // ---- Bursts ----
 
-// fillQueue leaves a server with so much outstanding that a further request would be late.
+// fillQueue gives a server so many attempts in flight that another request would be late.
 func fillQueue(b *Balancer, s *server) {
 	s.capacity.update(b.now, 10, 1)
 	s.latency.update(b.now, 100, 1)
@@ -415,11 +416,12 @@
 	k.splitServers, k.splitShares = l[:1], []float64{1}
 	ask(b, 100001, 1, "read", 5)
 	if len(h.sends) != 1 || h.last().server != l[1].ID {
-		t.Errorf("sends %v, want one to the second of the list", h.sends)
+		t.Errorf("sends %v, want one to the second server of the list", h.sends)
 	}
 }
 
-// Each request that went along its list was a miss there; with a slow origin the misses held up all others.
+// Guards against spreading keys while the origin is slow: each request sent to a further server of its list
+// was a miss there, and the misses held up all others.
 func TestSlowOriginKeepsKeysFromSpreading(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	b.fetchLatency = movingAverage{value: 400, floor: 80, updated: b.now}
@@ -430,7 +432,7 @@
 	k.storedOn = l[2]
 	ask(b, 100002, 2, "read", 5)
 	if h.refused[1] != 1 || len(h.sends) != 1 || h.last() != (sentAttempt{2, l[2].ID}) {
-		t.Errorf("refused %v, sends %v: want a refusal, then a send to where the key is", h.refused, h.sends)
+		t.Errorf("refused %v, sends %v: want a refusal, then a send to the server that stores the key", h.refused, h.sends)
 	}
 }
 
@@ -443,11 +445,12 @@
 	ask(b, 100001, 1, "read", 5)
 	ask(b, 100001, 2, "dear", 6)
 	if h.refused[1] != 1 || h.refused[2] != 0 || len(h.sends) != 1 {
-		t.Errorf("refused %v, sends %v: want the cheap one refused and the dear one sent", h.refused, h.sends)
+		t.Errorf("refused %v, sends %v: want the request of low worth refused and the other sent", h.refused, h.sends)
 	}
 }
 
-// Servers that choke answer late although their wait looks short: less must be sent to them than to a quick fleet.
+// Overloaded servers answer late although their estimated wait is short: the router must send them less than
+// it sends quick ones.
 func TestLateAnswersLowerToleratedWait(t *testing.T) {
 	for _, c := range []struct {
 		took      float64
@@ -463,26 +466,28 @@
 			b.Outcome(now+c.took, o)
 		}
 		if b.waitShare < c.low || b.waitShare > c.high {
-			t.Errorf("answers after %v ms: %v of the aim is borne, want %v to %v", c.took, b.waitShare, c.low, c.high)
+			t.Errorf("answers after %v ms: accepted wait is %v of the aim, want %v to %v", c.took, b.waitShare, c.low, c.high)
 		}
 	}
 }
 
-// A light request holds as much fixed time as a heavy one: small servers seemed to take 700 ms a unit of work.
+// A light request spends as much fixed time as a heavy one. Dividing that by its small work made small
+// servers seem to take 700 ms per unit of work.
 func TestLatencyCountsForItsWork(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(1))
 	for i := range uint32(400) {
 		now, hint := 100001+500*float64(i), 1.0+9*float64(i%2)
 		b.Request(now, Request{ID: i + 1, Class: "dear", Key: 1, HasKey: true, Left: 600, Hint: hint})
-		took := 50 + 10*hint
-		b.Outcome(now+took, Outcome{ID: i + 1, Server: h.last().server, Latency: took, CacheResult: 1, Final: true, Load: NoLoad})
+		latency := 50 + 10*hint
+		b.Outcome(now+latency, Outcome{ID: i + 1, Server: h.last().server, Latency: latency, CacheResult: 1, Final: true, Load: NoLoad})
 	}
 	if v := b.serverList[0].latency.value; v < 80 || v > 160 { // the mean is 105 ms, at a mean work of 1
-		t.Errorf("%v ms a unit of work, want about 105", v)
+		t.Errorf("%v ms per unit of work, want about 105", v)
 	}
 }
 
-// A zone was lost, the others were refused for a moment, and then for good: no answer could correct what was seen.
+// Guards against refusing for good after the loss of a zone: while all requests are refused, no answer can
+// correct the observed latency, so it has to decay.
 func TestObservedWaitDecays(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	for _, s := range b.serverList {
@@ -497,26 +502,27 @@
 	}
 }
 
-// At 90% utilisation almost every home looks full, and copies made for that pushed each other out of the caches.
+// Guards against copies of keys that don't pay: at 90% utilisation almost every home looks full, and the
+// copies evicted each other from the caches.
 func TestSplitComparesGainAtUnscaledRates(t *testing.T) {
 	b := &Balancer{loadScale: 3}
 	b.fetchLatency.value = 50
 	k := &keyTraffic{}
 	v := modelServers(3, 3)
-	b.split(k, v, 28) // 28 of 30 when scaled, 9 in fact
+	b.split(k, v, 28) // 28 of 30 when scaled, 9 in reality
 	if len(k.splitServers) != 1 {
-		t.Errorf("%d servers for a key that one serves with ease", len(k.splitServers))
+		t.Errorf("%d servers for a key that one can serve", len(k.splitServers))
 	}
 }
 
-// A router of hundreds sees a key that is hot for all once in eight seconds: at its own rate of it, all of the key's
-// requests look fit to move to one other server, and hundreds of routers moved them there together.
+// A router of hundreds sees a key that is hot for the fleet once in eight seconds. Judged by its own rate,
+// all requests of the key would fit on one other server, and hundreds of routers moved them there together.
 func TestKeyHotForTheFleetIsSplitAtTheFleetsRate(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers = 300
 	b, h := start(t, cfg, fleet(40))
 	hot := b.trafficOf(Request{Key: 1, HasKey: true})
-	for i := range uint32(100) { // 2.5 a second, the key once in 20
+	for i := range uint32(100) { // 2.5 a second, every 20th for the hot key
 		now, key := 100010+400*float64(i), uint64(i)
 		if i%20 == 0 {
 			key = 1
@@ -537,7 +543,8 @@
 	}
 }
 
-// A key that jammed its home was met so seldom by each router that it went there again and again, and timed out.
+// Guards against a hot key that overloads its home unnoticed: each router sees it so seldom that its requests
+// went to the same server again and again, and timed out.
 func TestStallRaisesKeyRateWhenTrafficIsSparse(t *testing.T) {
 	for _, c := range []struct {
 		before int // requests in the second before
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -6,7 +6,7 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// printer is a router's side of the interface; a real one sends requests and arms timers.
+// printer implements the router's side of the interface; a real one sends requests and arms timers.
 type printer struct{}
 
 func (printer) Send(id, server uint32, _ float64) { fmt.Println("send", id, "to", server) }
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -39,7 +39,7 @@
 	LastReply           float64       `json:"reply"`   // time of the last reply
 	Ejected             bool          `json:"ejected"` // out of use because of its health
 	ZoneLost            bool          `json:"lost"`    // ejected together with its whole zone
-	ConnRefused         bool          `json:"refused"` // a connection was refused, and nothing has been answered since
+	ConnRefused         bool          `json:"refused"` // a connection was refused, no answer since
 	TrialAt             float64       `json:"trial"`   // when a trial is due
 	TrialPause          float64       `json:"pause"`   // ms between the ejection and the trial
 	TrialOverdue        float64       `json:"overdue"` // when the trial is forced
@@ -73,11 +73,11 @@
 	LatencyMean   float64                `json:"mean"`     // ms, of served requests
 	LatencySquare float64                `json:"square"`   // mean of the squared latencies, ms²
 	Samples       float64                `json:"samples"`  // number that the means are taken over
-	WaitShare     float64                `json:"bear"`     // least share of the aim accepted as waiting time, 0 to 1
-	UsualFailures float64                `json:"usual"`    // share of attempts that fail at the median server, 0 to 1
-	LostShare     float64                `json:"lost"`     // share of overtaken attempts whose answers are lost, 0 to 1
+	WaitShare     float64                `json:"bear"`     // least share of the aim accepted as wait, 0 to 1
+	UsualFailures float64                `json:"usual"`    // share of failures at the median server, 0 to 1
+	LostShare     float64                `json:"lost"`     // share of overtaken attempts that are lost, 0 to 1
 	ConnKeep      float64                `json:"keep"`     // ms that idle connections are kept
-	FetchLimit    float64                `json:"fetches"`  // fetches in flight; the share of each process if there are two
+	FetchLimit    float64                `json:"fetches"`  // fetches in flight; each process has its share
 	FleetLatency  MovingAverage          `json:"jam"`      // ms per unit of work
 	FetchLatency  MovingAverage          `json:"fetch"`    // ms
 }
@@ -192,7 +192,7 @@
 		checker.checkValues(name, latest+1e6, s.TrialAt, s.TrialOverdue)
 		checker.checkAverages(name, latest, s.Capacity, s.Latency)
 		checker.checkSums(name, latest, s.SentWork)
-		checker.checkValues(name, 1e12, math.Abs(s.SendBudget.Value)) // negative if more was spent than there was
+		checker.checkValues(name, 1e12, math.Abs(s.SendBudget.Value)) // negative if overdrawn
 		checker.checkValues(name, latest, s.SendBudget.Updated)
 	}
 	for _, k := range l.Keys {
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// newExperienced is a Balancer that has served for ten seconds: one server fails all, one has started anew, a key is hot.
+// newExperienced returns a Balancer that has served for ten seconds: one server fails every request, one has
+// restarted, and a key is hot.
 func newExperienced(t *testing.T) *Balancer {
 	t.Helper()
 	cfg := testConfig()
@@ -31,71 +32,71 @@
 	fresh.Started = now - 100
 	b.Servers(now, Changes, []Entry{fresh})
 	if !b.servers[bad].ejected {
-		t.Fatal("the bad server is not out")
+		t.Fatal("the failing server is not ejected")
 	}
 	return b
 }
 
-// What one process has learned, the next one knows: who is out, what is cold, who is how quick, which keys are hot.
+// A new process imports what the old one has learned: ejected and cold servers, latencies and hot keys.
 func TestNextProcessImportsLearnedState(t *testing.T) {
 	old := newExperienced(t)
-	es := make([]Entry, 0, 6)
+	entries := make([]Entry, 0, 6)
 	for _, s := range old.serverList {
-		es = append(es, s.Entry)
+		entries = append(entries, s.Entry)
 	}
-	text, err := json.Marshal(old.ExportLearned(old.now))
+	data, err := json.Marshal(old.ExportLearned(old.now))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var l Learned
-	if err := json.Unmarshal(text, &l); err != nil {
+	if err := json.Unmarshal(data, &l); err != nil {
 		t.Fatal(err)
 	}
 	b, err := New(old.cfg, 8, newHost())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Servers(old.now+50, Restored, es)
+	b.Servers(old.now+50, Restored, entries)
 	if err := b.ImportLearned(old.now+50, l); err != nil {
 		t.Fatal(err)
 	}
 	if got := b.ExportLearned(b.now); !reflect.DeepEqual(got.Servers, l.Servers) || len(got.Keys) != len(l.Keys) || got.LatencyMean != l.LatencyMean || got.TenantUse["t"] != l.TenantUse["t"] {
-		t.Errorf("learned %+v, then %+v", l.Servers, got.Servers)
+		t.Errorf("exported %+v, after the import %+v", l.Servers, got.Servers)
 	}
 	known, avoided := b.ServerCounts()
 	if oldKnown, oldAvoided := old.ServerCounts(); known != oldKnown || avoided != oldAvoided || avoided == 0 {
 		t.Errorf("%d of %d servers are avoided, by the old one %d of %d", avoided, known, oldAvoided, oldKnown)
 	}
 	if s, o := b.servers[fleet(6)[1].ID], old.servers[fleet(6)[1].ID]; s.coldSince != o.coldSince || b.warmFraction(s) > 0.5 {
-		t.Errorf("a cold server is taken for %v warm", b.warmFraction(s))
+		t.Errorf("a cold server counts as %v warm", b.warmFraction(s))
 	}
-	for i := range uint32(50) { // and nothing goes to the one that is out
+	for i := range uint32(50) { // nothing goes to the ejected server
 		ask(b, b.now+1, 10000+i, "read", uint64(i))
 	}
 	for _, s := range b.host.(*fakeHost).sends {
 		if s.server == fleet(6)[0].ID && b.now < b.servers[s.server].trialAt {
-			t.Error("a request to a server that was out")
+			t.Error("a request went to an ejected server")
 		}
 	}
 }
 
-// A server that has started anew since is another process: nothing that was learned of the one before counts.
+// A server that has restarted since is another process: nothing that was learned of the earlier one applies.
 func TestLearnedStateOfEarlierStartIsIgnored(t *testing.T) {
 	old := newExperienced(t)
-	es := fleet(6)
-	es[0].Started = old.now - 10
-	b, _ := start(t, old.cfg, es)
+	entries := fleet(6)
+	entries[0].Started = old.now - 10
+	b, _ := start(t, old.cfg, entries)
 	if err := b.ImportLearned(old.now, old.ExportLearned(old.now)); err != nil {
 		t.Fatal(err)
 	}
-	if b.servers[es[0].ID].ejected {
-		t.Error("a new process is out for what the one before did")
+	if b.servers[entries[0].ID].ejected {
+		t.Error("a restarted server is ejected for failures of the process before")
 	}
 }
 
 func TestInvalidLearnedStateIsRejectedWhole(t *testing.T) {
 	old := newExperienced(t)
-	for name, spoil := range map[string]func(l *Learned){
+	for name, corrupt := range map[string]func(l *Learned){
 		"version 9":          func(l *Learned) { l.Version = 9 },
 		"the start":          func(l *Learned) { l.StartedAt = old.now + 1e6 },
 		"fetches":            func(l *Learned) { l.FetchLimit = math.Inf(1) },
@@ -110,51 +111,52 @@
 		b, _ := start(t, old.cfg, fleet(6))
 		before := b.ExportLearned(old.now)
 		l := old.ExportLearned(old.now)
-		spoil(&l)
+		corrupt(&l)
 		if err := b.ImportLearned(old.now, l); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if !reflect.DeepEqual(b.ExportLearned(old.now), before) {
-			t.Errorf("%s: some of it was taken", name)
+			t.Errorf("%s: it was applied in part", name)
 		}
 	}
 }
 
-// Two processes of a router have one router's part of a cold server's budget and of the origin, before, while and after both live.
+// Two processes of a router together have one router's share of a cold server's budget and of the fetches at
+// the origin, before, while and after both run.
 func TestTwoProcessesSplitOneRoutersShare(t *testing.T) {
 	old := newExperienced(t)
 	cold := old.servers[fleet(6)[1].ID]
 	old.advance(cold.coldSince + 2000)
 	old.afford(cold, 1, 1)
-	alone, fetches := cold.sendBudget.value, old.fetchLimit
+	budget, fetches := cold.sendBudget.value, old.fetchLimit
 	old.Share(old.now, 2)
 	b, _ := start(t, old.cfg, fleet(6))
-	b.tier = old.tier // as its configuration says
+	b.tier = old.tier // as configured
 	b.Share(old.now, 2)
-	es := make([]Entry, 0, 6)
+	entries := make([]Entry, 0, 6)
 	for _, s := range old.serverList {
-		es = append(es, s.Entry)
+		entries = append(entries, s.Entry)
 	}
-	b.Servers(old.now, Full, es)
+	b.Servers(old.now, Full, entries)
 	if err := b.ImportLearned(old.now, old.ExportLearned(old.now)); err != nil {
 		t.Fatal(err)
 	}
 	next := b.servers[cold.ID]
-	if sum := cold.sendBudget.value + next.sendBudget.value; math.Abs(sum-alone) > 1e-9 {
-		t.Errorf("both have %v of a cold server's budget, one had %v", sum, alone)
+	if sum := cold.sendBudget.value + next.sendBudget.value; math.Abs(sum-budget) > 1e-9 {
+		t.Errorf("both have %v of a cold server's budget, one had %v", sum, budget)
 	}
 	if sum := old.fetchLimit + b.fetchLimit; math.Abs(sum-fetches) > 1e-9 {
-		t.Errorf("both may have %v fetches out, one had %v", sum, fetches)
+		t.Errorf("both may have %v fetches in flight, one had %v", sum, fetches)
 	}
 	later := old.now + 100
 	fill := func(x *Balancer, s *server) float64 {
 		x.now = later
-		was := s.sendBudget.value
+		before := s.sendBudget.value
 		x.afford(s, 1, 1)
-		return s.sendBudget.value - was
+		return s.sendBudget.value - before
 	}
 	both := fill(old, cold) + fill(b, next)
-	b.Share(later, 1) // the old one is gone
+	b.Share(later, 1) // the old process has exited
 	single := newExperienced(t)
 	s := single.servers[cold.ID]
 	s.sendBudget = decayingSum{0, later - 100}
--- a/decide/lists_test.go
+++ b/decide/lists_test.go
@@ -4,13 +4,14 @@
 	"testing"
 )
 
-// listService is a queue of calls for a list, as one discovery for a whole tier has it: it takes calls in turn, works for each as
-// long, also for those that have waited for too long and get nothing, and turns away what comes to a queue of twice that wait.
+// listService models the queue of the one discovery service of a tier. It handles calls in order and takes
+// equally long for each, also for those that have timed out meanwhile, and rejects a call if the queue holds
+// twice the longest wait.
 type listService struct {
 	freeAt, workTime, maxWait float64
 }
 
-// call says when a call that comes at a time is answered, and whether with a list.
+// call returns when a call is answered, and whether with a list.
 func (a *listService) call(now float64) (at float64, ok bool) {
 	if a.freeAt = max(a.freeAt, now); a.freeAt+a.workTime-now > 2*a.maxWait {
 		return now + 30, false
@@ -19,44 +20,45 @@
 	return min(a.freeAt, now+a.maxWait), a.freeAt <= now+a.maxWait
 }
 
-// Eighty routers that start together asked one discovery at once, and each that had failed a second later: its queue stayed longer
-// than anybody's patience, and for the rest of the day nobody got a list.
+// Guards against an overload of discovery: eighty routers that start together called it at once, and each
+// failed call came back a second later. The queue stayed longer than the callers' time-out, and nobody got a
+// list any more.
 func TestTierOfEightyGetsItsListsFromOneDiscovery(t *testing.T) {
 	const routers = 80
 	cfg := testConfig()
 	cfg.AskList, cfg.Routers, cfg.MustAsk = true, routers, 10000
-	type told struct {
+	type listReply struct {
 		at float64
 		ok bool
 	}
-	var bs [routers]*Balancer
-	var hs [routers]*fakeHost
-	var out [routers]*told
-	var got [routers]float64
-	for i := range bs {
-		hs[i] = &fakeHost{}
-		b, err := New(cfg, uint64(i), hs[i])
+	var routerList [routers]*Balancer
+	var hosts [routers]*fakeHost
+	var pending [routers]*listReply
+	var receivedAt [routers]float64
+	for i := range routerList {
+		hosts[i] = &fakeHost{}
+		b, err := New(cfg, uint64(i), hosts[i])
 		if err != nil {
 			t.Fatal(err)
 		}
-		bs[i] = b
+		routerList[i] = b
 		b.Servers(1e5, Restored, fleet(3))
 	}
-	d := &listService{workTime: 120, maxWait: 2000}
+	discovery := &listService{workTime: 120, maxWait: 2000}
 	early, calls := 0, 0
 	for now := 1e5 + 100; now < 1e5+30000; now += 100 {
-		for i, b := range bs {
-			if o := out[i]; o != nil && now >= o.at {
-				if out[i] = nil; !o.ok {
+		for i, b := range routerList {
+			if o := pending[i]; o != nil && now >= o.at {
+				if pending[i] = nil; !o.ok {
 					b.Servers(now, ListFailed, nil)
-				} else if b.Servers(now, Changes, nil); got[i] == 0 {
-					got[i] = now
+				} else if b.Servers(now, Changes, nil); receivedAt[i] == 0 {
+					receivedAt[i] = now
 				}
 			}
-			was := hs[i].watches
-			if b.Timer(now, tickToken); hs[i].watches > was {
-				at, ok := d.call(now)
-				out[i] = &told{at, ok}
+			before := hosts[i].watches
+			if b.Timer(now, tickToken); hosts[i].watches > before {
+				at, ok := discovery.call(now)
+				pending[i] = &listReply{at, ok}
 				if calls++; now <= 1e5+1000 {
 					early++
 				}
@@ -64,9 +66,9 @@
 		}
 	}
 	if early > routers/2 {
-		t.Errorf("%d of %d routers asked within the first second", early, routers)
+		t.Errorf("%d of %d routers called within the first second", early, routers)
 	}
-	for i, at := range got {
+	for i, at := range receivedAt {
 		if at == 0 {
 			t.Errorf("router %d got no list in 30 s; %d calls by all", i, calls)
 		}
@@ -76,7 +78,8 @@
 	}
 }
 
-// News count as told to who does not ask for too long: neither a large tier's spread nor its pauses go beyond that.
+// List updates count as announced after MustAsk: neither the spread of first calls nor the pauses may grow
+// beyond it.
 func TestPausesBetweenCallsForAListAreBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.AskList, cfg.Routers, cfg.MustAsk = true, 1000, 10000
@@ -96,16 +99,17 @@
 	}
 }
 
-// Where registered sizes are told, each server is the first of keys in proportion to its size: with as many for all, the small ones of a
-// fleet of sixty were asked for three times what they can do, and cut off, while the large ones stood half idle.
+// With registered sizes each server is the home of keys in proportion to its size. With equal numbers the
+// small servers of a fleet of sixty got three times the requests they can serve, while the large ones were
+// half idle.
 func TestFleetOfSixtySharesKeysBySize(t *testing.T) {
 	cfg := testConfig()
 	cfg.Weighted = true
-	es := fleet(60)
-	for i := range es {
-		es[i].Size = [...]float64{0.4, 0.8, 2}[i%3]
+	entries := fleet(60)
+	for i := range entries {
+		entries[i].Size = [...]float64{0.4, 0.8, 2}[i%3]
 	}
-	b, _ := start(t, cfg, es)
+	b, _ := start(t, cfg, entries)
 	homes, keys := map[float64]int{}, 30000
 	for i := range keys {
 		homes[b.hashListOf(&keyTraffic{id: uint64(i)})[0].Size]++
--- a/decide/owners_test.go
+++ b/decide/owners_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// newStandalone is a Balancer over servers that alone hold what there is, of which each request names its owners.
+// newStandalone returns a Balancer over servers without an origin, where each request names its owners.
 func newStandalone(t *testing.T, n int) (*Balancer, *fakeHost, []uint32) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Alone, cfg.Copies = true, false
-	es := fleet(n)
-	b, h := start(t, cfg, es)
+	entries := fleet(n)
+	b, h := start(t, cfg, entries)
 	var ids []uint32
-	for _, e := range es {
+	for _, e := range entries {
 		ids = append(ids, e.ID)
 	}
 	return b, h, ids
@@ -24,41 +24,41 @@
 	b.Request(now, Request{ID: id, Class: class, Key: 42, HasKey: true, Left: 600, Write: write, Owners: owners})
 }
 
-// A request goes to its owners only: writes to the primary, reads of a loaded key to its replicas too, and to no other.
+// A request goes to its owners only: writes to the primary, reads of a loaded key also to its replicas.
 func TestOnlyOwnersServe(t *testing.T) {
 	b, h, ids := newStandalone(t, 6)
 	owners := ids[3:5]
 	now := 100000.0
-	at := map[uint32]int{}
+	sends := map[uint32]int{}
 	for i := range 400 {
 		now++
 		write := i%4 == 0
-		n := len(h.sends)
+		sendsBefore := len(h.sends)
 		if id := uint32(i + 1); write {
 			askOwners(b, now, id, "once", true, owners[0])
 		} else {
 			askOwners(b, now, id, "read", false, owners...)
 		}
-		if len(h.sends) == n {
-			continue // refused: the owners are jammed
+		if len(h.sends) == sendsBefore {
+			continue // refused: the owners are overloaded
 		}
 		s := h.last().server
-		at[s]++
+		sends[s]++
 		if !slices.Contains(owners, s) || write && s != owners[0] {
 			t.Fatalf("request %d (write %v) went to %d", i, write, s)
 		}
-		if i%3 > 0 { // the others stay out, so that a queue builds up
+		if i%3 > 0 { // the others stay in flight, so that a queue builds up
 			b.Outcome(now+0.5, Outcome{ID: uint32(i + 1), Server: s, Status: OK, Latency: 20, Final: true, Load: Load{50, 0, 0.9, 5, 20}})
 		}
 		b.Timer(now, tickToken)
 	}
-	if at[owners[0]] == 0 || at[owners[1]] == 0 {
-		t.Errorf("sends %v: a loaded key does not use its replica", at)
+	if sends[owners[0]] == 0 || sends[owners[1]] == 0 {
+		t.Errorf("sends %v: a loaded key does not use its replica", sends)
 	}
 }
 
-// A request that is sent on goes to its new owner at once, whatever is in hand for retries; the way ends with the
-// attempts, and never comes back to a server that sent it on.
+// A redirected request goes to its new owner at once, without the retry budget. The number of attempts ends
+// redirect loops, and no request returns to a server that redirected it.
 func TestRedirect(t *testing.T) {
 	b, h, ids := newStandalone(t, 6)
 	b.retryBudget = 0
@@ -75,13 +75,14 @@
 	}
 	askOwners(b, 100010, 2, "once", true, ids[0])
 	b.Outcome(100011, Outcome{ID: 2, Attempt: 0, Server: ids[0], Status: Ignored, Load: NoLoad, Owners: ids[1:2]})
-	b.Outcome(100012, Outcome{ID: 2, Attempt: 1, Server: ids[1], Status: Ignored, Load: NoLoad, Owners: ids[0:1]}) // back
+	// The second server redirects back to the first.
+	b.Outcome(100012, Outcome{ID: 2, Attempt: 1, Server: ids[1], Status: Ignored, Load: NoLoad, Owners: ids[0:1]})
 	if n := len(h.sends); n != 6 || h.refused[2] != 1 {
-		t.Errorf("to and fro: sends %v, refused %v", h.sends, h.refused)
+		t.Errorf("redirected back: sends %v, refused %v", h.sends, h.refused)
 	}
 }
 
-// An attempt that may have run rules out every other, wherever a later answer sends the request on.
+// An attempt that may have run forbids any other, even if its answer redirects the request.
 func TestRedirectAfterAttemptMayHaveRun(t *testing.T) {
 	for _, st := range []Status{TimedOut, Reset, Failed, InvalidAnswer, Canceled} {
 		b, h, ids := newStandalone(t, 6)
@@ -93,7 +94,8 @@
 	}
 }
 
-// Nobody owns the key, or the owner is on no list: refused at once, which is harmless.
+// A key without an owner, or with an owner that is not listed, is refused at once, which makes a retry
+// harmless.
 func TestNoOwner(t *testing.T) {
 	b, h, _ := newStandalone(t, 3)
 	askOwners(b, 100001, 1, "once", true, math.MaxUint32)
@@ -104,7 +106,7 @@
 	}
 }
 
-// Writes that name the primary alone don't make a key's owners change between them and reads.
+// Writes that name only the primary must not make a key's owners alternate between them and those of reads.
 func TestWritesKeepTheOwners(t *testing.T) {
 	b, _, ids := newStandalone(t, 6)
 	askOwners(b, 100001, 1, "read", false, ids[:3]...)
@@ -113,7 +115,7 @@
 	askOwners(b, 100002, 2, "once", true, ids[0])
 	askOwners(b, 100003, 3, "read", false, ids[:3]...)
 	if &k.hashList[0] != list || len(k.hashList) != 3 {
-		t.Error("the key's list was made anew")
+		t.Error("the key's list was rebuilt")
 	}
 	askOwners(b, 100004, 4, "once", true, ids[4]) // a failover
 	askOwners(b, 100005, 5, "read", false, ids[4], ids[1])
@@ -122,7 +124,7 @@
 	}
 }
 
-// Servers that start with all of their capacity are no trouble to the arithmetic: what is asked is sent.
+// Servers that start with their full capacity must not cause a division by zero: requests are sent.
 func TestNoColdPhase(t *testing.T) {
 	cfg := testConfig()
 	cfg.ColdFrom, cfg.Cold = 1, 0
@@ -133,17 +135,18 @@
 	}
 }
 
-// newAside is a Balancer over servers with an origin behind them, which each request names its owners among.
+// newAside returns a Balancer over cache servers and an origin, where each request may name its owners, and
+// the IDs of both.
 func newAside(t *testing.T) (*Balancer, *fakeHost, []uint32, uint32) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind, cfg.Copies = true, "db", false
-	es := append(fleet(3), Entry{ID: 99, Zone: "a", Kind: "db"})
-	b, h := start(t, cfg, es)
-	return b, h, []uint32{es[0].ID, es[1].ID, es[2].ID}, 99
+	entries := append(fleet(3), Entry{ID: 99, Zone: "a", Kind: "db"})
+	b, h := start(t, cfg, entries)
+	return b, h, []uint32{entries[0].ID, entries[1].ID, entries[2].ID}, 99
 }
 
-// A write whose servers are named is theirs, not the origin's; one that names none is the origin's, as ever.
+// A write that names its owners goes to them instead of the origin; one that names none goes to the origin.
 func TestWritesWithOwnersBypassOrigin(t *testing.T) {
 	b, h, ids, origin := newAside(t)
 	askOwners(b, 100001, 1, "once", true, ids[1])
@@ -156,8 +159,8 @@
 	}
 }
 
-// Who waits for a key's fetch waits until what it has brought is stored, and then goes to where it is. A store that fails
-// lets the next one fetch.
+// Requests that wait for the fetch of their key wait until its answer is stored, and then go to the server
+// that has it. If the store fails, the next one fetches.
 func TestWaitersWaitForTheStore(t *testing.T) {
 	for _, stored := range []Status{OK, TimedOut, ConnectError} {
 		b, h, ids, origin := newAside(t)
@@ -166,29 +169,29 @@
 		askOwners(b, 100003, 2, "read", false, ids[0])
 		askOwners(b, 100003, 3, "read", false, ids[0])
 		if n := len(h.sends); n != 2 || h.last().server != origin {
-			t.Fatalf("sends %v: one fetch", h.sends)
+			t.Fatalf("sends %v, want one fetch", h.sends)
 		}
 		b.Request(100010, Request{ID: 9, Class: "once", Key: 42, HasKey: true, Left: 250, Write: true, Owners: ids[:1], Stores: true})
 		if s := h.last(); s.server != ids[0] || len(h.sends) != 3 {
-			t.Fatalf("sends %v: the store goes to the owner", h.sends)
+			t.Fatalf("sends %v, want the store to go to the owner", h.sends)
 		}
 		b.Outcome(100010, Outcome{ID: 1, Attempt: 1, Server: origin, Status: OK, Latency: 8, Final: true, Load: NoLoad})
 		if len(h.sends) != 3 {
-			t.Fatalf("sends %v: the store is not back", h.sends)
+			t.Fatalf("sends %v, want none before the store has ended", h.sends)
 		}
-		b.retryBudget = 0 // a store is never the one that is tried again here
+		b.retryBudget = 0 // the store is never retried here
 		b.Outcome(100012, Outcome{ID: 9, Server: ids[0], Status: stored, Latency: 2, Final: stored == OK, Load: NoLoad})
 		after := h.sends[3:]
 		switch {
 		case stored == OK && (len(after) != 2 || after[0].server != ids[0] || after[1].server != ids[0]):
-			t.Errorf("stored: then %v, want both to go there", after)
+			t.Errorf("stored: then %v, want both to go to that server", after)
 		case stored != OK && (len(after) != 1 || after[0].server != origin):
 			t.Errorf("%v: then %v, want one fetch", stored, after)
 		}
 	}
 }
 
-// A store pays for no further attempts, and counts for no tenant.
+// A store adds nothing to the retry budget, and doesn't count for its tenant.
 func TestStoresAddNoRetryBudget(t *testing.T) {
 	b, _, ids, _ := newAside(t)
 	b.retryBudget = 0
@@ -196,11 +199,11 @@
 		b.Request(100001, Request{ID: id + 1, Class: "once", Tenant: "t", Key: uint64(id), HasKey: true, Left: 250, Write: true, Owners: ids[:1], Stores: true})
 	}
 	if b.retryBudget != 0 || b.arrivals.value != 0 {
-		t.Errorf("%v spare, %v arrivals", b.retryBudget, b.arrivals.value)
+		t.Errorf("retry budget %v, arrivals %v, want 0", b.retryBudget, b.arrivals.value)
 	}
 }
 
-// Readers of what the origin has not don't wait for each other, for a second from when it said so.
+// Reads of a key that the origin doesn't have don't wait for each other for a second after its answer.
 func TestKeyAbsentAtOrigin(t *testing.T) {
 	b, h, ids, origin := newAside(t)
 	miss := func(now float64, id uint32) {
@@ -218,7 +221,7 @@
 	miss(100001, 1)
 	miss(100002, 2)
 	if fetches() != 1 {
-		t.Fatalf("sends %v: one fetch", h.sends)
+		t.Fatalf("sends %v, want one fetch", h.sends)
 	}
 	b.Outcome(100010, Outcome{ID: 1, Attempt: 1, Server: origin, Status: OK, CacheResult: 4, Latency: 8, Final: true, Load: NoLoad})
 	miss(100020, 3)
--- a/decide/queue_test.go
+++ b/decide/queue_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// newSparseRouter is one router of a tier of 300, over 60 servers that report a utilisation, after as many light and heavy reads that were answered
-// without any wait. Each server is asked every few seconds.
+// newSparseRouter returns one router of a tier of 300, over 60 servers that report a utilisation, after it
+// sent light and heavy reads that were answered without any wait. Each server gets a request every few
+// seconds.
 func newSparseRouter(t *testing.T, util float64, reads int) (*Balancer, *fakeHost, float64) {
 	t.Helper()
 	cfg := testConfig()
@@ -12,7 +13,7 @@
 	now := 100000.0
 	for id := uint32(1); id <= uint32(reads); id++ {
 		now += 100
-		hint := 5.0 // every second one is light: its latency is the way and the connection, hardly its work
+		hint := 5.0 // every second one is light: its latency is mostly network and connection time
 		if id%2 == 0 {
 			hint = 95
 		}
@@ -28,7 +29,7 @@
 	return b, h, now
 }
 
-// countRefused is how many of as many reads are refused at their arrival.
+// countRefused returns how many of so many reads are refused at their arrival.
 func countRefused(b *Balancer, h *fakeHost, now float64, reads int) (refused int) {
 	before := len(h.refused)
 	for i := range uint32(reads) {
@@ -37,12 +38,13 @@
 	return len(h.refused) - before
 }
 
-// A light read's latency for each unit of its work says little of a queue: most of it is no work. Weighed like any other it made every third
-// request look as if it would wait for several hundred ms, with no queue anywhere.
+// Guards against taking light reads for a queue: most of their latency is not work, so the latency per unit
+// of work is high. Weighted like heavy reads they added an estimated wait of several hundred ms for every
+// third request.
 func TestLightReadsAreNotTakenForAQueue(t *testing.T) {
 	b, h, now := newSparseRouter(t, 0.3, 200)
-	if guess := b.fleetLatency.value - b.fleetLatency.floor; guess > 80 { // 256 before
-		t.Errorf("a guessed wait of %.0f ms, where nothing waits", guess)
+	if estimate := b.fleetLatency.value - b.fleetLatency.floor; estimate > 80 { // 256 with equal weights
+		t.Errorf("estimated wait of %.0f ms without a queue", estimate)
 	}
 	if n := countRefused(b, h, now+1, 30); n > 0 {
 		t.Errorf("%d of 30 refused", n)
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// newLarge is a Balancer of 1,000 servers and 10,000 tenants that has seen 100,000 keys, each often enough to be hot.
+// newLarge returns a Balancer of 1,000 servers and 10,000 tenants that has seen 100,000 keys, each often
+// enough to be hot.
 func newLarge(tb testing.TB) (*Balancer, *fakeHost, float64) {
 	tb.Helper()
 	cfg := testConfig()
@@ -20,12 +21,12 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	var es []Entry
+	var entries []Entry
 	for i := range 1000 {
-		es = append(es, Entry{ID: uint32(i + 1), Size: 1, Zone: "a", Kind: "cache"})
+		entries = append(entries, Entry{ID: uint32(i + 1), Size: 1, Zone: "a", Kind: "cache"})
 	}
 	now := 100000.0
-	b.Servers(now, Full, es)
+	b.Servers(now, Full, entries)
 	for i := range 300000 {
 		now += 0.002
 		serveOne(b, h, now, uint32(i+1), uint64(i%100000), i)
@@ -33,7 +34,7 @@
 	return b, h, now
 }
 
-// serveOne makes one request and has it answered.
+// serveOne makes one request and answers it.
 func serveOne(b *Balancer, h *fakeHost, now float64, id uint32, key uint64, n int) {
 	h.sends = h.sends[:0]
 	b.Request(now, Request{ID: id, Class: "read", Tenant: fmt.Sprint("tenant", n%10000), Key: mix64(key), HasKey: true, Left: 600})
@@ -43,8 +44,8 @@
 	h.timers = h.timers[:0]
 }
 
-// What the module holds of 100,000 hot keys, 1,000 servers and 10,000 tenants is bounded, and keys that nobody asks for any
-// more are forgotten.
+// The memory for 100,000 hot keys, 1,000 servers and 10,000 tenants is bounded, and keys without requests are
+// forgotten.
 func TestMemoryAtSize(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -52,10 +53,10 @@
 	b, h, now := newLarge(t)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 128<<20 {
-		t.Errorf("%d MB", grown>>20)
+	if growth := int64(after.HeapAlloc) - int64(before.HeapAlloc); growth > 128<<20 {
+		t.Errorf("%d MB in use, 128 MB at most", growth>>20)
 	} else {
-		t.Logf("%d keys, %.1f MB", len(b.keys), float64(grown)/(1<<20))
+		t.Logf("%d keys, %.1f MB", len(b.keys), float64(growth)/(1<<20))
 	}
 	for range 1200 { // two minutes
 		now += 100
@@ -63,12 +64,12 @@
 		h.timers = h.timers[:0]
 	}
 	if len(b.keys) > 10000 {
-		t.Errorf("%d keys are held two minutes after the last request", len(b.keys))
+		t.Errorf("%d keys are kept two minutes after the last request", len(b.keys))
 	}
 }
 
-// BenchmarkAtSize gives the time of a request and its answer, and of a housekeeping in which all is solved anew: that stands
-// in the way of requests.
+// BenchmarkAtSize measures a request with its answer, and a housekeeping round with a full solve, during
+// which requests wait.
 func BenchmarkAtSize(b *testing.B) {
 	m, h, now := newLarge(b)
 	b.Run("request", func(b *testing.B) {
@@ -78,22 +79,23 @@
 		}
 	})
 	b.Run("solve", func(b *testing.B) {
-		var most time.Duration
+		var longest time.Duration
 		for b.Loop() {
 			now += solveEvery
-			began := time.Now()
+			started := time.Now()
 			m.Timer(now, tickToken)
-			most = max(most, time.Since(began))
-			for i := range 1000 { // else the keys fade
+			longest = max(longest, time.Since(started))
+			for i := range 1000 { // keeps the keys from fading
 				serveOne(m, h, now, uint32(2000000+i), uint64(i), i)
 			}
 		}
-		b.ReportMetric(float64(most.Microseconds())/1000, "most-ms")
+		b.ReportMetric(float64(longest.Microseconds())/1000, "most-ms")
 	})
 }
 
-// In overload thousands wait for a place at the origin. What each event costs must not grow with their square, nor the count
-// of those that ask drift: it is that of the requests themselves.
+// In overload thousands of requests wait for the origin. The cost of an event must not grow with their
+// square, which took minutes, and the count of those that may fetch must equal that of the requests
+// themselves.
 func TestManyWaitingRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.Copies = false
@@ -107,7 +109,7 @@
 		}
 		return n
 	}
-	began := time.Now()
+	started := time.Now()
 	for i := range 20000 {
 		now += 0.02
 		id := uint32(i + 1)
@@ -115,20 +117,20 @@
 		switch i % 50 {
 		case 7:
 			b.ClientGone(now, id-3)
-		case 11: // one that is out comes back, whichever that is
+		case 11: // some attempt in flight ends
 			s := h.sends[len(h.sends)-1]
 			b.Outcome(now, Outcome{ID: s.id, Server: s.server, Status: []Status{OK, TimedOut, Failed}[i%3], Latency: 1, CacheResult: 2, Load: NoLoad})
 		}
 		if i%500 == 0 {
 			if n := count(); n != b.mayFetchCount {
-				t.Fatalf("event %d: %d ask, %d are counted", i, n, b.mayFetchCount)
+				t.Fatalf("event %d: %d requests may fetch, %d are counted", i, n, b.mayFetchCount)
 			}
 		}
 	}
 	if len(b.waiting) < 5000 {
-		t.Errorf("%d wait: the test shows nothing", len(b.waiting))
+		t.Errorf("only %d requests wait: the test has no effect", len(b.waiting))
 	}
-	if took := time.Since(began); took > 20*time.Second { // it was minutes
-		t.Errorf("%v for 20,000 requests", took)
+	if elapsed := time.Since(started); elapsed > 20*time.Second { // a quadratic cost takes minutes
+		t.Errorf("%v for 20,000 requests", elapsed)
 	}
 }
--- a/decide/standing_test.go
+++ b/decide/standing_test.go
@@ -2,19 +2,18 @@
 
 import "testing"
 
-// What is beyond a tenant's limits is refused at once, whatever its effect, and is no traffic; what is over its floor is told when to come
-// again if it is refused.
+// A request beyond its tenant's limits is refused at once, whatever its effect, and isn't counted as traffic.
 func TestQuotaDeniedIsRefused(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(3))
 	before := b.arrivals.value
 	for id, class := range map[uint32]string{1: "read", 2: "keyed", 3: "once"} {
 		b.Request(100001, Request{ID: id, Class: class, Key: 42, HasKey: true, Left: 600, Standing: QuotaDenied, Again: 70})
 		if h.refused[id] != 1 || len(h.sends) != 0 || b.requests[id] != nil {
-			t.Errorf("%s: refused %v, sends %v, kept %v", class, h.refused, h.sends, b.requests[id])
+			t.Errorf("%s: refused %v, sends %v, request record %v", class, h.refused, h.sends, b.requests[id])
 		}
 	}
 	if b.arrivals.value > before {
-		t.Error("it counts as traffic")
+		t.Error("a denied request counts as traffic")
 	}
 	ask(b, 100002, 4, "read", 42)
 	if len(h.sends) != 1 {
@@ -22,7 +21,8 @@
 	}
 }
 
-// Standings order what requests are worth, by which full servers refuse, and leave a part of the origin to those within.
+// The quota status lowers the worth by which full servers refuse, and keeps a part of the fetches for
+// guaranteed requests.
 func TestQuotaStatusOrdersShedding(t *testing.T) {
 	cfg := testConfig()
 	cfg.OverWorth = 0.25
@@ -31,14 +31,14 @@
 		b.Request(100001, Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Left: 600, Standing: s})
 		return b.requests[id].worth
 	}
-	within, borrowed, over := worth(1, QuotaGuaranteed), worth(2, QuotaLeased), worth(3, QuotaExceeded)
-	if !(within > borrowed && borrowed > over) || h.refused[1] > 0 {
-		t.Errorf("worth %v, %v, %v", within, borrowed, over)
+	guaranteed, leased, exceeded := worth(1, QuotaGuaranteed), worth(2, QuotaLeased), worth(3, QuotaExceeded)
+	if !(guaranteed > leased && leased > exceeded) || h.refused[1] > 0 {
+		t.Errorf("worth %v, %v, %v", guaranteed, leased, exceeded)
 	}
 
 	b, h, ids, origin := newAside(t)
 	b.fetchLimit = 8
-	out := func(s QuotaStatus) (n int) {
+	fetchesFor := func(s QuotaStatus) (n int) {
 		from := len(h.sends)
 		for i := range 20 {
 			id := uint32(1000*int(s) + 10 + i)
@@ -52,8 +52,8 @@
 		}
 		return n
 	}
-	// Those over have a quarter of the bound, those that borrow go on to a half, those within to all of it.
-	if o, l, w := out(QuotaExceeded), out(QuotaLeased), out(QuotaGuaranteed); o != 2 || o+l != 4 || o+l+w != 8 {
-		t.Errorf("fetches out: over %d, borrowed %d, within %d", o, l, w)
+	// Exceeded requests may use a quarter of the limit, leased ones up to a half, guaranteed ones all of it.
+	if o, l, w := fetchesFor(QuotaExceeded), fetchesFor(QuotaLeased), fetchesFor(QuotaGuaranteed); o != 2 || o+l != 4 || o+l+w != 8 {
+		t.Errorf("fetches in flight: exceeded %d, leased %d, guaranteed %d", o, l, w)
 	}
 }
--- a/decide/state.go
+++ b/decide/state.go
@@ -410,7 +410,7 @@
 		return
 	}
 	if s.lastLoad, s.reportedRate, s.reportedAt = l, l.QPS, b.now; l.Util > 0.03 && l.QPS > 0 {
-		s.capacity.update(b.now, l.QPS/min(l.Util, 1.5)/b.warmFraction(s), 0.2) // averaged over five reports, as they are noisy
+		s.capacity.update(b.now, l.QPS/min(l.Util, 1.5)/b.warmFraction(s), 0.2) // over five noisy reports
 	}
 }
 
--- a/decide/zone_test.go
+++ b/decide/zone_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// twoZoneFleet is a fleet of n servers, half of them in each of two zones.
+// twoZoneFleet lists n servers, half of them in each of two zones.
 func twoZoneFleet(n int) []Entry {
-	es := fleet(n)
-	for i := range es {
-		es[i].Zone = [...]string{"a", "b"}[i%2]
+	entries := fleet(n)
+	for i := range entries {
+		entries[i].Zone = [...]string{"a", "b"}[i%2]
 	}
-	return es
+	return entries
 }
 
 // countEjectedIn counts the ejected servers of a zone.
@@ -21,7 +21,7 @@
 	return n
 }
 
-// serversIn gives the servers of a zone.
+// serversIn returns the servers of a zone.
 func serversIn(b *Balancer, zone string) (all []*server) {
 	for _, s := range b.serverList {
 		if s.Zone == zone {
@@ -31,8 +31,9 @@
 	return all
 }
 
-// newZoneLoss is a Balancer in front of n servers, 300 ms after it sent to servers of zone a, which is silent, and of zone b, which has answered.
-func newZoneLoss(t *testing.T, n int) (b *Balancer, dead []*server, sent float64) {
+// newZoneLoss returns a Balancer over n servers, 300 ms after it sent requests to zone a, which is
+// unresponsive, and to zone b, which has answered.
+func newZoneLoss(t *testing.T, n int) (b *Balancer, lost []*server, sent float64) {
 	b, _ = start(t, testConfig(), twoZoneFleet(n))
 	sent = b.now
 	b.now += 300
@@ -40,37 +41,38 @@
 	return b, serversIn(b, "a"), sent
 }
 
-// A zone of thirty is lost. A router that asks each server every few seconds takes four to find each of them silent by itself: three
-// silent servers in a row, of a zone that says nothing while the other answers, are enough for all.
+// Guards against ejecting the servers of a lost zone one by one, which took four seconds in a zone of thirty,
+// as a router sends to each server only every few seconds. Three unresponsive servers in a row, of a zone
+// without any answer while the other answers, are enough to eject all of them.
 func TestUnresponsiveZoneIsEjectedAsAWhole(t *testing.T) {
-	b, dead, sent := newZoneLoss(t, 60)
+	b, lost, sent := newZoneLoss(t, 60)
 	for i := range maxSilent {
 		if got := countEjectedIn(b, "a"); got != 0 {
-			t.Fatalf("%d out after %d silent servers", got, i)
+			t.Fatalf("%d ejected after %d unresponsive servers", got, i)
 		}
-		b.observe(dead[i], TimedOut, sent+1)
+		b.observe(lost[i], TimedOut, sent+1)
 	}
 	if got := countEjectedIn(b, "a"); got != 30 {
-		t.Errorf("%d of 30 out", got)
+		t.Errorf("%d of 30 ejected", got)
 	}
 	if got := countEjectedIn(b, "b"); got != 0 {
-		t.Errorf("%d of the zone that answers are out", got)
+		t.Errorf("%d of the zone that answers are ejected", got)
 	}
-	// It is back: the first that answers has all others tried again at once, each by one request.
+	// After the zone has recovered, its first answer brings all others one trial request each at once.
 	b.now += 9000
-	b.observe(dead[7], OK, b.now-50)
-	if dead[7].ejected {
-		t.Error("the one that answered is still out")
+	b.observe(lost[7], OK, b.now-50)
+	if lost[7].ejected {
+		t.Error("the server that answered is still ejected")
 	}
-	for _, s := range dead {
+	for _, s := range lost {
 		if s.ejected && (s.trialAt > b.now || s.trialOverdue > b.now) {
-			t.Fatalf("trial in %v ms, due in %v", s.trialAt-b.now, s.trialOverdue-b.now)
+			t.Fatalf("trial in %v ms, forced in %v ms", s.trialAt-b.now, s.trialOverdue-b.now)
 		}
 	}
 }
 
-// What does not make a lost zone: one silent server again and again, silence everywhere, which is this router's own trouble or the
-// origin's, and silence that an answer of the zone has interrupted.
+// Cases that don't eject a zone: one server that is unresponsive repeatedly, no answers from any zone, which
+// points to this router or the origin, and missing replies interrupted by an answer of the zone.
 func TestSilenceThatIsNotAZoneLoss(t *testing.T) {
 	for name, history := range map[string]func(b *Balancer, a, o []*server, sent float64){
 		"one server": func(b *Balancer, a, o []*server, sent float64) {
@@ -79,13 +81,13 @@
 				b.observe(a[0], TimedOut, sent+1)
 			}
 		},
-		"silence everywhere": func(b *Balancer, a, o []*server, sent float64) {
+		"no answers from any zone": func(b *Balancer, a, o []*server, sent float64) {
 			for i := range 10 {
 				b.observe(a[i], TimedOut, sent+1)
 				b.observe(o[i], TimedOut, sent+1)
 			}
 		},
-		"an answer between": func(b *Balancer, a, o []*server, sent float64) {
+		"an answer in between": func(b *Balancer, a, o []*server, sent float64) {
 			b.observe(o[0], OK, sent)
 			b.observe(a[0], TimedOut, sent+1)
 			b.observe(a[1], TimedOut, sent+1)
@@ -93,7 +95,7 @@
 			b.observe(a[2], TimedOut, b.now+1)
 			b.observe(a[3], TimedOut, b.now+1)
 		},
-		"late news of attempts from before an answer": func(b *Balancer, a, o []*server, sent float64) {
+		"late time-outs of attempts sent before an answer": func(b *Balancer, a, o []*server, sent float64) {
 			b.observe(o[0], OK, sent)
 			b.observe(a[5], OK, sent)
 			for i := range 5 {
@@ -107,28 +109,28 @@
 			b.now += 300
 			history(b, serversIn(b, "a"), serversIn(b, "b"), sent)
 			if n := countEjectedIn(b, "a"); n > 1 {
-				t.Errorf("%d servers out", n)
+				t.Errorf("%d servers ejected", n)
 			}
 		})
 	}
 }
 
-// A new process in a lost zone has a new record, and the zone's end does not touch it.
+// A server that restarts in a lost zone is used, and the others of the zone stay ejected.
 func TestRestartedServerInLostZoneIsUsed(t *testing.T) {
-	b, dead, sent := newZoneLoss(t, 12)
+	b, lost, sent := newZoneLoss(t, 12)
 	for i := range maxSilent {
-		b.observe(dead[i], ConnectError, sent+1)
+		b.observe(lost[i], ConnectError, sent+1)
 	}
 	if got := countEjectedIn(b, "a"); got != 6 {
-		t.Fatalf("%d of 6 out", got)
+		t.Fatalf("%d of 6 ejected", got)
 	}
-	again := dead[4].Entry
-	again.Started = b.now + 1
-	b.Servers(b.now+100, Changes, []Entry{again})
-	if dead[4].ejected || dead[4].zoneLost {
-		t.Error("the new process is out")
+	restarted := lost[4].Entry
+	restarted.Started = b.now + 1
+	b.Servers(b.now+100, Changes, []Entry{restarted})
+	if lost[4].ejected || lost[4].zoneLost {
+		t.Error("the restarted server is ejected")
 	}
 	if got := countEjectedIn(b, "a"); got != 5 {
-		t.Errorf("%d others out, want 5", got)
+		t.Errorf("%d others ejected, want 5", got)
 	}
 }
