--- a/decide/api.go
+++ b/decide/api.go
@@ -208,7 +208,9 @@
 
 // Validate returns an error that names the first setting that is missing or impossible.
 func (c *Config) Validate() error {
-	bad := func(name string, v any) error { return fmt.Errorf("decide: setting %s: impossible value %v", name, v) }
+	bad := func(name string, v any) error {
+		return fmt.Errorf("decide: setting %s: impossible value %v", name, v)
+	}
 	positive := func(v float64) bool { return v > 0 && !math.IsInf(v, 1) }
 	nonNegative := func(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
 	switch {
@@ -286,7 +288,8 @@
 // setUpClasses rebuilds the lookup tables of classes and tenants; tenants that stay keep their counted use.
 func (b *Balancer) setUpClasses() {
 	used := b.tenantUse
-	b.classes, b.quotas, b.tenantUse, b.maxWorth = map[string]*Class{}, map[string]float64{}, map[string]*decayingSum{}, 0
+	b.classes, b.quotas, b.tenantUse, b.maxWorth = map[string]*Class{}, map[string]float64{},
+		map[string]*decayingSum{}, 0
 	for i, c := range b.cfg.Classes {
 		b.classes[c.Name], b.maxWorth = &b.cfg.Classes[i], max(b.maxWorth, c.Worth)
 	}
@@ -307,10 +310,13 @@
 		return nil, err
 	}
 	shares := float64(cfg.Routers)
-	b := &Balancer{cfg: cfg, tier: Tier{cfg.Routers, shares, math.Inf(1), shares}, processes: 1, shares: shares, host: host, rng: rand.New(rand.NewPCG(seed, 1)),
-		startedAt: -1, retryBudget: 10, fetchLimit: firstFetches(shares), waitShare: 0.2, connKeep: cfg.ConnIdle,
+	b := &Balancer{cfg: cfg, tier: Tier{cfg.Routers, shares, math.Inf(1), shares}, processes: 1,
+		shares: shares, host: host, rng: rand.New(rand.NewPCG(seed, 1)),
+		startedAt: -1, retryBudget: 10, fetchLimit: firstFetches(shares), waitShare: 0.2,
+		connKeep:     cfg.ConnIdle,
 		trafficShare: 1 / float64(cfg.Routers),
-		nextProbe:    int(seed % 4096), watchAt: math.Inf(1), servers: map[uint32]*server{}, zones: map[string]*zone{}, keys: map[uint64]*keyTraffic{},
+		nextProbe:    int(seed % 4096), watchAt: math.Inf(1), servers: map[uint32]*server{},
+		zones: map[string]*zone{}, keys: map[uint64]*keyTraffic{},
 		requests: map[uint32]*request{}}
 	b.setUpClasses()
 	return b, nil
@@ -383,7 +389,8 @@
 		b.host.Fail(req.ID)
 		return
 	}
-	r := &request{Request: req, class: c, deadline: now + req.Left, worth: c.Worth, work: b.relativeWork(req.Hint), key: b.trafficOf(req)}
+	r := &request{Request: req, class: c, deadline: now + req.Left, worth: c.Worth,
+		work: b.relativeWork(req.Hint), key: b.trafficOf(req)}
 	r.aimAt = now + min(req.Left, c.Aim+c.Stretch*req.Hint)
 	b.requests[req.ID] = r
 	b.arrive(r)
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -46,7 +46,8 @@
 		b := tier[0]
 		b.now = from
 		if capacity = 36 * b.warmFraction(b.servers[id]) * cfg.FallFor / 1000; float64(n) > cfg.FallMult*capacity {
-			t.Fatalf("%d requests in the window from %v, of %.0f that the server can serve", n, from-1e5, capacity)
+			t.Fatalf("%d requests in the window from %v, of %.0f that the server can serve", n, from-1e5,
+				capacity)
 		}
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -73,7 +73,8 @@
 func fleet(n int) []Entry {
 	var entries []Entry
 	for i := range n {
-		entries = append(entries, Entry{ID: uint32(mix64(uint64(i + 1))), Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
+		entries = append(entries, Entry{ID: uint32(mix64(uint64(i + 1))), Size: 1,
+			Zone: string(rune('a' + i%2)), Cell: i / 3})
 	}
 	return entries
 }
@@ -91,7 +92,8 @@
 
 // newRead returns a request for a key with time and worth to spare.
 func newRead(b *Balancer, k *keyTraffic) *request {
-	return &request{class: &b.cfg.Classes[0], key: k, work: 1, worth: 1, deadline: b.now + 600, aimAt: b.now + 300}
+	return &request{class: &b.cfg.Classes[0], key: k, work: 1, worth: 1, deadline: b.now + 600,
+		aimAt: b.now + 300}
 }
 
 func ask(b *Balancer, now float64, id uint32, class string, key uint64) {
@@ -278,7 +280,8 @@
 			load += k.splitServers[j].modelLoad
 		}
 		if k.splitServers[0].ID != 1 || math.Abs(sum-1) > 1e-9 || math.Abs(load-c.total) > 1e-6 {
-			t.Errorf("total %v: home %d, shares add up to %v, load to %v", c.total, k.splitServers[0].ID, sum, load)
+			t.Errorf("total %v: home %d, shares add up to %v, load to %v", c.total, k.splitServers[0].ID, sum,
+				load)
 		}
 	}
 }
@@ -432,7 +435,8 @@
 	k.storedOn = l[2]
 	ask(b, 100002, 2, "read", 5)
 	if h.refused[1] != 1 || len(h.sends) != 1 || h.last() != (sentAttempt{2, l[2].ID}) {
-		t.Errorf("refused %v, sends %v: want a refusal, then a send to the server that stores the key", h.refused, h.sends)
+		t.Errorf("refused %v, sends %v: want a refusal, then a send to the server that stores the key",
+			h.refused, h.sends)
 	}
 }
 
@@ -445,7 +449,8 @@
 	ask(b, 100001, 1, "read", 5)
 	ask(b, 100001, 2, "dear", 6)
 	if h.refused[1] != 1 || h.refused[2] != 0 || len(h.sends) != 1 {
-		t.Errorf("refused %v, sends %v: want the request of low worth refused and the other sent", h.refused, h.sends)
+		t.Errorf("refused %v, sends %v: want the request of low worth refused and the other sent", h.refused,
+			h.sends)
 	}
 }
 
@@ -462,11 +467,13 @@
 			if ask(b, now, i+1, "read", uint64(i)); len(h.sends) == 0 || h.last().id != i+1 {
 				continue // refused
 			}
-			o := Outcome{ID: i + 1, Server: h.last().server, Latency: c.took, CacheResult: 1, Final: true, Load: NoLoad}
+			o := Outcome{ID: i + 1, Server: h.last().server, Latency: c.took, CacheResult: 1, Final: true,
+				Load: NoLoad}
 			b.Outcome(now+c.took, o)
 		}
 		if b.waitShare < c.low || b.waitShare > c.high {
-			t.Errorf("answers after %v ms: accepted wait is %v of the aim, want %v to %v", c.took, b.waitShare, c.low, c.high)
+			t.Errorf("answers after %v ms: accepted wait is %v of the aim, want %v to %v", c.took,
+				b.waitShare, c.low, c.high)
 		}
 	}
 }
@@ -479,7 +486,8 @@
 		now, hint := 100001+500*float64(i), 1.0+9*float64(i%2)
 		b.Request(now, Request{ID: i + 1, Class: "dear", Key: 1, HasKey: true, Left: 600, Hint: hint})
 		latency := 50 + 10*hint
-		b.Outcome(now+latency, Outcome{ID: i + 1, Server: h.last().server, Latency: latency, CacheResult: 1, Final: true, Load: NoLoad})
+		b.Outcome(now+latency, Outcome{ID: i + 1, Server: h.last().server, Latency: latency, CacheResult: 1,
+			Final: true, Load: NoLoad})
 	}
 	if v := b.serverList[0].latency.value; v < 80 || v > 160 { // the mean is 105 ms, at a mean work of 1
 		t.Errorf("%v ms per unit of work, want about 105", v)
@@ -529,7 +537,8 @@
 		}
 		ask(b, now, i+1, "read", key)
 		if len(h.sends) > 0 && h.last().id == i+1 {
-			b.Outcome(now+50, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 50, Final: true, Load: NoLoad})
+			b.Outcome(now+50, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 50,
+				Final: true, Load: NoLoad})
 		}
 		for _, s := range b.serverList {
 			s.capacity.value, s.reportedRate = 40, 15
@@ -555,7 +564,8 @@
 		b, h := start(t, cfg, append(fleet(40), Entry{ID: 77, Kind: "origin"}))
 		for i := range uint32(c.before) {
 			ask(b, 100010+1000*float64(i)/float64(c.before), 100+i, "read", uint64(100+i))
-			b.Outcome(b.now, Outcome{ID: 100 + i, Server: h.last().server, Latency: 5, Final: true, Load: NoLoad})
+			b.Outcome(b.now, Outcome{ID: 100 + i, Server: h.last().server, Latency: 5, Final: true,
+				Load: NoLoad})
 		}
 		ask(b, 101010, 1, "read", 9)
 		k := b.requests[1].key
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -35,7 +35,7 @@
 	AcceptShare         float64       `json:"accept"`  // recent share of attempts accepted, 0 to 1
 	Suspicion           float64       `json:"doubt"`   // CUSUM statistic of the server's failures
 	FailShare           float64       `json:"fails"`   // share of failures, 0 to 1
-	ConsecutiveFailures int           `json:"strikes"` // signs of no reply since the last reply
+	ConsecutiveFailures int           `json:"strikes"` // missed replies since the last reply
 	LastReply           float64       `json:"reply"`   // time of the last reply
 	Ejected             bool          `json:"ejected"` // out of use because of its health
 	ZoneLost            bool          `json:"lost"`    // ejected together with its whole zone
@@ -74,10 +74,10 @@
 	LatencySquare float64                `json:"square"`   // mean of the squared latencies, ms²
 	Samples       float64                `json:"samples"`  // number that the means are taken over
 	WaitShare     float64                `json:"bear"`     // least share of the aim accepted as wait, 0 to 1
-	UsualFailures float64                `json:"usual"`    // share of failures at the median server, 0 to 1
-	LostShare     float64                `json:"lost"`     // share of overtaken attempts that are lost, 0 to 1
+	UsualFailures float64                `json:"usual"`    // share of failures at the median server
+	LostShare     float64                `json:"lost"`     // share of overtaken attempts lost, 0 to 1
 	ConnKeep      float64                `json:"keep"`     // ms that idle connections are kept
-	FetchLimit    float64                `json:"fetches"`  // fetches in flight; each process has its share
+	FetchLimit    float64                `json:"fetches"`  // fetches in flight, per process
 	FleetLatency  MovingAverage          `json:"jam"`      // ms per unit of work
 	FetchLatency  MovingAverage          `json:"fetch"`    // ms
 }
@@ -102,22 +102,32 @@
 // ExportLearned returns what the Balancer has learned so far.
 func (b *Balancer) ExportLearned(now float64) Learned {
 	b.advance(now)
-	l := Learned{Version: learnedVersion, StartedAt: b.startedAt, Arrivals: b.arrivals.snapshot(), MeanHint: b.meanHint, LatencyMean: b.latencies.mean, LatencySquare: b.latencies.meanSquare, Samples: b.latencies.samples,
-		WaitShare: b.waitShare, UsualFailures: b.usualFailures, LostShare: b.lostShare, ConnKeep: b.connKeep, FetchLimit: b.fetchLimit, FleetLatency: b.fleetLatency.snapshot(), FetchLatency: b.fetchLatency.snapshot(), TenantUse: map[string]DecayingSum{}}
+	l := Learned{Version: learnedVersion, StartedAt: b.startedAt, Arrivals: b.arrivals.snapshot(),
+		MeanHint: b.meanHint, LatencyMean: b.latencies.mean, LatencySquare: b.latencies.meanSquare,
+		Samples:   b.latencies.samples,
+		WaitShare: b.waitShare, UsualFailures: b.usualFailures, LostShare: b.lostShare, ConnKeep: b.connKeep,
+		FetchLimit: b.fetchLimit, FleetLatency: b.fleetLatency.snapshot(),
+		FetchLatency: b.fetchLatency.snapshot(), TenantUse: map[string]DecayingSum{}}
 	for name, use := range b.tenantUse {
 		l.TenantUse[name] = use.snapshot()
 	}
 	for _, s := range b.serverList[:min(len(b.serverList), maxLearnedServers)] {
-		l.Servers = append(l.Servers, LearnedServer{ID: s.ID, Started: s.Started, AcceptShare: s.acceptShare, Suspicion: s.suspicion, FailShare: s.failShare, ConsecutiveFailures: s.consecutiveFailures,
-			LastReply: s.lastReply, Ejected: s.ejected, ZoneLost: s.zoneLost, ConnRefused: s.connRefused, TrialAt: s.trialAt, TrialPause: s.trialPause, TrialOverdue: s.trialOverdue, ColdSince: exportTime(s.coldSince),
-			SendBudget: s.sendBudget.snapshot(), SentWork: s.sentWork.snapshot(), ReportedRate: s.reportedRate, ReportedAt: exportTime(s.reportedAt), Capacity: s.capacity.snapshot(), Latency: s.latency.snapshot()})
+		l.Servers = append(l.Servers, LearnedServer{ID: s.ID, Started: s.Started, AcceptShare: s.acceptShare,
+			Suspicion: s.suspicion, FailShare: s.failShare, ConsecutiveFailures: s.consecutiveFailures,
+			LastReply: s.lastReply, Ejected: s.ejected, ZoneLost: s.zoneLost, ConnRefused: s.connRefused,
+			TrialAt: s.trialAt, TrialPause: s.trialPause, TrialOverdue: s.trialOverdue,
+			ColdSince:  exportTime(s.coldSince),
+			SendBudget: s.sendBudget.snapshot(), SentWork: s.sentWork.snapshot(),
+			ReportedRate: s.reportedRate, ReportedAt: exportTime(s.reportedAt),
+			Capacity: s.capacity.snapshot(), Latency: s.latency.snapshot()})
 	}
 	top := make([]*keyTraffic, 0, maxLearnedKeys+1)
 	for _, k := range b.keyList {
 		top = insertHottest(top, k, maxLearnedKeys)
 	}
 	for _, k := range top {
-		learnedKey := LearnedKey{ID: k.id, Rate: k.rate.snapshot(), MeanWork: k.meanWork, StoredAt: k.storedAt}
+		learnedKey := LearnedKey{ID: k.id, Rate: k.rate.snapshot(), MeanWork: k.meanWork,
+			StoredAt: k.storedAt}
 		if k.storedOn != nil {
 			learnedKey.StoredOn = k.storedOn.ID
 		}
@@ -135,9 +145,12 @@
 		return err
 	}
 	b.startedAt = min(b.startedAt, l.StartedAt)
-	b.arrivals, b.meanHint, b.latencies = l.Arrivals.restore(), l.MeanHint, moments{l.LatencyMean, l.LatencySquare, l.Samples}
-	b.waitShare, b.usualFailures, b.lostShare, b.connKeep = l.WaitShare, l.UsualFailures, l.LostShare, min(b.cfg.ConnIdle, l.ConnKeep)
-	b.fetchLimit, b.fleetLatency, b.fetchLatency = l.FetchLimit, l.FleetLatency.restore(), l.FetchLatency.restore()
+	b.arrivals, b.meanHint, b.latencies = l.Arrivals.restore(), l.MeanHint,
+		moments{l.LatencyMean, l.LatencySquare, l.Samples}
+	b.waitShare, b.usualFailures, b.lostShare, b.connKeep = l.WaitShare, l.UsualFailures, l.LostShare,
+		min(b.cfg.ConnIdle, l.ConnKeep)
+	b.fetchLimit, b.fleetLatency, b.fetchLatency = l.FetchLimit, l.FleetLatency.restore(),
+		l.FetchLatency.restore()
 	for name, use := range l.TenantUse {
 		if b.tenantUse[name] != nil {
 			*b.tenantUse[name] = use.restore()
@@ -148,16 +161,21 @@
 		if s == nil || !s.listed || s.Started != learned.Started {
 			continue
 		}
-		s.acceptShare, s.suspicion, s.failShare, s.consecutiveFailures, s.lastReply = learned.AcceptShare, learned.Suspicion, learned.FailShare, learned.ConsecutiveFailures, learned.LastReply
-		s.ejected, s.zoneLost, s.connRefused, s.trialAt, s.trialPause, s.trialOverdue = learned.Ejected, learned.ZoneLost, learned.ConnRefused, learned.TrialAt, learned.TrialPause, learned.TrialOverdue
-		s.coldSince, s.sendBudget, s.sentWork = importTime(learned.ColdSince), learned.SendBudget.restore(), learned.SentWork.restore()
-		s.reportedRate, s.reportedAt, s.capacity, s.latency = learned.ReportedRate, importTime(learned.ReportedAt), learned.Capacity.restore(), learned.Latency.restore()
+		s.acceptShare, s.suspicion, s.failShare, s.consecutiveFailures, s.lastReply = learned.AcceptShare,
+			learned.Suspicion, learned.FailShare, learned.ConsecutiveFailures, learned.LastReply
+		s.ejected, s.zoneLost, s.connRefused, s.trialAt, s.trialPause, s.trialOverdue = learned.Ejected,
+			learned.ZoneLost, learned.ConnRefused, learned.TrialAt, learned.TrialPause, learned.TrialOverdue
+		s.coldSince, s.sendBudget, s.sentWork = importTime(learned.ColdSince), learned.SendBudget.restore(),
+			learned.SentWork.restore()
+		s.reportedRate, s.reportedAt, s.capacity, s.latency = learned.ReportedRate,
+			importTime(learned.ReportedAt), learned.Capacity.restore(), learned.Latency.restore()
 	}
 	for _, learned := range l.Keys {
 		if b.keys[learned.ID] != nil {
 			continue
 		}
-		k := &keyTraffic{id: learned.ID, rate: learned.Rate.restore(), meanWork: learned.MeanWork, storedAt: learned.StoredAt, storedOn: b.servers[learned.StoredOn]}
+		k := &keyTraffic{id: learned.ID, rate: learned.Rate.restore(), meanWork: learned.MeanWork,
+			storedAt: learned.StoredAt, storedOn: b.servers[learned.StoredOn]}
 		b.keys[learned.ID], b.keyList = k, append(b.keyList, k)
 	}
 	b.solveNeeded = true
@@ -168,10 +186,12 @@
 // differ a little.
 func (l *Learned) validate(now float64) error {
 	if l.Version != learnedVersion {
-		return fmt.Errorf("decide: learned state has version %d, this process needs %d", l.Version, learnedVersion)
+		return fmt.Errorf("decide: learned state has version %d, this process needs %d", l.Version,
+			learnedVersion)
 	}
 	if len(l.Servers) > maxLearnedServers || len(l.Keys) > maxLearnedKeys {
-		return fmt.Errorf("decide: learned state has %d servers and %d keys, at most %d and %d are allowed", len(l.Servers), len(l.Keys), maxLearnedServers, maxLearnedKeys)
+		return fmt.Errorf("decide: learned state has %d servers and %d keys, at most %d and %d are allowed",
+			len(l.Servers), len(l.Keys), maxLearnedServers, maxLearnedKeys)
 	}
 	latest := now + 1000
 	checker := &learnedChecker{}
@@ -187,7 +207,8 @@
 	for _, s := range l.Servers {
 		name := fmt.Sprintf("server %08x", s.ID)
 		checker.checkValues(name, 1, s.AcceptShare, s.FailShare)
-		checker.checkValues(name, 1e12, s.Suspicion, s.TrialPause, s.ReportedRate, float64(s.ConsecutiveFailures))
+		checker.checkValues(name, 1e12, s.Suspicion, s.TrialPause, s.ReportedRate,
+			float64(s.ConsecutiveFailures))
 		checker.checkValues(name, latest, s.Started, s.LastReply, s.ColdSince, s.ReportedAt)
 		checker.checkValues(name, latest+1e6, s.TrialAt, s.TrialOverdue)
 		checker.checkAverages(name, latest, s.Capacity, s.Latency)
--- a/decide/learned_clock.go
+++ b/decide/learned_clock.go
@@ -17,7 +17,8 @@
 	}
 	for i := range l.Servers {
 		s := &l.Servers[i]
-		move(&s.Started, &s.LastReply, &s.TrialAt, &s.TrialOverdue, &s.ColdSince, &s.SendBudget.Updated, &s.SentWork.Updated, &s.ReportedAt, &s.Capacity.Updated, &s.Latency.Updated)
+		move(&s.Started, &s.LastReply, &s.TrialAt, &s.TrialOverdue, &s.ColdSince, &s.SendBudget.Updated,
+			&s.SentWork.Updated, &s.ReportedAt, &s.Capacity.Updated, &s.Latency.Updated)
 	}
 	for i := range l.Keys {
 		move(&l.Keys[i].StoredAt, &l.Keys[i].Rate.Updated)
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -18,13 +18,15 @@
 	now, bad := 100000.0, fleet(6)[0].ID
 	for id := uint32(1); id <= 2000; id++ {
 		now += 5
-		b.Request(now, Request{ID: id, Class: "read", Tenant: "t", Key: uint64(id % 37), HasKey: true, Left: 600})
+		b.Request(now, Request{ID: id, Class: "read", Tenant: "t", Key: uint64(id % 37), HasKey: true,
+			Left: 600})
 		for _, s := range h.sends {
 			st := OK
 			if s.server == bad {
 				st = Reset
 			}
-			b.Outcome(now+2, Outcome{ID: s.id, Server: s.server, Status: st, Latency: 2, Load: Load{QPS: 40, Util: 0.4, EPS: -1, Inflight: -1, Latency: -1}})
+			b.Outcome(now+2, Outcome{ID: s.id, Server: s.server, Status: st, Latency: 2, Load: Load{QPS: 40,
+				Util: 0.4, EPS: -1, Inflight: -1, Latency: -1}})
 		}
 		h.sends = nil
 	}
@@ -60,14 +62,18 @@
 	if err := b.ImportLearned(old.now+50, l); err != nil {
 		t.Fatal(err)
 	}
-	if got := b.ExportLearned(b.now); !reflect.DeepEqual(got.Servers, l.Servers) || len(got.Keys) != len(l.Keys) || got.LatencyMean != l.LatencyMean || got.TenantUse["t"] != l.TenantUse["t"] {
+	if got := b.ExportLearned(b.now); !reflect.DeepEqual(got.Servers,
+		l.Servers) || len(got.Keys) != len(l.Keys) || got.LatencyMean != l.LatencyMean || got.TenantUse["t"] != l.TenantUse["t"] {
 		t.Errorf("exported %+v, after the import %+v", l.Servers, got.Servers)
 	}
 	known, avoided := b.ServerCounts()
-	if oldKnown, oldAvoided := old.ServerCounts(); known != oldKnown || avoided != oldAvoided || avoided == 0 {
-		t.Errorf("%d of %d servers are avoided, by the old one %d of %d", avoided, known, oldAvoided, oldKnown)
+	if oldKnown,
+		oldAvoided := old.ServerCounts(); known != oldKnown || avoided != oldAvoided || avoided == 0 {
+		t.Errorf("%d of %d servers are avoided, by the old one %d of %d", avoided, known, oldAvoided,
+			oldKnown)
 	}
-	if s, o := b.servers[fleet(6)[1].ID], old.servers[fleet(6)[1].ID]; s.coldSince != o.coldSince || b.warmFraction(s) > 0.5 {
+	if s, o := b.servers[fleet(6)[1].ID],
+		old.servers[fleet(6)[1].ID]; s.coldSince != o.coldSince || b.warmFraction(s) > 0.5 {
 		t.Errorf("a cold server counts as %v warm", b.warmFraction(s))
 	}
 	for i := range uint32(50) { // nothing goes to the ejected server
@@ -166,6 +172,7 @@
 		t.Errorf("both gain %v of a cold server's budget in 100 ms, one alone %v", both, s.sendBudget.value)
 	}
 	if math.Abs(b.fetchLimit-fetches) > 1e-9 || b.cfg.Routers != b.tier.Routers {
-		t.Errorf("alone again: %v fetches of %v, %d routers of %d", b.fetchLimit, fetches, b.cfg.Routers, b.tier.Routers)
+		t.Errorf("alone again: %v fetches of %v, %d routers of %d", b.fetchLimit, fetches, b.cfg.Routers,
+			b.tier.Routers)
 	}
 }
--- a/decide/owners_test.go
+++ b/decide/owners_test.go
@@ -21,7 +21,8 @@
 }
 
 func askOwners(b *Balancer, now float64, id uint32, class string, write bool, owners ...uint32) {
-	b.Request(now, Request{ID: id, Class: class, Key: 42, HasKey: true, Left: 600, Write: write, Owners: owners})
+	b.Request(now, Request{ID: id, Class: class, Key: 42, HasKey: true, Left: 600, Write: write,
+		Owners: owners})
 }
 
 // A request goes to its owners only: writes to the primary, reads of a loaded key also to its replicas.
@@ -48,7 +49,8 @@
 			t.Fatalf("request %d (write %v) went to %d", i, write, s)
 		}
 		if i%3 > 0 { // the others stay in flight, so that a queue builds up
-			b.Outcome(now+0.5, Outcome{ID: uint32(i + 1), Server: s, Status: OK, Latency: 20, Final: true, Load: Load{50, 0, 0.9, 5, 20}})
+			b.Outcome(now+0.5, Outcome{ID: uint32(i + 1), Server: s, Status: OK, Latency: 20, Final: true,
+				Load: Load{50, 0, 0.9, 5, 20}})
 		}
 		b.Timer(now, tickToken)
 	}
@@ -67,16 +69,20 @@
 		if s := h.last(); len(h.sends) != i+1 || s.server != ids[i] {
 			t.Fatalf("attempt %d: sends %v", i, h.sends)
 		}
-		b.Outcome(100002+float64(i), Outcome{ID: 1, Attempt: i, Server: ids[i], Status: Ignored, Load: NoLoad, Owners: ids[i+1 : i+2]})
+		b.Outcome(100002+float64(i), Outcome{ID: 1, Attempt: i, Server: ids[i], Status: Ignored, Load: NoLoad,
+			Owners: ids[i+1 : i+2]})
 	}
-	b.Outcome(100006, Outcome{ID: 1, Attempt: 3, Server: ids[3], Status: Ignored, Load: NoLoad, Owners: ids[4:5]})
+	b.Outcome(100006, Outcome{ID: 1, Attempt: 3, Server: ids[3], Status: Ignored, Load: NoLoad,
+		Owners: ids[4:5]})
 	if len(h.sends) != 4 || h.refused[1] != 1 || h.failed[1] != 0 {
 		t.Errorf("sends %v, refused %v, failed %v", h.sends, h.refused, h.failed)
 	}
 	askOwners(b, 100010, 2, "once", true, ids[0])
-	b.Outcome(100011, Outcome{ID: 2, Attempt: 0, Server: ids[0], Status: Ignored, Load: NoLoad, Owners: ids[1:2]})
+	b.Outcome(100011, Outcome{ID: 2, Attempt: 0, Server: ids[0], Status: Ignored, Load: NoLoad,
+		Owners: ids[1:2]})
 	// The second server redirects back to the first.
-	b.Outcome(100012, Outcome{ID: 2, Attempt: 1, Server: ids[1], Status: Ignored, Load: NoLoad, Owners: ids[0:1]})
+	b.Outcome(100012, Outcome{ID: 2, Attempt: 1, Server: ids[1], Status: Ignored, Load: NoLoad,
+		Owners: ids[0:1]})
 	if n := len(h.sends); n != 6 || h.refused[2] != 1 {
 		t.Errorf("redirected back: sends %v, refused %v", h.sends, h.refused)
 	}
@@ -87,7 +93,8 @@
 	for _, st := range []Status{TimedOut, Reset, Failed, InvalidAnswer, Canceled} {
 		b, h, ids := newStandalone(t, 6)
 		askOwners(b, 100001, 1, "once", true, ids[0])
-		b.Outcome(100100, Outcome{ID: 1, Attempt: 0, Server: ids[0], Status: st, Load: NoLoad, Owners: ids[1:2]})
+		b.Outcome(100100, Outcome{ID: 1, Attempt: 0, Server: ids[0], Status: st, Load: NoLoad,
+			Owners: ids[1:2]})
 		if len(h.sends) != 1 || h.failed[1] != 1 || h.refused[1] != 0 {
 			t.Errorf("%v: sends %v, failed %v, refused %v", st, h.sends, h.failed, h.refused)
 		}
@@ -100,7 +107,8 @@
 	b, h, _ := newStandalone(t, 3)
 	askOwners(b, 100001, 1, "once", true, math.MaxUint32)
 	b.Request(100002, Request{ID: 2, Class: "read", Key: 7, HasKey: true, Left: 600, Owners: []uint32{}})
-	b.Request(100003, Request{ID: 3, Class: "once", Key: 42, HasKey: true, Left: 600, Write: true, Owners: []uint32{}})
+	b.Request(100003, Request{ID: 3, Class: "once", Key: 42, HasKey: true, Left: 600, Write: true,
+		Owners: []uint32{}})
 	if len(h.sends) != 0 || h.refused[1] != 1 || h.refused[2] != 1 || h.refused[3] != 1 {
 		t.Errorf("sends %v, refused %v", h.sends, h.refused)
 	}
@@ -165,22 +173,26 @@
 	for _, stored := range []Status{OK, TimedOut, ConnectError} {
 		b, h, ids, origin := newAside(t)
 		askOwners(b, 100001, 1, "read", false, ids[0])
-		b.Outcome(100002, Outcome{ID: 1, Server: ids[0], Status: Miss, CacheResult: 2, Latency: 1, Load: NoLoad})
+		b.Outcome(100002, Outcome{ID: 1, Server: ids[0], Status: Miss, CacheResult: 2, Latency: 1,
+			Load: NoLoad})
 		askOwners(b, 100003, 2, "read", false, ids[0])
 		askOwners(b, 100003, 3, "read", false, ids[0])
 		if n := len(h.sends); n != 2 || h.last().server != origin {
 			t.Fatalf("sends %v, want one fetch", h.sends)
 		}
-		b.Request(100010, Request{ID: 9, Class: "once", Key: 42, HasKey: true, Left: 250, Write: true, Owners: ids[:1], Stores: true})
+		b.Request(100010, Request{ID: 9, Class: "once", Key: 42, HasKey: true, Left: 250, Write: true,
+			Owners: ids[:1], Stores: true})
 		if s := h.last(); s.server != ids[0] || len(h.sends) != 3 {
 			t.Fatalf("sends %v, want the store to go to the owner", h.sends)
 		}
-		b.Outcome(100010, Outcome{ID: 1, Attempt: 1, Server: origin, Status: OK, Latency: 8, Final: true, Load: NoLoad})
+		b.Outcome(100010, Outcome{ID: 1, Attempt: 1, Server: origin, Status: OK, Latency: 8, Final: true,
+			Load: NoLoad})
 		if len(h.sends) != 3 {
 			t.Fatalf("sends %v, want none before the store has ended", h.sends)
 		}
 		b.retryBudget = 0 // the store is never retried here
-		b.Outcome(100012, Outcome{ID: 9, Server: ids[0], Status: stored, Latency: 2, Final: stored == OK, Load: NoLoad})
+		b.Outcome(100012, Outcome{ID: 9, Server: ids[0], Status: stored, Latency: 2, Final: stored == OK,
+			Load: NoLoad})
 		after := h.sends[3:]
 		switch {
 		case stored == OK && (len(after) != 2 || after[0].server != ids[0] || after[1].server != ids[0]):
@@ -196,7 +208,8 @@
 	b, _, ids, _ := newAside(t)
 	b.retryBudget = 0
 	for id := range uint32(20) {
-		b.Request(100001, Request{ID: id + 1, Class: "once", Tenant: "t", Key: uint64(id), HasKey: true, Left: 250, Write: true, Owners: ids[:1], Stores: true})
+		b.Request(100001, Request{ID: id + 1, Class: "once", Tenant: "t", Key: uint64(id), HasKey: true,
+			Left: 250, Write: true, Owners: ids[:1], Stores: true})
 	}
 	if b.retryBudget != 0 || b.arrivals.value != 0 {
 		t.Errorf("retry budget %v, arrivals %v, want 0", b.retryBudget, b.arrivals.value)
@@ -208,7 +221,8 @@
 	b, h, ids, origin := newAside(t)
 	miss := func(now float64, id uint32) {
 		askOwners(b, now, id, "read", false, ids[0])
-		b.Outcome(now, Outcome{ID: id, Server: ids[0], Status: Miss, CacheResult: 2, Latency: 1, Load: NoLoad})
+		b.Outcome(now, Outcome{ID: id, Server: ids[0], Status: Miss, CacheResult: 2, Latency: 1,
+			Load: NoLoad})
 	}
 	fetches := func() (n int) {
 		for _, s := range h.sends {
@@ -223,7 +237,8 @@
 	if fetches() != 1 {
 		t.Fatalf("sends %v, want one fetch", h.sends)
 	}
-	b.Outcome(100010, Outcome{ID: 1, Attempt: 1, Server: origin, Status: OK, CacheResult: 4, Latency: 8, Final: true, Load: NoLoad})
+	b.Outcome(100010, Outcome{ID: 1, Attempt: 1, Server: origin, Status: OK, CacheResult: 4, Latency: 8,
+		Final: true, Load: NoLoad})
 	miss(100020, 3)
 	miss(100021, 4)
 	if n := fetches(); n != 4 {
@@ -236,7 +251,8 @@
 				tries++
 			}
 		}
-		b.Outcome(100030, Outcome{ID: id, Attempt: tries, Server: origin, Status: OK, Latency: 8, Final: true, Load: NoLoad})
+		b.Outcome(100030, Outcome{ID: id, Attempt: tries, Server: origin, Status: OK, Latency: 8, Final: true,
+			Load: NoLoad})
 	}
 	miss(102000, 5)
 	miss(102001, 6)
--- a/decide/queue_test.go
+++ b/decide/queue_test.go
@@ -20,8 +20,9 @@
 		b.Request(now, Request{ID: id, Class: "dear", Key: uint64(id), HasKey: true, Left: 600, Hint: hint})
 		for _, s := range h.sends {
 			latency := 40 + hint
-			b.Outcome(now+latency, Outcome{ID: s.id, Server: s.server, Status: OK, CacheResult: 1, Latency: latency,
-				Load: Load{QPS: 20 + float64(id%7)/100, Util: util, EPS: -1, Inflight: -1, Latency: -1}})
+			b.Outcome(now+latency, Outcome{ID: s.id, Server: s.server, Status: OK, CacheResult: 1,
+				Latency: latency,
+				Load:    Load{QPS: 20 + float64(id%7)/100, Util: util, EPS: -1, Inflight: -1, Latency: -1}})
 		}
 		h.sends = nil
 		b.Timer(now+99, tickToken)
@@ -33,7 +34,8 @@
 func countRefused(b *Balancer, h *fakeHost, now float64, reads int) (refused int) {
 	before := len(h.refused)
 	for i := range uint32(reads) {
-		b.Request(now, Request{ID: 1e6 + i, Class: "read", Key: uint64(7000 + i), HasKey: true, Left: 600, Hint: 50})
+		b.Request(now, Request{ID: 1e6 + i, Class: "read", Key: uint64(7000 + i), HasKey: true, Left: 600,
+			Hint: 50})
 	}
 	return len(h.refused) - before
 }
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -7,7 +7,8 @@
 	b, h := start(t, testConfig(), fleet(3))
 	before := b.arrivals.value
 	for id, class := range map[uint32]string{1: "read", 2: "keyed", 3: "once"} {
-		b.Request(100001, Request{ID: id, Class: class, Key: 42, HasKey: true, Left: 600, Standing: QuotaDenied, Again: 70})
+		b.Request(100001, Request{ID: id, Class: class, Key: 42, HasKey: true, Left: 600,
+			Standing: QuotaDenied, Again: 70})
 		if h.refused[id] != 1 || len(h.sends) != 0 || b.requests[id] != nil {
 			t.Errorf("%s: refused %v, sends %v, request record %v", class, h.refused, h.sends, b.requests[id])
 		}
@@ -28,7 +29,8 @@
 	cfg.OverWorth = 0.25
 	b, h := start(t, cfg, fleet(2))
 	worth := func(id uint32, s QuotaStatus) float64 {
-		b.Request(100001, Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Left: 600, Standing: s})
+		b.Request(100001, Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Left: 600,
+			Standing: s})
 		return b.requests[id].worth
 	}
 	guaranteed, leased, exceeded := worth(1, QuotaGuaranteed), worth(2, QuotaLeased), worth(3, QuotaExceeded)
@@ -42,8 +44,10 @@
 		from := len(h.sends)
 		for i := range 20 {
 			id := uint32(1000*int(s) + 10 + i)
-			b.Request(100001, Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Left: 600, Owners: ids[:1], Standing: s})
-			b.Outcome(100001, Outcome{ID: id, Server: ids[0], Status: Miss, CacheResult: 2, Latency: 1, Load: NoLoad})
+			b.Request(100001, Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Left: 600,
+				Owners: ids[:1], Standing: s})
+			b.Outcome(100001, Outcome{ID: id, Server: ids[0], Status: Miss, CacheResult: 2, Latency: 1,
+				Load: NoLoad})
 		}
 		for _, x := range h.sends[from:] {
 			if x.server == origin {
@@ -53,7 +57,8 @@
 		return n
 	}
 	// Exceeded requests may use a quarter of the limit, leased ones up to a half, guaranteed ones all of it.
-	if o, l, w := fetchesFor(QuotaExceeded), fetchesFor(QuotaLeased), fetchesFor(QuotaGuaranteed); o != 2 || o+l != 4 || o+l+w != 8 {
+	if o, l, w := fetchesFor(QuotaExceeded), fetchesFor(QuotaLeased),
+		fetchesFor(QuotaGuaranteed); o != 2 || o+l != 4 || o+l+w != 8 {
 		t.Errorf("fetches in flight: exceeded %d, leased %d, guaranteed %d", o, l, w)
 	}
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -37,9 +37,11 @@
 // serveOne makes one request and answers it.
 func serveOne(b *Balancer, h *fakeHost, now float64, id uint32, key uint64, n int) {
 	h.sends = h.sends[:0]
-	b.Request(now, Request{ID: id, Class: "read", Tenant: fmt.Sprint("tenant", n%10000), Key: mix64(key), HasKey: true, Left: 600})
+	b.Request(now, Request{ID: id, Class: "read", Tenant: fmt.Sprint("tenant", n%10000), Key: mix64(key),
+		HasKey: true, Left: 600})
 	if len(h.sends) == 1 {
-		b.Outcome(now+0.001, Outcome{ID: id, Server: h.sends[0].server, Status: OK, Latency: 2, Final: true, CacheResult: 1, Load: Load{500, 0, 0.4, 3, 2}})
+		b.Outcome(now+0.001, Outcome{ID: id, Server: h.sends[0].server, Status: OK, Latency: 2, Final: true,
+			CacheResult: 1, Load: Load{500, 0, 0.4, 3, 2}})
 	}
 	h.timers = h.timers[:0]
 }
@@ -119,7 +121,8 @@
 			b.ClientGone(now, id-3)
 		case 11: // some attempt in flight ends
 			s := h.sends[len(h.sends)-1]
-			b.Outcome(now, Outcome{ID: s.id, Server: s.server, Status: []Status{OK, TimedOut, Failed}[i%3], Latency: 1, CacheResult: 2, Load: NoLoad})
+			b.Outcome(now, Outcome{ID: s.id, Server: s.server, Status: []Status{OK, TimedOut, Failed}[i%3],
+				Latency: 1, CacheResult: 2, Load: NoLoad})
 		}
 		if i%500 == 0 {
 			if n := count(); n != b.mayFetchCount {
--- a/decide/state.go
+++ b/decide/state.go
@@ -87,7 +87,7 @@
 	acceptShare              float64       // recent share of attempts accepted
 	suspicion                float64       // CUSUM statistic: evidence that the server itself is faulty
 	failShare                float64       // share of failures, averaged over 30 outcomes
-	consecutiveFailures      int           // signs of no reply since the last reply
+	consecutiveFailures      int           // missed replies since the last reply
 	lastReply                float64       // time of the last reply
 	answeredSentAt           float64       // send time of the latest attempt that it has answered
 	ejected                  bool          // out of use because of its health
@@ -215,7 +215,8 @@
 	for _, e := range entries {
 		s := b.servers[e.ID]
 		if s == nil {
-			s = &server{acceptShare: 1, lastReply: b.now, coldSince: math.Inf(-1), probedAt: math.Inf(-1), reportedAt: math.Inf(-1)}
+			s = &server{acceptShare: 1, lastReply: b.now, coldSince: math.Inf(-1), probedAt: math.Inf(-1),
+				reportedAt: math.Inf(-1)}
 			b.servers[e.ID] = s
 		}
 		if e.Started > 0 && e.Started != s.Started {
@@ -275,7 +276,8 @@
 		if k.owners != nil {
 			return k.hashList
 		}
-		for h, i := mix64(k.id), 0; len(k.hashList) < min(listLen, len(b.serverList)) && i < 4<<tableBits; i++ {
+		for h, i := mix64(k.id), 0; len(k.hashList) < min(listLen,
+			len(b.serverList)) && i < 4<<tableBits; i++ {
 			if s := b.hashTable[h>>(64-tableBits)]; s != nil && !slices.Contains(k.hashList, s) {
 				k.hashList = append(k.hashList, s)
 			}
@@ -337,14 +339,16 @@
 // updateMedians recomputes the median capacity per unit of size, and returns the mean rate of the servers
 // that reported one, 0 if none did. Where a size is missing all servers count alike.
 func (b *Balancer) updateMedians() (mean float64) {
-	b.medianCapacity, b.medianFloor, b.sizesKnown = 0, 0, !slices.ContainsFunc(b.serverList, func(s *server) bool { return !validFigure(s.Size) || s.Size == 0 })
+	b.medianCapacity, b.medianFloor, b.sizesKnown = 0, 0, !slices.ContainsFunc(b.serverList,
+		func(s *server) bool { return !validFigure(s.Size) || s.Size == 0 })
 	capacities, floors, n := make([]float64, 0, len(b.serverList)), make([]float64, 0, len(b.serverList)), 0.0
 	for _, s := range b.serverList {
 		if s.reportedRate > 0 {
 			mean, n = mean+s.reportedRate, n+1
 		}
 		if s.capacity.value > 0 {
-			capacities, floors = append(capacities, s.capacity.value/s.sizeUnit(b.sizesKnown)), append(floors, min(s.capacity.value, s.capacity.floor)/s.sizeUnit(b.sizesKnown))
+			capacities, floors = append(capacities, s.capacity.value/s.sizeUnit(b.sizesKnown)), append(floors,
+				min(s.capacity.value, s.capacity.floor)/s.sizeUnit(b.sizesKnown))
 		}
 	}
 	if len(capacities) > 0 {
@@ -355,7 +359,8 @@
 	return mean / max(1, n)
 }
 
-// typicalCapacity returns the median capacity scaled to the size of s, or def if no server has reported one.
+// typicalCapacity returns the median capacity scaled to the size of s, or fallback if no server has reported
+// one.
 func (b *Balancer) typicalCapacity(s *server, fallback float64) float64 {
 	if b.medianCapacity == 0 {
 		return fallback
