--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -62,18 +62,19 @@
 	if err := b.ImportLearned(old.now+50, l); err != nil {
 		t.Fatal(err)
 	}
-	if got := b.ExportLearned(b.now); !reflect.DeepEqual(got.Servers,
-		l.Servers) || len(got.Keys) != len(l.Keys) || got.LatencyMean != l.LatencyMean || got.TenantUse["t"] != l.TenantUse["t"] {
+	if got := b.ExportLearned(b.now); !reflect.DeepEqual(got.Servers, l.Servers) ||
+		len(got.Keys) != len(l.Keys) || got.LatencyMean != l.LatencyMean ||
+		got.TenantUse["t"] != l.TenantUse["t"] {
 		t.Errorf("exported %+v, after the import %+v", l.Servers, got.Servers)
 	}
 	known, avoided := b.ServerCounts()
-	if oldKnown,
-		oldAvoided := old.ServerCounts(); known != oldKnown || avoided != oldAvoided || avoided == 0 {
+	if oldKnown, oldAvoided := old.ServerCounts(); known != oldKnown || avoided != oldAvoided ||
+		avoided == 0 {
 		t.Errorf("%d of %d servers are avoided, by the old one %d of %d", avoided, known, oldAvoided,
 			oldKnown)
 	}
-	if s, o := b.servers[fleet(6)[1].ID],
-		old.servers[fleet(6)[1].ID]; s.coldSince != o.coldSince || b.warmFraction(s) > 0.5 {
+	if s, o := b.servers[fleet(6)[1].ID], old.servers[fleet(6)[1].ID]; s.coldSince != o.coldSince ||
+		b.warmFraction(s) > 0.5 {
 		t.Errorf("a cold server counts as %v warm", b.warmFraction(s))
 	}
 	for i := range uint32(50) { // nothing goes to the ejected server
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -57,8 +57,8 @@
 		return n
 	}
 	// Exceeded requests may use a quarter of the limit, leased ones up to a half, guaranteed ones all of it.
-	if o, l, w := fetchesFor(QuotaExceeded), fetchesFor(QuotaLeased),
-		fetchesFor(QuotaGuaranteed); o != 2 || o+l != 4 || o+l+w != 8 {
+	if o, l, w := fetchesFor(QuotaExceeded), fetchesFor(QuotaLeased), fetchesFor(QuotaGuaranteed); o != 2 ||
+		o+l != 4 || o+l+w != 8 {
 		t.Errorf("fetches in flight: exceeded %d, leased %d, guaranteed %d", o, l, w)
 	}
 }
--- a/decide/state.go
+++ b/decide/state.go
@@ -252,7 +252,8 @@
 	for _, s := range b.serverList {
 		for i := range b.bucketClaims(s) {
 			slot := mix64(uint64(s.ID)<<8|uint64(i)) >> (64 - tableBits)
-			if o := b.hashTable[slot]; o == nil || mix64(slot^uint64(s.ID)<<16) < mix64(slot^uint64(o.ID)<<16) {
+			if o := b.hashTable[slot]; o == nil ||
+				mix64(slot^uint64(s.ID)<<16) < mix64(slot^uint64(o.ID)<<16) {
 				b.hashTable[slot] = s
 			}
 		}
@@ -276,8 +277,8 @@
 		if k.owners != nil {
 			return k.hashList
 		}
-		for h, i := mix64(k.id), 0; len(k.hashList) < min(listLen,
-			len(b.serverList)) && i < 4<<tableBits; i++ {
+		for h, i := mix64(k.id), 0; len(k.hashList) < min(listLen, len(b.serverList)) &&
+			i < 4<<tableBits; i++ {
 			if s := b.hashTable[h>>(64-tableBits)]; s != nil && !slices.Contains(k.hashList, s) {
 				k.hashList = append(k.hashList, s)
 			}
