--- a/decide/api.go
+++ b/decide/api.go
@@ -312,7 +312,7 @@
 	shares := float64(cfg.Routers)
 	b := &Balancer{cfg: cfg, tier: Tier{cfg.Routers, shares, math.Inf(1), shares}, processes: 1,
 		shares: shares, host: host, rng: rand.New(rand.NewPCG(seed, 1)),
-		startedAt: -1, retryBudget: 10, fetchLimit: firstFetches(shares), waitShare: 0.2,
+		startedAt: -1, retryBudget: 10, fetchLimit: initialFetchLimit(shares), waitShare: 0.2,
 		connKeep:     cfg.ConnIdle,
 		trafficShare: 1 / float64(cfg.Routers),
 		nextProbe:    int(seed % 4096), watchAt: math.Inf(1), servers: map[uint32]*server{},
@@ -327,10 +327,10 @@
 func (b *Balancer) advance(now float64) {
 	if b.now = now; b.startedAt < 0 {
 		b.startedAt, b.solvedAt = now, now
-		b.host.Timer(tick, tickToken)
+		b.host.Timer(housekeepInterval, tickToken)
 	}
 	if now > b.tier.Until {
-		b.resize()
+		b.applyShares()
 	}
 }
 
@@ -352,8 +352,8 @@
 func (b *Balancer) ClientGone(now float64, id uint32) {
 	b.advance(now)
 	if r := b.requests[id]; r != nil && !r.finished {
-		b.close(r)
-		b.pump()
+		b.closeRequest(r)
+		b.dispatchHeld()
 	}
 }
 
@@ -373,11 +373,11 @@
 		b.housekeep()
 	} else if r := b.requests[uint32(token>>8)]; r != nil && !r.finished {
 		if i := int(token & 255); i > 0 {
-			b.stalled(r, i-1)
+			b.handleStall(r, i-1)
 		} else if r.waitingSince > 0 && r.inFlight == 0 { // it waited too long
-			b.end(r)
+			b.endRequest(r)
 		}
-		b.pump()
+		b.dispatchHeld()
 	}
 }
 
@@ -393,7 +393,7 @@
 		work: b.relativeWork(req.Hint), key: b.trafficOf(req)}
 	r.aimAt = now + min(req.Left, c.Aim+c.Stretch*req.Hint)
 	b.requests[req.ID] = r
-	b.arrive(r)
+	b.handleArrival(r)
 }
 
 // Outcome handles the end of an attempt.
@@ -404,7 +404,7 @@
 		b.recordLoad(s, o.Load)
 	}
 	if a := r.recordOutcome(o.Attempt, o.Status); a != nil {
-		b.ended(r, a, o)
+		b.handleOutcome(r, a, o)
 	}
 }
 
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -11,7 +11,7 @@
 	cfg := testConfig()
 	cfg.Routers, cfg.Cold, cfg.ColdFrom, cfg.FallMult, cfg.FallFor = routers, 8000, 0.3, 2.5, 3000
 	var sent []float64 // send times, ms
-	tier := routersOf(t, cfg, 36)
+	tier := newRouters(t, cfg, 36)
 	for _, b := range tier {
 		b.updateMedians()
 		started := fleet(4)[3]
@@ -21,7 +21,7 @@
 	id := fleet(4)[3].ID
 	for now := 1e5 + 200; now < 1e5+seconds*1000; now += step {
 		for _, b := range tier {
-			if s := b.servers[id]; func() bool { b.now = now; return b.afford(s, 1, 1) }() {
+			if s := b.servers[id]; func() bool { b.now = now; return b.budgetAllows(s, 1, 1) }() {
 				s.sendBudget.value--
 				sent = append(sent, now)
 			}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -221,7 +221,7 @@
 			v[j].modelLoad = l
 		}
 		x := []float64{c.total, 0, 0}
-		b.balance(v, x)
+		b.balanceFlow(v, x)
 		if sum := x[0] + x[1] + x[2]; math.Abs(sum-c.total) > 1e-6 {
 			t.Fatalf("%v: rates add up to %v", c, sum)
 		}
@@ -246,7 +246,7 @@
 	b := &Balancer{}
 	v := modelServers(2, 3, 5)
 	x := []float64{80, 0, 0}
-	b.balance(v, x)
+	b.balanceFlow(v, x)
 	var d [3]float64
 	for j, s := range v {
 		_, d[j], _ = waitingRequests(x[j], s.channels, s.serviceRate, b.latencies.momentRatio())
@@ -270,7 +270,7 @@
 		k := &keyTraffic{}
 		v := modelServers(3, 3, 3, 3)
 		b.loadScale, b.fetchLatency.value = 1, c.fetch
-		b.split(k, v, c.total)
+		b.splitFlow(k, v, c.total)
 		if len(k.splitServers) != c.want && (c.want == 1 || len(k.splitServers) < c.want) {
 			t.Errorf("total %v, fetch %v: %d servers, want %d", c.total, c.fetch, len(k.splitServers), c.want)
 		}
@@ -297,7 +297,7 @@
 	b2, _ := start(t, testConfig(), rest)
 	for key := range uint64(500) {
 		l1, l2 := b1.hashListOf(&keyTraffic{id: key}), b2.hashListOf(&keyTraffic{id: key})
-		if len(l1) != listLen || len(l2) != listLen {
+		if len(l1) != maxCandidates || len(l2) != maxCandidates {
 			t.Fatalf("key %d: lists of %d and %d", key, len(l1), len(l2))
 		}
 		for i := range l1 {
@@ -370,7 +370,7 @@
 	k.splitServers, k.splitShares = []*server{l[0], l[2]}, []float64{0.7, 0.3}
 	n := map[*server]int{}
 	for range 10000 {
-		n[b.pick(newRead(b, k))]++
+		n[b.pickServer(newRead(b, k))]++
 	}
 	if math.Abs(float64(n[l[0]])/10000-0.7) > 0.02 || n[l[0]]+n[l[2]] != 10000 {
 		t.Errorf("shares 0.7 and 0.3 were picked %d and %d times of 10000", n[l[0]], n[l[2]])
@@ -385,7 +385,7 @@
 		s.capacity.update(b.now, 40, 1)
 	}
 	for key := range uint64(300) {
-		b.trafficOf(Request{Key: key, HasKey: true}).rate.add(b.now, keyTau, 1)
+		b.trafficOf(Request{Key: key, HasKey: true}).rate.add(b.now, keyRateTau, 1)
 	}
 	for round := range 5 {
 		for i, s := range b.serverList {
@@ -394,7 +394,7 @@
 		b.solve()
 		for key := range uint64(300) {
 			k := b.trafficOf(Request{Key: key, HasKey: true})
-			if s := b.pick(newRead(b, k)); s != b.hashListOf(k)[0] {
+			if s := b.pickServer(newRead(b, k)); s != b.hashListOf(k)[0] {
 				t.Fatalf("round %d: cold key %d left its home", round, key)
 			}
 		}
@@ -517,7 +517,7 @@
 	b.fetchLatency.value = 50
 	k := &keyTraffic{}
 	v := modelServers(3, 3)
-	b.split(k, v, 28) // 28 of 30 when scaled, 9 in reality
+	b.splitFlow(k, v, 28) // 28 of 30 when scaled, 9 in reality
 	if len(k.splitServers) != 1 {
 		t.Errorf("%d servers for a key that one can serve", len(k.splitServers))
 	}
@@ -571,7 +571,7 @@
 		k := b.requests[1].key
 		b.servers[h.last().server].lastReply = 0
 		b.Timer(101200, 1<<8|1)
-		if hot := k.rate.value >= hotSeen; hot != c.hot {
+		if hot := k.rate.value >= minHotArrivals; hot != c.hot {
 			t.Errorf("%d requests a second: %v arrivals after a stall", c.before, k.rate.value)
 		}
 	}
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -197,7 +197,7 @@
 	checker := &learnedChecker{}
 	checker.checkValues("the router", 1e12, l.MeanHint, l.LatencyMean, l.LatencySquare, l.Samples, l.ConnKeep)
 	checker.checkValues("the router", 1, l.WaitShare, l.UsualFailures, l.LostShare)
-	checker.checkValues("fetches", maxFetches, l.FetchLimit)
+	checker.checkValues("fetches", maxFetchLimit, l.FetchLimit)
 	checker.checkValues("the start", latest, l.StartedAt)
 	checker.checkAverages("the router", latest, l.FleetLatency, l.FetchLatency)
 	checker.checkSums("the router", latest, l.Arrivals)
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -134,12 +134,12 @@
 	old := newExperienced(t)
 	cold := old.servers[fleet(6)[1].ID]
 	old.advance(cold.coldSince + 2000)
-	old.afford(cold, 1, 1)
+	old.budgetAllows(cold, 1, 1)
 	budget, fetches := cold.sendBudget.value, old.fetchLimit
-	old.Share(old.now, 2)
+	old.SetProcesses(old.now, 2)
 	b, _ := start(t, old.cfg, fleet(6))
 	b.tier = old.tier // as configured
-	b.Share(old.now, 2)
+	b.SetProcesses(old.now, 2)
 	entries := make([]Entry, 0, 6)
 	for _, s := range old.serverList {
 		entries = append(entries, s.Entry)
@@ -159,16 +159,16 @@
 	fill := func(x *Balancer, s *server) float64 {
 		x.now = later
 		before := s.sendBudget.value
-		x.afford(s, 1, 1)
+		x.budgetAllows(s, 1, 1)
 		return s.sendBudget.value - before
 	}
 	both := fill(old, cold) + fill(b, next)
-	b.Share(later, 1) // the old process has exited
+	b.SetProcesses(later, 1) // the old process has exited
 	single := newExperienced(t)
 	s := single.servers[cold.ID]
 	s.sendBudget = decayingSum{0, later - 100}
 	single.now = later
-	single.afford(s, 1, 1)
+	single.budgetAllows(s, 1, 1)
 	if both > s.sendBudget.value*1.01 {
 		t.Errorf("both gain %v of a cold server's budget in 100 ms, one alone %v", both, s.sendBudget.value)
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -140,11 +140,11 @@
 // origin stops there is nothing else. A search with the model found eight such days.
 func TestColdServerIsSparedByEveryRouterAlike(t *testing.T) {
 	for name, told := range map[string]float64{"reports as they are": 1, "reports amid cheap misses": 5} {
-		t.Run(name, func(t *testing.T) { spared(t, told) })
+		t.Run(name, func(t *testing.T) { checkColdServerBudget(t, told) })
 	}
 }
 
-func spared(t *testing.T, told float64) {
+func checkColdServerBudget(t *testing.T, told float64) {
 	es := fleet(3)
 	cfg := testConfig()
 	es[0].Started = 99500
@@ -325,8 +325,8 @@
 	for i := range 20 {
 		b.now += 1000
 		r := &request{class: &Class{Aim: 300}, key: &keyTraffic{}}
-		b.fetched(r, OK, 100)
-		b.fetched(r, TimedOut, 40)
+		b.adjustFetchLimit(r, OK, 100)
+		b.adjustFetchLimit(r, TimedOut, 40)
 		if i == 0 {
 			was = b.fetchLimit
 		}
@@ -336,7 +336,7 @@
 	}
 	for range 12 {
 		b.now += 1000
-		b.fetched(&request{class: &Class{Aim: 300}, key: &keyTraffic{}}, TimedOut, 900)
+		b.adjustFetchLimit(&request{class: &Class{Aim: 300}, key: &keyTraffic{}}, TimedOut, 900)
 	}
 	if b.fetchLimit > was/2 {
 		t.Errorf("bound %v though every fetch is slow", b.fetchLimit)
@@ -350,7 +350,7 @@
 	r := &request{class: &Class{Aim: 300}, key: &keyTraffic{}}
 	for range 200 {
 		b.now += 100
-		b.fetched(r, OK, 290)
+		b.adjustFetchLimit(r, OK, 290)
 	}
 	if b.fetchLimit > was/2 {
 		t.Errorf("bound %v: fetches of 290 ms for an aim of 300 were taken for quick", b.fetchLimit)
@@ -459,13 +459,13 @@
 	s := b.serverList[0]
 	for range 20 {
 		s.lastReply = b.now
-		b.observe(s, TimedOut, b.now-400)
+		b.observeHealth(s, TimedOut, b.now-400)
 	}
 	if s.acceptShare < 1 || s.ejected {
 		t.Errorf("accept %.2f, ejected %v: a server that answers others was blamed", s.acceptShare, s.ejected)
 	}
 	for range 20 {
-		b.observe(s, TimedOut, b.now+1)
+		b.observeHealth(s, TimedOut, b.now+1)
 	}
 	if !s.ejected {
 		t.Error("a silent server is still in use")
@@ -520,8 +520,8 @@
 func TestSilentServerIsEjectedAndTakenBackSlowly(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.serverList[0]
-	for range maxStrike {
-		b.observe(s, TimedOut, b.now+1)
+	for range maxConsecutiveFailures {
+		b.observeHealth(s, TimedOut, b.now+1)
 	}
 	if !s.ejected || b.usable(s, newRead(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
 		t.Fatal("three signs of silence did not take it out")
@@ -530,8 +530,8 @@
 		o.ejected = true
 	}
 	o := b.serverList[3]
-	for range 2 * maxStrike {
-		b.observe(o, TimedOut, b.now+1)
+	for range 2 * maxConsecutiveFailures {
+		b.observeHealth(o, TimedOut, b.now+1)
 	}
 	if o.ejected {
 		t.Error("silence of half the fleet was not taken for our own trouble")
@@ -544,11 +544,11 @@
 		o.capacity.update(b.now, 100, 1)
 	}
 	b.latencies.update(100)
-	b.observe(s, OK, b.now)
-	if b.model(); s.ejected || s.channels > 6 || b.serverList[5].channels != 10 {
+	b.observeHealth(s, OK, b.now)
+	if b.buildModel(); s.ejected || s.channels > 6 || b.serverList[5].channels != 10 {
 		t.Errorf("ejected %v, %d channels where others have %d: want it back with about half", s.ejected, s.channels, b.serverList[5].channels)
 	}
-	if b.observe(s, Failed, b.now); !s.ejected {
+	if b.observeHealth(s, Failed, b.now); !s.ejected {
 		t.Error("one failure after the return did not take it out again")
 	}
 }
@@ -589,14 +589,14 @@
 	r := &request{class: &Class{Aim: 300}, key: &keyTraffic{}}
 	for range 20 { // 160 ms are less than 2.5 times the floor, but over half of the aim
 		b.now += 10
-		b.fetched(r, OK, 160)
+		b.adjustFetchLimit(r, OK, 160)
 	}
 	if b.fetchLimit >= 12 {
 		t.Errorf("a bound of %v with 12 out, half of the aim late", b.fetchLimit)
 	}
 	b.fetchLimit, b.fetchLatency, b.origin.inFlight = 40, movingAverage{value: 80, floor: 80, updated: b.now}, 2
 	b.now += 1000
-	if b.fetched(r, Reset, 400); b.fetchLimit < 30 { // a lost answer tells of no queue
+	if b.adjustFetchLimit(r, Reset, 400); b.fetchLimit < 30 { // a lost answer tells of no queue
 		t.Errorf("a bound of %v after one reset", b.fetchLimit)
 	}
 }
@@ -608,10 +608,10 @@
 		cfg.Aside, cfg.OriginKind, cfg.Routers = true, "origin", routers
 		b, h := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
 		r := &request{class: &Class{Aim: 300}, key: &keyTraffic{}}
-		b.fetched(r, OK, 30)
+		b.adjustFetchLimit(r, OK, 30)
 		for range 60 {
 			b.now += 1000
-			b.fetched(r, TimedOut, 900)
+			b.adjustFetchLimit(r, TimedOut, 900)
 		}
 		if all := b.fetchLimit * float64(routers); all > 10 {
 			t.Errorf("%d routers: a bound of %v in all though every fetch is late", routers, all)
@@ -645,14 +645,14 @@
 		t.Fatalf("closed %v though no connect failed", h.closes)
 	}
 	for range 5 { // dead ones of a list that is old, which never answer
-		b.observe(b.serverList[5], ConnectError, b.now)
+		b.observeHealth(b.serverList[5], ConnectError, b.now)
 	}
 	if b.connKeep != cfg.ConnIdle {
 		t.Errorf("kept for %v after a dead server refused, want %v", b.connKeep, cfg.ConnIdle)
 	}
 	for _, s := range b.serverList[:5] { // full ones refuse and answer
-		b.observe(s, ConnectError, b.now)
-		b.observe(s, OK, b.now)
+		b.observeHealth(s, ConnectError, b.now)
+		b.observeHealth(s, OK, b.now)
 	}
 	b.Timer(105100, tickToken)
 	b.Timer(105200, tickToken)
@@ -660,7 +660,7 @@
 		t.Errorf("closed %v, want once the server used last 5 s ago, %d", h.closes, first)
 	}
 	for range 1000 {
-		b.observe(b.serverList[0], OK, b.now)
+		b.observeHealth(b.serverList[0], OK, b.now)
 	}
 	if b.connKeep != cfg.ConnIdle {
 		t.Errorf("kept for %v after a thousand answers, want %v", b.connKeep, cfg.ConnIdle)
@@ -687,7 +687,7 @@
 		s := b.serverList[0]
 		s.inFlight, s.latency = 0, movingAverage{value: 40, floor: 40, updated: b.now}
 		s.capacity.value = 100
-		return b.waitAt(s)
+		return b.expectedWait(s)
 	}
 	if few, many := wait(8), wait(400); few < 50 || many > 20 {
 		t.Errorf("wait %v where each server is seldom asked, %v where often: want a long and a short one", few, many)
@@ -724,13 +724,13 @@
 	s := b.servers[h.last().server]
 	s.reportedRate = 40
 	b.Outcome(100050, Outcome{ID: 1, Server: s.ID, Status: OK, Latency: 40, Final: true, CacheResult: 1, Load: NoLoad})
-	idle := b.waitAt(s)
+	idle := b.expectedWait(s)
 	for i := range uint32(5) {
 		id := i + 2
 		ask(b, 100060, id, "read", 9)
 		b.Outcome(100060+300, Outcome{ID: id, Server: s.ID, Status: TimedOut, Latency: 300, Load: NoLoad})
 	}
-	if jammed := b.waitAt(s); jammed < idle+10 {
+	if jammed := b.expectedWait(s); jammed < idle+10 {
 		t.Errorf("wait %v after five time-outs, %v before", jammed, idle)
 	}
 	was := s.latency.value
@@ -772,14 +772,14 @@
 	b, h := start(t, cfg, append(fleet(60), Entry{ID: 77, Kind: "origin"}))
 	ask(b, 100010, 1, "read", 1)
 	b.Outcome(100050, Outcome{ID: 1, Server: h.last().server, Status: OK, Latency: 40, Final: true, CacheResult: 1, Load: NoLoad})
-	was := b.waitAt(b.serverList[0])
+	was := b.expectedWait(b.serverList[0])
 	for i := range uint32(8) {
 		id, now := i+2, 101010+float64(300*i)
 		ask(b, now, id, "read", uint64(id))
 		b.servers[h.last().server].lastReply = 0
 		b.Timer(now+200, uint64(id)<<8|1)
 	}
-	if wait := b.waitAt(b.serverList[0]); wait < was+30 {
+	if wait := b.expectedWait(b.serverList[0]); wait < was+30 {
 		t.Errorf("wait %v after eight stalls, %v before", wait, was)
 	}
 }
@@ -788,11 +788,11 @@
 func TestLastResortIsTakenToBeAsJammedAsTheFleet(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.serverList[0]
-	b.arrivals.add(b.now, keyTau, 2000)
+	b.arrivals.add(b.now, keyRateTau, 2000)
 	b.fleetLatency = movingAverage{value: 400, floor: 40, updated: b.now}
-	well := b.waitAt(s)
+	well := b.expectedWait(s)
 	s.ejected = true
-	if sick := b.waitAt(s); sick < 300 || well > 100 {
+	if sick := b.expectedWait(s); sick < 300 || well > 100 {
 		t.Errorf("wait %v at an ejected server, %v at another of a busy router", sick, well)
 	}
 }
@@ -842,11 +842,11 @@
 	ask(b, 100010, 1, "read", 9)
 	home := b.servers[h.last().server]
 	b.Outcome(100015, Outcome{ID: 1, Server: home.ID, Status: OK, Latency: 5, Final: true, Load: NoLoad})
-	b.observe(home, Reset, 100020)
+	b.observeHealth(home, Reset, 100020)
 	if home.ejected { // a reset is one connection's end
 		t.Fatal("out after a reset")
 	}
-	b.observe(home, Reset, 100020)
+	b.observeHealth(home, Reset, 100020)
 	if !home.ejected {
 		t.Fatal("two resets do not take a server out")
 	}
@@ -880,7 +880,7 @@
 			if rng.Float64() < 0.12 {
 				st = Reset
 			}
-			if b.observe(s, st, b.now); s.ejected {
+			if b.observeHealth(s, st, b.now); s.ejected {
 				out++
 			}
 		}
@@ -901,7 +901,7 @@
 			if c.fails(n) {
 				st = Reset
 			}
-			b.observe(s, st, b.now)
+			b.observeHealth(s, st, b.now)
 		}
 		if n < c.atLeast || n > c.within {
 			t.Errorf("%s: out after %d outcomes, want %d to %d", c.name, n, c.atLeast, c.within)
@@ -914,21 +914,21 @@
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.serverList[2]
 	for range 2 {
-		b.observe(s, Reset, b.now)
+		b.observeHealth(s, Reset, b.now)
 	}
 	if !s.ejected {
 		t.Fatal("two resets do not take a server out of a quiet fleet")
 	}
 	trial := s.trialAt
 	for range 10 {
-		b.observe(s, Reset, b.now)
+		b.observeHealth(s, Reset, b.now)
 		b.eject(s, true)
 	}
 	if s.trialAt != trial || s.trialOverdue != trial {
 		t.Errorf("trial due at %.0f (%.0f), at %.0f (%.0f) after what was sent before", trial, trial, s.trialAt, s.trialOverdue)
 	}
 	b.now = trial + 1
-	if b.observe(s, Reset, b.now); s.trialAt <= trial+minPause {
+	if b.observeHealth(s, Reset, b.now); s.trialAt <= trial+minEjectionPause {
 		t.Errorf("a failed trial is followed by another after %.0f ms", s.trialAt-trial)
 	}
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -83,7 +83,7 @@
 	b.Run("solve", func(b *testing.B) {
 		var longest time.Duration
 		for b.Loop() {
-			now += solveEvery
+			now += solveInterval
 			started := time.Now()
 			m.Timer(now, tickToken)
 			longest = max(longest, time.Since(started))
--- a/decide/state.go
+++ b/decide/state.go
@@ -16,15 +16,15 @@
 // Balancer makes the decisions of one router. It is not safe for concurrent use.
 type Balancer struct {
 	cfg            Config
-	tier           Tier        // known about the routers that share the servers
-	tierKnown      bool        // routers announce themselves to each other
-	admission      Line        // admission threshold of the tier,
-	admissionAt    float64     // and when it was received, ms
-	demand         Demand      // arrivals so far; its capacity is filled in when it is read
-	totalCapacity  float64     // work per second that all routers may send to all servers
-	idleBudget     decayingSum // tokens: work that this router's share of totalCapacity has left
-	processes      int         // of this router that decide at the same time
-	shares         float64     // this process has 1/shares of each shared resource
+	tier           Tier               // known about the routers that share the servers
+	tierKnown      bool               // routers announce themselves to each other
+	admission      AdmissionThreshold // admission threshold of the tier,
+	admissionAt    float64            // and when it was received, ms
+	demand         Demand             // arrivals so far; its capacity is filled in when it is read
+	totalCapacity  float64            // work per second that all routers may send to all servers
+	idleBudget     decayingSum        // tokens: work that this router's share of totalCapacity has left
+	processes      int                // of this router that decide at the same time
+	shares         float64            // this process has 1/shares of each shared resource
 	host           Host
 	rng            *rand.Rand
 	now, startedAt float64 // latest event; first event, or -1 before it
@@ -264,9 +264,9 @@
 // weight moves only the keys of the buckets that are added or removed.
 func (b *Balancer) bucketClaims(s *server) int {
 	if !b.cfg.Weighted || !validFigure(s.Size) {
-		return claims
+		return bucketsPerServer
 	}
-	return int(min(maxClaims, max(1, math.Round(claims*s.Size))))
+	return int(min(maxBucketsPerServer, max(1, math.Round(bucketsPerServer*s.Size))))
 }
 
 // hashListOf returns the first distinct servers of a key. Keys of a removed bucket are hashed again over the
@@ -277,7 +277,7 @@
 		if k.owners != nil {
 			return k.hashList
 		}
-		for h, i := mix64(k.id), 0; len(k.hashList) < min(listLen, len(b.serverList)) &&
+		for h, i := mix64(k.id), 0; len(k.hashList) < min(maxCandidates, len(b.serverList)) &&
 			i < 4<<tableBits; i++ {
 			if s := b.hashTable[h>>(64-tableBits)]; s != nil && !slices.Contains(k.hashList, s) {
 				k.hashList = append(k.hashList, s)
@@ -291,7 +291,7 @@
 // listedServers returns the listed servers with these IDs, at most as many as a key's list has.
 func (b *Balancer) listedServers(ids []uint32) (list []*server) {
 	for _, id := range ids {
-		if s := b.servers[id]; s != nil && s.listed && len(list) < listLen {
+		if s := b.servers[id]; s != nil && s.listed && len(list) < maxCandidates {
 			list = append(list, s)
 		}
 	}
@@ -403,7 +403,7 @@
 	again, mostLost := a.wasOvertaken, b.lostShare > 0.5
 	switch a.wasOvertaken = true; {
 	case again:
-		b.lostShare += lostTells * (1 - b.lostShare)
+		b.lostShare += lostAnswerWeight * (1 - b.lostShare)
 	case mostLost:
 		b.lostShare *= 0.97
 	}
@@ -463,13 +463,13 @@
 // the hottest of them in order. It is a single pass without allocations per key: requests wait for it, and
 // there are hundreds of thousands of keys.
 func (b *Balancer) hottestKeys() []*keyTraffic {
-	memory, top := b.keyMemory(), make([]*keyTraffic, 0, hottest+1)
+	memory, top := b.keyMemory(), make([]*keyTraffic, 0, maxHotKeys+1)
 	b.keyList = slices.DeleteFunc(b.keyList, func(k *keyTraffic) bool {
 		if k.rate.add(b.now, memory, 0) < 0.02 && k.fetch == nil {
 			delete(b.keys, k.id)
 			return true
 		}
-		k.splitServers, top = nil, insertHottest(top, k, hottest)
+		k.splitServers, top = nil, insertHottest(top, k, maxHotKeys)
 		return false
 	})
 	return top
@@ -563,13 +563,13 @@
 
 // sendSparsity is near 1 if seconds pass between two own sends to a server, near 0 if there are many.
 func (b *Balancer) sendSparsity() float64 {
-	return 1 - math.Exp(-float64(len(b.serverList))/(2*b.perSecond(&b.arrivals, keyTau)+0.01))
+	return 1 - math.Exp(-float64(len(b.serverList))/(2*b.perSecond(&b.arrivals, keyRateTau)+0.01))
 }
 
 // keyMemory returns the time constant of key rates, ms: a hundred arrivals, so that one router of many
 // notices a hot key.
 func (b *Balancer) keyMemory() float64 {
-	return min(60000, max(keyTau, 1e5/max(1, b.perSecond(&b.arrivals, keyTau))))
+	return min(60000, max(keyRateTau, 1e5/max(1, b.perSecond(&b.arrivals, keyRateTau))))
 }
 
 // warmFraction returns the share of its capacity that a server has at least.
@@ -605,5 +605,5 @@
 
 // recentlyAbsent reports whether the origin lately had no value for a key.
 func (b *Balancer) recentlyAbsent(k *keyTraffic) bool {
-	return k.absentAt > 0 && b.now < k.absentAt+absentFor
+	return k.absentAt > 0 && b.now < k.absentAt+absentMemory
 }
--- a/decide/tier_test.go
+++ b/decide/tier_test.go
@@ -15,18 +15,18 @@
 	gain := func() float64 {
 		cold.sendBudget = decayingSum{0, b.now}
 		b.advance(b.now + 100)
-		b.afford(cold, 1, 1)
+		b.budgetAllows(cold, 1, 1)
 		return cold.sendBudget.value
 	}
 	whole, fetches := gain(), b.fetchLimit
 	was := b.shares
 	tell := func(tier Tier) {
 		t.Helper()
-		if err := b.Tier(b.now, tier); err != nil {
+		if err := b.SetTier(b.now, tier); err != nil {
 			t.Fatal(err)
 		}
 	}
-	tell(Tier{Routers: 24, Parts: 4 * was, Until: b.now + 500, Then: 8 * was})
+	tell(Tier{Routers: 24, Shares: 4 * was, Until: b.now + 500, SharesAfter: 8 * was})
 	if got := gain(); math.Abs(got-whole/4) > whole/50 || math.Abs(b.fetchLimit-fetches/4) > 1e-9 || b.cfg.Routers != 24 {
 		t.Errorf("of four times as many: %v of %v in 100 ms, %v of %v fetches, %d routers", got, whole, b.fetchLimit, fetches, b.cfg.Routers)
 	}
@@ -34,15 +34,15 @@
 	if got := gain(); math.Abs(got-whole/8) > whole/50 || math.Abs(b.fetchLimit-fetches/8) > fetches/8*0.2 {
 		t.Errorf("its time is over: %v of %v, %v of %v fetches", got, whole, b.fetchLimit, fetches)
 	}
-	tell(Tier{Routers: 24, Parts: 1 << 20, Until: math.Inf(1), Then: 1 << 20})
+	tell(Tier{Routers: 24, Shares: 1 << 20, Until: math.Inf(1), SharesAfter: 1 << 20})
 	if got := gain(); got > whole/1e4 || b.fetchLimit > 0.01 {
 		t.Errorf("while it has no part: %v in 100 ms, %v fetches", got, b.fetchLimit)
 	}
-	tell(Tier{Routers: 24, Parts: 24, Until: math.Inf(1), Then: 24})
-	if want := firstFetches(24); b.fetchLimit < want || b.fetchLimit > 2*want {
+	tell(Tier{Routers: 24, Shares: 24, Until: math.Inf(1), SharesAfter: 24})
+	if want := initialFetchLimit(24); b.fetchLimit < want || b.fetchLimit > 2*want {
 		t.Errorf("it has a part again: %v fetches, a new one has %v", b.fetchLimit, want)
 	}
-	b.Share(b.now, 2)
+	b.SetProcesses(b.now, 2)
 	if b.shares != 48 || b.cfg.Routers != 48 {
 		t.Errorf("two processes: %v parts, %d routers", b.shares, b.cfg.Routers)
 	}
@@ -50,10 +50,10 @@
 
 func TestImpossibleTiers(t *testing.T) {
 	b := newExperienced(t)
-	for _, tier := range []Tier{{}, {Routers: 1, Parts: 0.5, Then: 1}, {Routers: 1, Parts: 1}, {Routers: 1, Parts: math.Inf(1), Then: 1},
-		{Routers: 1, Parts: 1, Then: 1, Until: math.NaN()}, {Routers: -1, Parts: 1, Then: 1}} {
+	for _, tier := range []Tier{{}, {Routers: 1, Shares: 0.5, SharesAfter: 1}, {Routers: 1, Shares: 1}, {Routers: 1, Shares: math.Inf(1), SharesAfter: 1},
+		{Routers: 1, Shares: 1, SharesAfter: 1, Until: math.NaN()}, {Routers: -1, Shares: 1, SharesAfter: 1}} {
 		before := b.shares
-		if err := b.Tier(b.now, tier); err == nil || !strings.Contains(err.Error(), "impossible tier") || b.shares != before {
+		if err := b.SetTier(b.now, tier); err == nil || !strings.Contains(err.Error(), "impossible tier") || b.shares != before {
 			t.Errorf("%+v: %v", tier, err)
 		}
 	}
--- a/decide/zone_test.go
+++ b/decide/zone_test.go
@@ -37,7 +37,7 @@
 	b, _ = start(t, testConfig(), twoZoneFleet(n))
 	sent = b.now
 	b.now += 300
-	b.observe(serversIn(b, "b")[0], OK, sent)
+	b.observeHealth(serversIn(b, "b")[0], OK, sent)
 	return b, serversIn(b, "a"), sent
 }
 
@@ -46,11 +46,11 @@
 // without any answer while the other answers, are enough to eject all of them.
 func TestUnresponsiveZoneIsEjectedAsAWhole(t *testing.T) {
 	b, lost, sent := newZoneLoss(t, 60)
-	for i := range maxSilent {
+	for i := range zoneEjectionServers {
 		if got := countEjectedIn(b, "a"); got != 0 {
 			t.Fatalf("%d ejected after %d unresponsive servers", got, i)
 		}
-		b.observe(lost[i], TimedOut, sent+1)
+		b.observeHealth(lost[i], TimedOut, sent+1)
 	}
 	if got := countEjectedIn(b, "a"); got != 30 {
 		t.Errorf("%d of 30 ejected", got)
@@ -60,7 +60,7 @@
 	}
 	// After the zone has recovered, its first answer brings all others one trial request each at once.
 	b.now += 9000
-	b.observe(lost[7], OK, b.now-50)
+	b.observeHealth(lost[7], OK, b.now-50)
 	if lost[7].ejected {
 		t.Error("the server that answered is still ejected")
 	}
@@ -76,30 +76,30 @@
 func TestSilenceThatIsNotAZoneLoss(t *testing.T) {
 	for name, history := range map[string]func(b *Balancer, a, o []*server, sent float64){
 		"one server": func(b *Balancer, a, o []*server, sent float64) {
-			b.observe(o[0], OK, sent)
+			b.observeHealth(o[0], OK, sent)
 			for range 10 {
-				b.observe(a[0], TimedOut, sent+1)
+				b.observeHealth(a[0], TimedOut, sent+1)
 			}
 		},
 		"no answers from any zone": func(b *Balancer, a, o []*server, sent float64) {
 			for i := range 10 {
-				b.observe(a[i], TimedOut, sent+1)
-				b.observe(o[i], TimedOut, sent+1)
+				b.observeHealth(a[i], TimedOut, sent+1)
+				b.observeHealth(o[i], TimedOut, sent+1)
 			}
 		},
 		"an answer in between": func(b *Balancer, a, o []*server, sent float64) {
-			b.observe(o[0], OK, sent)
-			b.observe(a[0], TimedOut, sent+1)
-			b.observe(a[1], TimedOut, sent+1)
-			b.observe(a[5], Miss, sent+2)
-			b.observe(a[2], TimedOut, b.now+1)
-			b.observe(a[3], TimedOut, b.now+1)
+			b.observeHealth(o[0], OK, sent)
+			b.observeHealth(a[0], TimedOut, sent+1)
+			b.observeHealth(a[1], TimedOut, sent+1)
+			b.observeHealth(a[5], Miss, sent+2)
+			b.observeHealth(a[2], TimedOut, b.now+1)
+			b.observeHealth(a[3], TimedOut, b.now+1)
 		},
 		"late time-outs of attempts sent before an answer": func(b *Balancer, a, o []*server, sent float64) {
-			b.observe(o[0], OK, sent)
-			b.observe(a[5], OK, sent)
+			b.observeHealth(o[0], OK, sent)
+			b.observeHealth(a[5], OK, sent)
 			for i := range 5 {
-				b.observe(a[i], TimedOut, sent)
+				b.observeHealth(a[i], TimedOut, sent)
 			}
 		},
 	} {
@@ -118,8 +118,8 @@
 // A server that restarts in a lost zone is used, and the others of the zone stay ejected.
 func TestRestartedServerInLostZoneIsUsed(t *testing.T) {
 	b, lost, sent := newZoneLoss(t, 12)
-	for i := range maxSilent {
-		b.observe(lost[i], ConnectError, sent+1)
+	for i := range zoneEjectionServers {
+		b.observeHealth(lost[i], ConnectError, sent+1)
 	}
 	if got := countEjectedIn(b, "a"); got != 6 {
 		t.Fatalf("%d of 6 ejected", got)
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -62,11 +62,11 @@
 }
 
 func (a asker) Begin() (engine.Try, bool) {
-	return engine.Try{Left: 400, By: time.Now().Add(wait)}, a.begin()
+	return engine.Try{DeadlineMS: 400, WriteBy: time.Now().Add(wait)}, a.begin()
 }
 
 // attempt makes an attempt and waits for its end.
-func attempt(t *target, stop *engine.Stop, r *engine.Request, begin func() bool) engine.Reply {
+func attempt(t *target, stop *engine.Canceler, r *engine.Request, begin func() bool) engine.Reply {
 	a := asker{prober{make(chan engine.Reply, 1)}, begin}
 	got, known := t.Attempt(stop, r, a)
 	if !known {
@@ -172,9 +172,9 @@
 			if c.write {
 				cmd = putCommand()
 			}
-			got := attempt(target, &engine.Stop{}, cmd, always)
-			if got.Status != c.want || got.Note != c.note {
-				t.Errorf("got status %v, note %d; want %v, %d", got.Status, got.Note, c.want, c.note)
+			got := attempt(target, &engine.Canceler{}, cmd, always)
+			if got.Status != c.want || got.CacheResult != c.note {
+				t.Errorf("got status %v, note %d; want %v, %d", got.Status, got.CacheResult, c.want, c.note)
 			}
 			next(t, f.Seen, "request")
 			if len(f.Seen) > 0 {
@@ -192,7 +192,7 @@
 	ln := listenLocal(t)
 	refusing := u.add(ln.Addr().String(), speaks(false))
 	ln.Close()
-	if got := attempt(refusing, &engine.Stop{}, getCommand(), always); got.Status != decide.ConnectError {
+	if got := attempt(refusing, &engine.Canceler{}, getCommand(), always); got.Status != decide.ConnectError {
 		t.Errorf("refused: got %v", got.Status)
 	}
 }
@@ -209,7 +209,7 @@
 	})
 	target := u.add(f.Addr, speaks(true))
 	for n := range 3 {
-		if got := attempt(target, &engine.Stop{}, putCommand(), always); got.Status != decide.OK {
+		if got := attempt(target, &engine.Canceler{}, putCommand(), always); got.Status != decide.OK {
 			t.Fatalf("request %d: got %v", n, got.Status)
 		}
 		for kept := idle(u, target); len(kept) > 0 && sock.Quiet(kept[0].Conn); {
@@ -225,7 +225,7 @@
 	f := startFake(t, hit)
 	u := testPool(t, 400*time.Millisecond, 10)
 	target, began := u.add(f.Addr, speaks(false)), time.Now()
-	attempt(target, &engine.Stop{}, getCommand(), always)
+	attempt(target, &engine.Canceler{}, getCommand(), always)
 	next(t, f.Ended, "end of the idle connection")
 	if took := time.Since(began); took < 200*time.Millisecond || took > 3*time.Second {
 		t.Errorf("closed after %v", took)
@@ -241,19 +241,19 @@
 	u := testPool(t, 10*time.Second, 1)
 	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
 	a, b := u.add(f.Addr, speaks(false)), u.add(silent.Addr, speaks(false))
-	if got := attempt(a, &engine.Stop{}, getCommand(), always); got.Status != decide.OK {
+	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Fatalf("got %v", got.Status)
 	}
-	var stop engine.Stop
+	var stop engine.Canceler
 	done := make(chan engine.Reply, 1)
 	go func() { done <- attempt(b, &stop, getCommand(), always) }() // takes the place of the idle one
 	next(t, silent.Seen, "request")
-	if got := attempt(a, &engine.Stop{}, getCommand(), always); got.Status != decide.Ignored {
+	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.Ignored {
 		t.Errorf("beyond the limit: got %v", got.Status)
 	}
-	stop.Now()
+	stop.Cancel()
 	next(t, done, "end of the attempt that was given up")
-	if got := attempt(a, &engine.Stop{}, getCommand(), always); got.Status != decide.OK {
+	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Errorf("once there is room: got %v", got.Status)
 	}
 }
@@ -264,7 +264,7 @@
 	u := testPool(t, 10*time.Second, 8)
 	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
 	a, b := u.add(f.Addr, speaks(false)), u.add(silent.Addr, speaks(false))
-	var stops [8]engine.Stop
+	var stops [8]engine.Canceler
 	done := make(chan engine.Reply, len(stops))
 	for i := range stops {
 		go func() { done <- attempt(b, &stops[i], getCommand(), always) }()
@@ -278,12 +278,12 @@
 		}
 	}
 	for range 8 {
-		if got := attempt(a, &engine.Stop{}, getCommand(), always); got.Status != decide.OK {
+		if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 			t.Errorf("the other one: got %v", got.Status)
 		}
 	}
 	for i := range stops {
-		stops[i].Now()
+		stops[i].Cancel()
 	}
 	for range 6 {
 		next(t, done, "end of what was given up")
@@ -300,8 +300,8 @@
 	f := startFake(t, hit)
 	u := testPool(t, 10*time.Second, 10)
 	target := u.add(f.Addr, speaks(false))
-	attempt(target, &engine.Stop{}, getCommand(), func() bool { return false })
-	if got := attempt(target, &engine.Stop{}, getCommand(), always); got.Status != decide.OK {
+	attempt(target, &engine.Canceler{}, getCommand(), func() bool { return false })
+	if got := attempt(target, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Errorf("got %v", got.Status)
 	}
 	next(t, f.Seen, "request")
@@ -334,7 +334,7 @@
 		if !u.room(target) {
 			t.Fatal("no room")
 		}
-		c, err := u.dial(&engine.Stop{}, target)
+		c, err := u.dial(&engine.Canceler{}, target)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -381,7 +381,7 @@
 	for n := range 5 {
 		cmd := getCommand()
 		cmd.ID = fmt.Sprint("a", n)
-		if got := attempt(target, &engine.Stop{}, cmd, always); string(got.Body) != cmd.ID {
+		if got := attempt(target, &engine.Canceler{}, cmd, always); string(got.Body) != cmd.ID {
 			t.Errorf("request %s: got status %v, %q", cmd.ID, got.Status, got.Body)
 		}
 		if n == 2 { // the copies are there now
--- a/internal/fleet/lines.go
+++ b/internal/fleet/lines.go
@@ -35,15 +35,15 @@
 	f      *Fleet
 	name   string
 	m      *line.Machine
-	told   line.Line
+	told   line.Threshold
 	at     time.Time // when
 	said   int       // the band that the log knows of
 	sayAt  time.Time
 	gone   line.Demand // as it was a second before
 	goneT  time.Time
-	shed   [decide.Bands]float64 // work a second that is refused as it is under the line, and
-	asked  [decide.Bands]float64 // that is asked for
-	turned float64               // and that is refused though it is over the line
+	shed   [decide.NumBands]float64 // work a second that is refused as it is under the line, and
+	asked  [decide.NumBands]float64 // that is asked for
+	turned float64                  // and that is refused though it is over the line
 }
 
 // poolNumber is by what all routers know a pool of a name.
@@ -54,7 +54,7 @@
 }
 
 // Send is line.Host's.
-func (p *poolLine) Send(to line.Peer, m []byte) { p.f.m.Carry(p.f.now(), to.Name, to.Start, m) }
+func (p *poolLine) Send(to line.Peer, m []byte) { p.f.m.SendPayload(p.f.now(), to.Name, to.Start, m) }
 
 // tick has each pool's machine take what has come, and tells what follows.
 func (l *lines) tick() {
@@ -62,9 +62,9 @@
 	if present := l.f.m.Present(); share == 0 { // who has no part yet uses half of an equal one
 		share = 0.5 / float64(max(1, present))
 	}
-	if l.changes != l.f.m.Changes()+1 {
-		l.changes, l.peers = l.f.m.Changes()+1, l.peers[:0]
-		l.f.m.Each(func(r fleet.Record) {
+	if l.changes != l.f.m.ChangeCount()+1 {
+		l.changes, l.peers = l.f.m.ChangeCount()+1, l.peers[:0]
+		l.f.m.ForEach(func(r fleet.Record) {
 			if r.State <= fleet.Suspect {
 				l.peers = append(l.peers, line.Peer{Name: r.Name, Start: r.Start})
 			}
@@ -77,7 +77,7 @@
 			if len(l.of) == maxPools {
 				continue
 			}
-			p = &poolLine{f: l.f, name: d.Pool, told: decide.NoLine, said: decide.Bands}
+			p = &poolLine{f: l.f, name: d.Pool, told: decide.AdmitAll, said: decide.NumBands}
 			p.m = line.New(id, rand.Uint64(), p)
 			l.of[id] = p
 		}
@@ -91,14 +91,14 @@
 func (p *poolLine) count(d line.Demand) {
 	now := time.Now()
 	if gone := now.Sub(p.goneT); gone >= time.Second {
-		for i := range d.Work {
+		for i := range d.Arrived {
 			if !p.goneT.IsZero() {
-				p.asked[i] = max(0, d.Work[i]-p.gone.Work[i]) / gone.Seconds()
-				p.shed[i] = max(0, d.Under[i]-p.gone.Under[i]) / gone.Seconds()
+				p.asked[i] = max(0, d.Arrived[i]-p.gone.Arrived[i]) / gone.Seconds()
+				p.shed[i] = max(0, d.Shed[i]-p.gone.Shed[i]) / gone.Seconds()
 			}
 		}
 		if !p.goneT.IsZero() {
-			p.turned = max(0, d.Turned-p.gone.Turned) / gone.Seconds()
+			p.turned = max(0, d.Rejected-p.gone.Rejected) / gone.Seconds()
 		}
 		p.gone, p.goneT = d, now
 	}
@@ -107,9 +107,9 @@
 // tell says what the pool serves, where that has changed or is about to lapse.
 func (p *poolLine) tell() {
 	now, at := p.f.now(), time.Now()
-	l := p.m.Line(now)
-	none := l.Band == decide.Bands
-	if none && p.told.Band == decide.Bands {
+	l := p.m.Threshold(now)
+	none := l.Band == decide.NumBands
+	if none && p.told.Band == decide.NumBands {
 		return
 	}
 	if l.Band == p.told.Band && math.Abs(l.Share-p.told.Share) < shareMoves && at.Sub(p.at) < toldAgain {
@@ -121,13 +121,13 @@
 		return
 	}
 	p.said, p.sayAt = l.Band, at
-	f := p.m.Figures()
+	f := p.m.Stats()
 	if none {
-		slog.Info("fleet: all is served again", "pool", p.name, "asked", f.Mean, "room", f.Room)
+		slog.Info("fleet: all is served again", "pool", p.name, "asked", f.MeanRate, "room", f.MeanCapacity)
 		return
 	}
 	slog.Warn("fleet: more is asked than servers can do; what is under the line is refused at all routers alike", "pool", p.name,
-		"worth", WorthOf(l.Band), "share", l.Share, "asked", f.Mean, "room", f.Room)
+		"worth", WorthOf(l.Band), "share", l.Share, "asked", f.MeanRate, "room", f.MeanCapacity)
 }
 
 // WorthOf is the least worth in a band, as a share of the highest.
@@ -150,15 +150,15 @@
 // Line is what a pool serves while the fleet can't serve all, with what it follows from: work a second, in the mean over the routers.
 type Line struct {
 	Pool string
-	line.Line
-	line.Figures
-	Asked, Shed [decide.Bands]float64 // here
+	line.Threshold
+	line.Stats
+	Asked, Shed [decide.NumBands]float64 // here
 	Turned      float64
 }
 
 func (l *lines) figures() (out []Line) {
 	for _, p := range l.of {
-		out = append(out, Line{Pool: p.name, Line: p.told, Figures: p.m.Figures(), Asked: p.asked, Shed: p.shed, Turned: p.turned})
+		out = append(out, Line{Pool: p.name, Threshold: p.told, Stats: p.m.Stats(), Asked: p.asked, Shed: p.shed, Turned: p.turned})
 	}
 	slices.SortFunc(out, func(a, b Line) int { return strings.Compare(a.Pool, b.Pool) })
 	return out
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -67,7 +67,7 @@
 func (c *Control) Demands() (out []Demand) {
 	pools, _ := c.all()
 	for _, d := range pools {
-		out = append(out, Demand{Pool: d.pool, Demand: d.counts().Demand})
+		out = append(out, Demand{Pool: d.pool, Demand: d.counts().Arrivals})
 	}
 	return out
 }
@@ -79,12 +79,12 @@
 }
 
 // Line tells a pool what the fleet serves while it can't serve all, until a time.
-func (c *Control) Line(pool string, l decide.Line, until time.Time) {
+func (c *Control) Line(pool string, l decide.AdmissionThreshold, until time.Time) {
 	pools, _ := c.all()
 	for _, d := range pools {
 		if d.pool == pool {
 			d.rs.each(func(r *router) {
-				if err := r.Line(l, until); err != nil {
+				if err := r.SetAdmissionThreshold(l, until); err != nil {
 					slog.Error("what is told of the line of worth is not taken", "pool", pool, "err", err)
 				}
 			})
@@ -94,13 +94,13 @@
 
 // OutOfService has every pool send its clients away, and returns when that is in force.
 func (c *Control) OutOfService(ctx context.Context) error {
-	return c.each(ctx, func(d *drainer, now float64) error { d.m.OutOfService(now); return nil })
+	return c.each(ctx, func(d *drainer, now float64) error { d.m.TakeOutOfService(now); return nil })
 }
 
 // InService ends that, and returns when it is in force.
 func (c *Control) InService(ctx context.Context) error {
 	return c.each(ctx, func(d *drainer, _ float64) error {
-		if !d.m.InService() {
+		if !d.m.PutInService() {
 			return ErrEnding
 		}
 		return nil
@@ -149,11 +149,11 @@
 		if d.m.Phase(at) == drain.Closing {
 			return
 		}
-		alarm.Reset(time.Duration(min(d.m.Next(at)-at, 3.6e6) * float64(time.Millisecond)))
+		alarm.Reset(time.Duration(min(d.m.NextChange(at)-at, 3.6e6) * float64(time.Millisecond)))
 		select {
 		case <-end:
 			end = nil
-			d.m.End(d.now())
+			d.m.BeginShutdown(d.now())
 		case call := <-d.calls:
 			call()
 		case <-alarm.C:
@@ -163,10 +163,10 @@
 
 // apply has the fronts do what holds at a time.
 func (d *drainer) apply(now float64) {
-	phase, invites := d.m.Phase(now), d.m.Invites(now)
+	phase, invites := d.m.Phase(now), d.m.ShouldAdvertise(now)
 	for _, f := range d.fronts {
 		f.Invite(invites, phase == drain.Serving)
-		f.Empty(phase >= drain.Emptying)
+		f.Empty(phase >= drain.Draining)
 	}
 }
 
@@ -199,10 +199,10 @@
 	known, avoided := 0, 0
 	for _, r := range d.rs {
 		c := r.Counts()
-		known, avoided = max(known, c.Known), max(avoided, c.Avoided)
+		known, avoided = max(known, c.KnownServers), max(avoided, c.AvoidedServers)
 		c.Classes = slices.DeleteFunc(slices.Clone(c.Classes), func(k engine.ClassCounts) bool { return r.own(k.Class) })
 		sum.Add(c)
 	}
-	sum.Known, sum.Avoided = known, avoided
+	sum.KnownServers, sum.AvoidedServers = known, avoided
 	return sum
 }
--- a/internal/router/hands_test.go
+++ b/internal/router/hands_test.go
@@ -23,7 +23,7 @@
 }
 
 func ask(name string, generation uint32) *engine.Request {
-	return &engine.Request{Tenant: name, Of: generation, Class: "read"}
+	return &engine.Request{Tenant: name, TenantGeneration: generation, Class: "read"}
 }
 
 func named(name string, generation uint32, l tenant.Limits) config.TenantLimits {
@@ -47,8 +47,8 @@
 			}
 			break
 		}
-		l.Over(now, q)
-		parties = append(parties, l.Owes(q, 60<<10))
+		l.Finished(now, q)
+		parties = append(parties, l.ReserveAnswer(q, 60<<10))
 	}
 	if held := 60 << 10 * len(parties); held < all/2 || held > all*3/4 {
 		t.Errorf("%d of %d bytes held by one", held, all)
@@ -68,9 +68,9 @@
 		t.Errorf("in hand: %d and %d", a, b)
 	}
 	for _, p := range parties {
-		l.Paid(p, 60<<10)
+		l.ReleaseAnswer(p, 60<<10)
 	}
-	l.Over(now, fresh)
+	l.Finished(now, fresh)
 	if l.hands.pool.Used() != 0 || len(l.counted) != 1 { // the other's request
 		t.Errorf("%d bytes, %d requests left", l.hands.pool.Used(), len(l.counted))
 	}
@@ -123,16 +123,16 @@
 		q.Write = x.write
 		l.Arrived(1000, 1, q)
 		for range x.ways {
-			l.Fetches(1000, q)
+			l.FetchStarted(1000, q)
 		}
-		l.Over(1000, q)
+		l.Finished(1000, q)
 		left := 0
 		for range 20 {
 			more := ask("t", 1)
 			if s, _ := l.Arrived(1000, 1, more); s == decide.QuotaGuaranteed {
 				left++
 			}
-			l.Over(1000, more)
+			l.Finished(1000, more)
 		}
 		if left != x.left {
 			t.Errorf("%s: %d left", name, left)
@@ -160,8 +160,8 @@
 			beyond++
 			continue
 		}
-		l.Over(now, q)
-		l.Paid(l.Owes(q, 200), 200)
+		l.Finished(now, q)
+		l.ReleaseAnswer(l.ReserveAnswer(q, 200), 200)
 	}
 	b.ReportMetric(float64(beyond)/float64(b.N), "beyond/op")
 }
--- a/internal/router/room.go
+++ b/internal/router/room.go
@@ -32,8 +32,8 @@
 		p.SetLimit(int(float64(d.room.links) * part))
 	}
 	for _, r := range d.rs {
-		r.Post(func() { r.Share(processes) })
-		for _, b := range []*engine.Budget{&r.Held, &r.Queued} {
+		r.Post(func() { r.SetProcesses(processes) })
+		for _, b := range []*engine.Budget{&r.HeldBytes, &r.QueuedBytes} {
 			b.SetLimit(int64(float64(b.Limit()) * part / d.room.part))
 		}
 	}
@@ -93,7 +93,7 @@
 // Regain tells that the process which was to take over from this one is gone: nobody takes clients in its place.
 func (c *Control) Regain() {
 	c.regain(func(o *company) { o.heir = false })
-	c.each(context.Background(), func(d *drainer, _ float64) error { d.m.Follow(false); return nil }) //nolint:errcheck // one that ends needs not know
+	c.each(context.Background(), func(d *drainer, _ float64) error { d.m.SetSuccessor(false); return nil }) //nolint:errcheck // one that ends needs not know
 }
 
 func (c *Control) regain(change func(*company)) {
@@ -116,7 +116,7 @@
 
 // Followed tells that another process takes the clients.
 func (c *Control) Followed() {
-	c.each(context.Background(), func(d *drainer, _ float64) error { d.m.Follow(true); return nil }) //nolint:errcheck // one that ends needs not know
+	c.each(context.Background(), func(d *drainer, _ float64) error { d.m.SetSuccessor(true); return nil }) //nolint:errcheck // one that ends needs not know
 }
 
 // memory has the collector keep the process within a part of what it had at its start.
@@ -147,7 +147,7 @@
 	for i, r := range rs {
 		r.Post(func() {
 			if len(cfg.Handed) == len(rs) {
-				err := r.Adopt(cfg.Handed[i])
+				err := r.ImportState(cfg.Handed[i])
 				if err == nil {
 					return
 				}
@@ -159,13 +159,13 @@
 }
 
 // Hand is what the engines of all pools have to hand over, by pool. It returns when ctx ends at the latest, with nothing.
-func (c *Control) Hand(ctx context.Context) (out [][]engine.Handed) {
+func (c *Control) Hand(ctx context.Context) (out [][]engine.HandoverState) {
 	pools, _ := c.all()
 	for _, d := range pools {
-		var of []engine.Handed
+		var of []engine.HandoverState
 		for _, r := range d.rs {
-			got := make(chan engine.Handed, 1)
-			r.Post(func() { got <- r.Hand() })
+			got := make(chan engine.HandoverState, 1)
+			r.Post(func() { got <- r.ExportState() })
 			select {
 			case h := <-got:
 				of = append(of, h)
