--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -79,8 +79,8 @@
 			c.bad(at+".name", "%q and that of pool[%d] are the same to the other routers; name one otherwise", p.Pool, j)
 		}
 		tags[tag] = i
-		if len(tags) == tier.MaxDoors+1 {
-			c.bad(at+".resp.peers", "%d pools at most can have the routers of [fleet] as peers", tier.MaxDoors)
+		if len(tags) == tier.MaxEndpoints+1 {
+			c.bad(at+".resp.peers", "%d pools at most can have the routers of [fleet] as peers", tier.MaxEndpoints)
 		}
 		if host, _, err := net.SplitHostPort(p.Listen); err == nil && !sameHost(host, p.RESP.FleetHost) {
 			c.bad(at+".listen", "%q: the others reach this router at %s, by [fleet], and send clients there; listen there, or on all addresses", p.Listen, p.RESP.FleetHost)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -60,7 +60,7 @@
 	// Demands is what has come to each pool so far, and Line is told what a pool serves, until a time, while the fleet can't serve all, by the
 	// owner's goroutine. Neither may block; nil = the fleet settles no line. Both go with Work.
 	Demands func() []Demand
-	Line    func(pool string, l line.Line, until time.Time)
+	Line    func(pool string, l line.Threshold, until time.Time)
 
 	// Sockets are those of the process that this one takes over from; nil = it listens by itself.
 	Sockets *Sockets
@@ -184,7 +184,7 @@
 	f.pure = fleet.Config{Name: f.cfg.Name, Site: f.cfg.Site, Addr: toPure(own), Start: start, Join: join, Expected: max(1, f.cfg.Expected),
 		Stream: true, Seed: rand.Uint64()}
 	if f.cfg.Work != nil {
-		f.pure.Lends = quota.Term
+		f.pure.Lends = quota.LeaseTerm
 	}
 	if f.m, err = fleet.New(f.pure, host{f}); err != nil {
 		return err
@@ -388,7 +388,7 @@
 
 // Cargo passes on what another router's parts have to say.
 func (h host) Cargo(from fleet.Record, b []byte) {
-	pool, ours := line.Ours(b)
+	pool, ours := line.MessagePool(b)
 	switch {
 	case ours && h.lines != nil:
 		h.lines.cargo(from, pool, b)
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -27,8 +27,8 @@
 // Handed is what a process hands on to the next of the same router.
 type Handed struct {
 	fleet.Snapshot
-	AtMS  float64      `json:"at_ms"` // on the clock of the machine that runs since its start
-	Loans quota.Handed `json:"loans"`
+	AtMS  float64             `json:"at_ms"` // on the clock of the machine that runs since its start
+	Loans quota.HandoverState `json:"loans"`
 }
 
 // errElder is said where another process of this router still keeps the view.
@@ -57,7 +57,7 @@
 		if err = errors.Join(err, clock); err == nil {
 			f.handed = &Handed{Snapshot: s, AtMS: at}
 			if f.loans != nil {
-				f.handed.Loans = f.loans.q.Hand(f.now())
+				f.handed.Loans = f.loans.q.Handover(f.now())
 			}
 			return
 		}
--- a/internal/fleet/lines.go
+++ b/internal/fleet/lines.go
@@ -35,7 +35,7 @@
 	f      *Fleet
 	name   string
 	m      *line.Machine
-	told   line.Line
+	told   line.Threshold
 	at     time.Time // when
 	said   int       // the band that the log knows of
 	sayAt  time.Time
@@ -107,7 +107,7 @@
 // tell says what the pool serves, where that has changed or is about to lapse.
 func (p *poolLine) tell() {
 	now, at := p.f.now(), time.Now()
-	l := p.m.Line(now)
+	l := p.m.Threshold(now)
 	none := l.Band == decide.Bands
 	if none && p.told.Band == decide.Bands {
 		return
@@ -121,13 +121,13 @@
 		return
 	}
 	p.said, p.sayAt = l.Band, at
-	f := p.m.Figures()
+	f := p.m.Stats()
 	if none {
-		slog.Info("fleet: all is served again", "pool", p.name, "asked", f.Mean, "room", f.Room)
+		slog.Info("fleet: all is served again", "pool", p.name, "asked", f.MeanRate, "room", f.MeanCapacity)
 		return
 	}
 	slog.Warn("fleet: more is asked than servers can do; what is under the line is refused at all routers alike", "pool", p.name,
-		"worth", WorthOf(l.Band), "share", l.Share, "asked", f.Mean, "room", f.Room)
+		"worth", WorthOf(l.Band), "share", l.Share, "asked", f.MeanRate, "room", f.MeanCapacity)
 }
 
 // WorthOf is the least worth in a band, as a share of the highest.
@@ -150,15 +150,15 @@
 // Line is what a pool serves while the fleet can't serve all, with what it follows from: work a second, in the mean over the routers.
 type Line struct {
 	Pool string
-	line.Line
-	line.Figures
+	line.Threshold
+	line.Stats
 	Asked, Shed [decide.Bands]float64 // here
 	Turned      float64
 }
 
 func (l *lines) figures() (out []Line) {
 	for _, p := range l.of {
-		out = append(out, Line{Pool: p.name, Line: p.told, Figures: p.m.Figures(), Asked: p.asked, Shed: p.shed, Turned: p.turned})
+		out = append(out, Line{Pool: p.name, Threshold: p.told, Stats: p.m.Stats(), Asked: p.asked, Shed: p.shed, Turned: p.turned})
 	}
 	slices.SortFunc(out, func(a, b Line) int { return strings.Compare(a.Pool, b.Pool) })
 	return out
--- a/internal/fleet/loans.go
+++ b/internal/fleet/loans.go
@@ -47,7 +47,7 @@
 // cargo takes what another router has to say of loans, once the machine that brought it has returned.
 func (l *loans) cargo(from fleet.Record, b []byte) {
 	l.f.post(func() {
-		l.q.Shrink(l.f.now(), l.own())
+		l.q.UpdateShare(l.f.now(), l.own())
 		if err := l.q.Receive(l.f.now(), quota.Peer{Name: from.Name, Start: from.Start}, b); err != nil {
 			l.f.counts.refused.Add(1)
 			slog.Debug("fleet: a word of loans is refused", "from", from.Name, "why", err)
@@ -56,9 +56,9 @@
 }
 
 // own is what the view gives this router.
-func (l *loans) own() quota.Own {
+func (l *loans) own() quota.BaseShare {
 	p := l.f.m.Part()
-	return quota.Own{Share: shareOf(p.Routers), Until: p.Until, Then: shareOf(p.Then)}
+	return quota.BaseShare{Share: shareOf(p.Routers), Until: p.Until, After: shareOf(p.Then)}
 }
 
 // shareOf is one of so many parts; holding is none.
@@ -101,9 +101,9 @@
 // part is what this router may use with loans, until a time, and from there on without them.
 func (l *loans) part() fleet.Part {
 	now := l.f.now()
-	l.q.Shrink(now, l.own())
-	until, then := l.q.Until(now, shared)
-	return fleet.Part{Routers: partsOf(l.q.Have(now, shared)), Until: until, Then: partsOf(then)}
+	l.q.UpdateShare(now, l.own())
+	until, then := l.q.Expiry(now, shared)
+	return fleet.Part{Routers: partsOf(l.q.UsableShare(now, shared)), Until: until, Then: partsOf(then)}
 }
 
 // Loans are what a router may use, of that what it has borrowed, and what of its own it has lent, as shares of the whole; and the work that
@@ -112,6 +112,6 @@
 
 func (l *loans) figures() Loans {
 	now := l.f.now()
-	lent, borrowed := l.q.Loans(now, shared)
-	return Loans{Share: l.q.Have(now, shared), Borrowed: borrowed, Lent: lent, Rate: l.rate}
+	lent, borrowed := l.q.Leases(now, shared)
+	return Loans{Share: l.q.UsableShare(now, shared), Borrowed: borrowed, Lent: lent, Rate: l.rate}
 }
--- a/internal/front/places.go
+++ b/internal/front/places.go
@@ -59,7 +59,7 @@
 
 const (
 	// strangers is the party of connections whose caller is not known, which no tenant's name can be.
-	strangers = shares.Strangers
+	strangers = shares.Unidentified
 	// placesAhead is how many times what is free a tenant may hold: one alone gets eight ninths, and what it leaves is others'.
 	placesAhead = 8
 )
@@ -80,7 +80,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pool.Add(strangers, 1)
-	return p.pool.Over(strangers, 0)
+	return p.pool.OverLimit(strangers, 0)
 }
 
 // went ends a connection of a party.
@@ -111,7 +111,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pool.Add(from, -1)
-	if !forced && to != strangers && !p.pool.Fits(to, 1, 0) {
+	if !forced && to != strangers && !p.pool.CanTake(to, 1, 0) {
 		p.pool.Add(from, 1)
 		p.quota.give(to)
 		return ofRoom
@@ -128,7 +128,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pool.Yields(to, idle)
+	return p.pool.ChooseVictim(to, idle)
 }
 
 // settle has a connection count as its caller's from now on. Where that has no place left, an idle connection gives way; at a bound of its
--- a/internal/front/resp/local.go
+++ b/internal/front/resp/local.go
@@ -245,12 +245,12 @@
 // parts are the routers of the tier, by number.
 func (p *Protocol) parts() (out []part) {
 	now := p.peers.now.Load()
-	n := len(now.Serves)
+	n := len(now.ServedBy)
 	for i, addr := range now.Routers {
 		host, port, _ := net.SplitHostPort(addr)
 		num, _ := strconv.ParseInt(port, 10, 64)
-		m := part{n: i, me: i == now.Me, addr: addr, host: host, port: num}
-		for _, home := range tier.Parts(now.Serves, i) {
+		m := part{n: i, me: i == now.Self, addr: addr, host: host, port: num}
+		for _, home := range tier.PartitionsOf(now.ServedBy, i) {
 			run := [2]int{(home*slots.Count + n - 1) / n, ((home+1)*slots.Count+n-1)/n - 1}
 			if last := len(m.runs) - 1; last >= 0 && m.runs[last][1]+1 == run[0] {
 				m.runs[last][1] = run[1]
@@ -286,7 +286,7 @@
 			slots.Count, slots.Count, len(now.Routers), len(p.serving()), epoch, epoch))
 	case sub == "MYID":
 		now := p.peers.now.Load()
-		return resp.AppendBulk(nil, []byte(nodeID(now.Routers[now.Me])))
+		return resp.AppendBulk(nil, []byte(nodeID(now.Routers[now.Self])))
 	case sub == "KEYSLOT" && len(args) == 3:
 		return resp.AppendInt(nil, int64(slots.Of(args[2])))
 	}
--- a/internal/front/resp/peers.go
+++ b/internal/front/resp/peers.go
@@ -29,7 +29,7 @@
 
 // peers is what is known of the other routers. Sessions read now; the rest is guarded by mu.
 type peers struct {
-	now   atomic.Pointer[tier.Share]
+	now   atomic.Pointer[tier.Assignment]
 	mu    sync.Mutex
 	addrs []string    // of the routers by number
 	table *tier.Table // of those; nil where group is not
@@ -50,11 +50,11 @@
 
 // publish makes what is known so to sessions. The caller holds mu, or is alone.
 func (p *peers) publish() {
-	var s tier.Share
+	var s tier.Assignment
 	if p.group != nil {
-		s = p.group.Share()
+		s = p.group.Assignment()
 	} else {
-		s = p.table.Share(p.addrs)
+		s = p.table.Assignment(p.addrs)
 	}
 	p.now.Store(&s)
 }
@@ -84,8 +84,8 @@
 	p.peers.mu.Lock()
 	defer p.peers.mu.Unlock()
 	if g := p.peers.group; g != nil {
-		said := g.Say(word)
-		if heard := g.Heard(rs); said || heard {
+		said := g.SetOwnState(word)
+		if heard := g.SetPeers(rs); said || heard {
 			p.peers.publish()
 		}
 	}
@@ -116,9 +116,9 @@
 		}
 		if p.peers.change(func(t *tier.Table) bool {
 			if err != nil {
-				return t.Missed(router)
+				return t.RecordMissedReply(router)
 			}
-			return t.Heard(router, stateOf(word))
+			return t.RecordState(router, stateOf(word))
 		}) {
 			if err != nil {
 				word = "silent: " + err.Error()
@@ -206,13 +206,13 @@
 // drains hands its slots on by ASK: the next one serves them by leave, whether it has heard of the drain or not.
 func (p *Protocol) elsewhere(slot int, asking bool) string {
 	now := p.peers.now.Load()
-	home := slot * len(now.Serves) / slots.Count
-	at := now.Serves[home]
-	if at == now.Me || asking && !p.draining.Load() {
+	home := slot * len(now.ServedBy) / slots.Count
+	at := now.ServedBy[home]
+	if at == now.Self || asking && !p.draining.Load() {
 		return ""
 	}
 	word := "MOVED"
-	if p.draining.Load() && now.Hands[home] {
+	if p.draining.Load() && now.HandsOver[home] {
 		word = "ASK"
 	}
 	return fmt.Sprintf("%s %d %s", word, slot, now.Routers[at])
@@ -227,10 +227,10 @@
 	if yes {
 		state = tier.Draining
 	}
-	p.peers.change(func(t *tier.Table) bool { return t.Heard(p.cfg.Me, state) })
+	p.peers.change(func(t *tier.Table) bool { return t.RecordState(p.cfg.Me, state) })
 	p.peers.mu.Lock()
 	defer p.peers.mu.Unlock()
-	if g := p.peers.group; g != nil && yes && g.Say(state) { // that it serves again Among says, which knows whether it can
+	if g := p.peers.group; g != nil && yes && g.SetOwnState(state) { // that it serves again Among says, which knows whether it can
 		p.peers.publish()
 	}
 }
--- a/internal/front/resp/peers_test.go
+++ b/internal/front/resp/peers_test.go
@@ -91,7 +91,7 @@
 // slotAt is a slot of a router's own part.
 func slotAt(p *Protocol, router int) int {
 	for s := range slots.Count {
-		if s*len(p.peers.now.Load().Serves)/slots.Count == router {
+		if s*len(p.peers.now.Load().ServedBy)/slots.Count == router {
 			return s
 		}
 	}
@@ -168,7 +168,7 @@
 func TestMapOfATier(t *testing.T) {
 	p := New(Config{Read: "r", Write: "w", Owners: owners, Peers: []string{"10.0.0.1:1", "10.0.0.2:2", "10.0.0.3:3"}, Me: 1}, "")
 	for range 3 {
-		p.peers.change(func(t *tier.Table) bool { return t.Missed(2) })
+		p.peers.change(func(t *tier.Table) bool { return t.RecordMissedReply(2) })
 	}
 	r, err := resp.NewReader(bufio.NewReaderSize(strings.NewReader(string(p.clusterSlots())), resp.MaxLine)).ReadReply()
 	if err != nil {
--- a/internal/model/fleetnet/fleets.go
+++ b/internal/model/fleetnet/fleets.go
@@ -109,8 +109,8 @@
 // spends is what a process may use now of a whole of 1.
 func (n *Net) spends(nd *Node) float64 {
 	if nd.Quota != nil {
-		nd.Quota.Shrink(n.Now, nd.own())
-		return nd.Quota.Have(n.Now, 0)
+		nd.Quota.UpdateShare(n.Now, nd.own())
+		return nd.Quota.UsableShare(n.Now, 0)
 	}
 	p := nd.Part()
 	if n.Now > p.Until {
--- a/internal/model/fleetnet/lines.go
+++ b/internal/model/fleetnet/lines.go
@@ -75,10 +75,10 @@
 // routers drawn at random would say different things, by their lines alone.
 func (n *Net) Over() (share, differ float64) {
 	var all, over float64
-	var lines []line.Line
+	var lines []line.Threshold
 	running := n.Running()
 	for _, nd := range running {
-		l := nd.Line.Line(n.Now)
+		l := nd.Line.Threshold(n.Now)
 		lines = append(lines, l)
 		for i, rate := range nd.Asks {
 			all += rate
@@ -107,7 +107,7 @@
 }
 
 // passes is the share of a band that is over a line.
-func passes(l line.Line, band int) float64 {
+func passes(l line.Threshold, band int) float64 {
 	switch {
 	case band < l.Band:
 		return 1
--- a/internal/model/fleetnet/loans.go
+++ b/internal/model/fleetnet/loans.go
@@ -54,7 +54,7 @@
 	}
 	n.Run(n.Now+30e3, look)
 	for _, nd := range n.Nodes {
-		if lent, borrowed := nd.Quota.Loans(n.Now, 0); lent+borrowed > 0 {
+		if lent, borrowed := nd.Quota.Leases(n.Now, 0); lent+borrowed > 0 {
 			m.StillUneven++
 		}
 	}
--- a/internal/model/fleetnet/net.go
+++ b/internal/model/fleetnet/net.go
@@ -197,9 +197,9 @@
 	if err != nil {
 		panic(err) // it is not refused
 	}
-	var handed quota.Handed
+	var handed quota.HandoverState
 	if nd.Quota != nil {
-		handed = nd.Quota.Hand(nd.net.Now)
+		handed = nd.Quota.Handover(nd.net.Now)
 	}
 	nd.State, nd.passes = Stopped, true
 	life := nd.life + 1
--- a/internal/model/fleetnet/quota.go
+++ b/internal/model/fleetnet/quota.go
@@ -12,7 +12,7 @@
 // Lending is Config for routers that lend each other their parts.
 func Lending(i int) fleet.Config {
 	cfg := Config(i)
-	cfg.Lends = quota.Term
+	cfg.Lends = quota.LeaseTerm
 	return cfg
 }
 
@@ -38,12 +38,12 @@
 	if nd.Quota == nil {
 		return
 	}
-	if _, ours := line.Ours(b); ours {
+	if _, ours := line.MessagePool(b); ours {
 		nd.cargo = append(nd.cargo, func() { nd.Line.Receive(nd.net.Now, quota.Peer{Name: from.Name, Start: from.Start}, b) }) //nolint:errcheck // as below
 		return
 	}
 	nd.cargo = append(nd.cargo, func() {
-		nd.Quota.Shrink(nd.net.Now, nd.own())
+		nd.Quota.UpdateShare(nd.net.Now, nd.own())
 		nd.Quota.Receive(nd.net.Now, quota.Peer{Name: from.Name, Start: from.Start}, b) //nolint:errcheck // tests of bad input look at it themselves
 	})
 }
@@ -58,7 +58,7 @@
 }
 
 // own is what the view gives the node.
-func (nd *Node) own() quota.Own {
+func (nd *Node) own() quota.BaseShare {
 	p := nd.Part()
 	share := func(routers float64) float64 {
 		if routers >= fleet.Holding {
@@ -66,7 +66,7 @@
 		}
 		return 1 / routers
 	}
-	return quota.Own{Share: share(p.Routers), Until: p.Until, Then: share(p.Then)}
+	return quota.BaseShare{Share: share(p.Routers), Until: p.Until, After: share(p.Then)}
 }
 
 // sortPeers puts peers in order, so that one seed gives one run.
--- a/internal/pure/drain/drain.go
+++ b/internal/pure/drain/drain.go
@@ -9,77 +9,77 @@
 
 // The phases, in the order in which a router that empties goes through them.
 const (
-	Serving  Phase = iota // nothing is asked of it
-	Leaving               // clients are sent elsewhere, and served as ever: some are still sent here
-	Emptying              // a connection ends as soon as nothing is open on it; who still comes is served, and closed behind the answer
-	Closing               // nobody is taken any more; the process ends when the last answer is out. It is final
+	Serving     Phase = iota // nothing is asked of it
+	Redirecting              // clients are sent elsewhere, and served as ever: some are still sent here
+	Draining                 // a connection ends as soon as nothing is open on it; who still comes is served, and closed behind the answer
+	Closing                  // nobody is taken any more; the process ends when the last answer is out. It is final
 )
 
 // Machine is one router's. The zero value, with the time that newcomers get, serves.
 type Machine struct {
 	Grace float64 // ms for which clients still come, as ever, after they are told to go elsewhere
 
-	out       bool
-	outSince  float64
-	ends      bool
-	endsSince float64
-	followed  bool
+	outOfService      bool
+	outOfServiceSince float64
+	shuttingDown      bool
+	shutdownSince     float64
+	hasSuccessor      bool
 }
 
-// OutOfService empties the router from now on. Two calls are one, of the first one's time.
-func (m *Machine) OutOfService(now float64) {
-	if !m.out {
-		m.out, m.outSince = true, now
+// TakeOutOfService empties the router from now on. Two calls are one, of the first one's time.
+func (m *Machine) TakeOutOfService(now float64) {
+	if !m.outOfService {
+		m.outOfService, m.outOfServiceSince = true, now
 	}
 }
 
-// InService ends what OutOfService has begun, and says whether the router serves: one that ends does not come back.
-func (m *Machine) InService() bool {
-	m.out = false
-	return !m.ends
+// PutInService ends what TakeOutOfService has begun, and says whether the router serves: one that ends does not come back.
+func (m *Machine) PutInService() bool {
+	m.outOfService = false
+	return !m.shuttingDown
 }
 
-// End has the process end. Nothing takes that back.
-func (m *Machine) End(now float64) {
-	if !m.ends {
-		m.ends, m.endsSince = true, now
+// BeginShutdown has the process end. Nothing takes that back.
+func (m *Machine) BeginShutdown(now float64) {
+	if !m.shuttingDown {
+		m.shuttingDown, m.shutdownSince = true, now
 	}
 }
 
-// Follow tells whether another process of this router takes its clients, at the same address: then nobody needs this one to take
+// SetSuccessor tells whether another process of this router takes its clients, at the same address: then nobody needs this one to take
 // any once it is told to end. Where that one is gone again, this one goes on as before, unless it has been told to end.
-func (m *Machine) Follow(yes bool) { m.followed = yes || m.followed && m.ends }
+func (m *Machine) SetSuccessor(yes bool) { m.hasSuccessor = yes || m.hasSuccessor && m.shuttingDown }
 
 // Phase is what holds now.
 func (m *Machine) Phase(now float64) Phase {
 	switch {
-	case m.ends && (m.followed || now >= m.endsSince+m.Grace):
+	case m.shuttingDown && (m.hasSuccessor || now >= m.shutdownSince+m.Grace):
 		return Closing
-	case m.out && now >= m.outSince+m.Grace:
-		return Emptying
-	case m.out || m.ends:
-		return Leaving
+	case m.outOfService && now >= m.outOfServiceSince+m.Grace:
+		return Draining
+	case m.outOfService || m.shuttingDown:
+		return Redirecting
 	}
 	return Serving
 }
 
-// Next is when the phase changes by itself; +Inf where it does not.
-func (m *Machine) Next(now float64) float64 {
+// NextChange is when the phase changes by itself; +Inf where it does not.
+func (m *Machine) NextChange(now float64) float64 {
 	next := math.Inf(1)
-	if at := m.endsSince + m.Grace; m.ends && !m.followed && at > now {
+	if at := m.shutdownSince + m.Grace; m.shuttingDown && !m.hasSuccessor && at > now {
 		next = at
 	}
-	if at := m.outSince + m.Grace; m.out && at > now {
+	if at := m.outOfServiceSince + m.Grace; m.outOfService && at > now {
 		next = min(next, at)
 	}
 	return next
 }
 
-// Invites says whether clients may be sent to the router's address. One that ends says so too while clients come all the same, as
+// ShouldAdvertise says whether clients may be sent to the router's address. One that ends says so too while clients come all the same, as
 // whoever ended it knows, and for as long as it lives where another process serves them there.
-func (m *Machine) Invites(now float64) bool {
-	return !m.out && (m.followed || m.Phase(now) < Closing)
+func (m *Machine) ShouldAdvertise(now float64) bool {
+	return !m.outOfService && (m.hasSuccessor || m.Phase(now) < Closing)
 }
 
-// Out says whether operators have taken the router out of service.
-func (m *Machine) Out() bool { return m.out }
+// IsOutOfService says whether operators have taken the router out of service.
+func (m *Machine) IsOutOfService() bool { return m.outOfService }
--- a/internal/pure/line/cases_test.go
+++ b/internal/pure/line/cases_test.go
@@ -19,24 +19,24 @@
 	bulk = 13
 )
 
-// each is what a router is asked for in a second where nothing is overloaded.
-const each = 40.0
+// baseRate is what a router is asked for in a second where nothing is overloaded.
+const baseRate = 40.0
 
-// world is a fleet of routers that settle one line, behind which servers can do 1.25 times what is asked for at first.
-type world struct {
+// testFleet is a fleet of routers that settle one line, behind which servers can do 1.25 times what is asked for at first.
+type testFleet struct {
 	*fleetnet.Net
-	t    *testing.T
-	mean float64 // mean of what all are asked for, beside each
+	t            *testing.T
+	demandFactor float64 // mean of what all are asked for, beside each
 }
 
-func begin(t *testing.T, routers int) *world {
+func newTestFleet(t *testing.T, routers int) *testFleet {
 	t.Helper()
 	t.Parallel()
-	w := &world{fleetnet.New(uint64(routers)), t, 1}
+	w := &testFleet{fleetnet.New(uint64(routers)), t, 1}
 	for i := range routers {
 		w.Start(fleetnet.Lending(i))
 	}
-	w.ask(1)
+	w.setDemand(1)
 	if _, ok := w.Until(6000, func() bool { return w.Settled() == nil && w.Spent() > 0.999 }); !ok {
 		t.Fatal("no start")
 	}
@@ -44,21 +44,21 @@
 	return w
 }
 
-// asked is what a router is asked for, of three worths.
-func asked(much float64) [decide.Bands]float64 {
+// demandOf is what a router is asked for, of three worths.
+func demandOf(much float64) [decide.Bands]float64 {
 	return [decide.Bands]float64{gold: 0.2 * much, read: 0.5 * much, bulk: 0.3 * much}
 }
 
-// ask has all be asked for so many times as much.
-func (w *world) ask(times float64) {
-	w.mean = times
+// setDemand has all be asked for so many times as much.
+func (w *testFleet) setDemand(times float64) {
+	w.demandFactor = times
 	for _, nd := range w.Nodes {
-		nd.Asks, nd.Room = asked(times*each), 1.25*each*float64(len(w.Nodes))
+		nd.Asks, nd.Room = demandOf(times*baseRate), 1.25*baseRate*float64(len(w.Nodes))
 	}
 }
 
-// over is the share that lines let pass, in the mean over some time, and of how much two routers differ.
-func (w *world) over(ms float64) (over, differ float64) {
+// measureAdmitted is the share that lines let pass, in the mean over some time, and of how much two routers differ.
+func (w *testFleet) measureAdmitted(ms float64) (over, differ float64) {
 	n := 0.0
 	w.Run(w.Now+ms, func() {
 		o, d := w.Over()
@@ -67,10 +67,10 @@
 	return over / n, differ / n
 }
 
-// agree checks what lines let pass over some time.
-func (w *world) agree(when string, ms, want float64) {
+// checkAdmitted checks what lines let pass over some time.
+func (w *testFleet) checkAdmitted(when string, ms, want float64) {
 	w.t.Helper()
-	over, differ := w.over(ms)
+	over, differ := w.measureAdmitted(ms)
 	w.t.Logf("%s: %.3f pass, %.3f are right, two routers differ about %.3f", when, over, want, differ)
 	if over < 0.88*want || over > 1.12*want || differ > 0.06 {
 		w.t.Errorf("%s: %.3f pass, %.3f are right, two routers differ about %.3f", when, over, want, differ)
@@ -79,14 +79,14 @@
 
 // Within a second of an overload all routers have one line, which lets pass what servers can do; the highest worth is over it. Without one there is none.
 func TestOneLineForAll(t *testing.T) {
-	for _, n := range []int{2, 6, most} {
+	for _, n := range []int{2, 6, maxFleetSize} {
 		for _, times := range []float64{2, 4} {
 			t.Run(fmt.Sprintf("%d routers, %v times", n, times), func(t *testing.T) {
-				w := begin(t, n)
-				if over, _ := w.over(3000); over < 0.99 {
+				w := newTestFleet(t, n)
+				if over, _ := w.measureAdmitted(3000); over < 0.99 {
 					t.Errorf("in calm %.3f pass", over)
 				}
-				w.ask(times)
+				w.setDemand(times)
 				began := w.Now
 				took, ok := w.Until(2000, func() bool { o, _ := w.Over(); return o < 1.3*1.25/times })
 				t.Logf("a line after %.0f ms", took)
@@ -94,13 +94,13 @@
 					t.Errorf("no line within %.0f ms", took)
 				}
 				w.For(began + 1200 - w.Now)
-				w.agree("overload", 5000, 1.25/times)
+				w.checkAdmitted("overload", 5000, 1.25/times)
 				for i, nd := range w.Nodes {
-					if l := nd.Line.Line(w.Now); l.Band == gold {
+					if l := nd.Line.Threshold(w.Now); l.Band == gold {
 						t.Errorf("router %d refuses of the highest worth: %+v", i, l)
 					}
 				}
-				w.ask(1)
+				w.setDemand(1)
 				if took, ok := w.Until(3000, func() bool { o, _ := w.Over(); return o > 0.99 }); !ok {
 					t.Error("the line stays")
 				} else {
@@ -115,15 +115,15 @@
 // routers alone.
 func TestUnevenLoadHasOneLine(t *testing.T) {
 	t.Run("ten times the mean", func(t *testing.T) {
-		w := begin(t, 12)
-		w.ask(2)
-		w.Nodes[3].Asks, w.Nodes[4].Asks = asked(20*each), asked(0.1*each)
+		w := newTestFleet(t, 12)
+		w.setDemand(2)
+		w.Nodes[3].Asks, w.Nodes[4].Asks = demandOf(20*baseRate), demandOf(0.1*baseRate)
 		w.For(3000)
-		w.agree("uneven", 5000, 12*1.25/(10*2+20+0.1))
+		w.checkAdmitted("uneven", 5000, 12*1.25/(10*2+20+0.1))
 	})
 	t.Run("worths at some", func(t *testing.T) {
-		w := begin(t, 12)
-		w.ask(2)
+		w := newTestFleet(t, 12)
+		w.setDemand(2)
 		for i, nd := range w.Nodes { // 960 are asked for, of which a half is gold: it fits alone
 			nd.Asks = [decide.Bands]float64{bulk: 60}
 			if i%3 == 0 {
@@ -131,9 +131,9 @@
 			}
 		}
 		w.For(3000)
-		w.agree("uneven", 5000, 600.0/960)
+		w.checkAdmitted("uneven", 5000, 600.0/960)
 		for i, nd := range w.Nodes {
-			if l := nd.Line.Line(w.Now); l.Band != bulk {
+			if l := nd.Line.Threshold(w.Now); l.Band != bulk {
 				t.Errorf("router %d: the line is in band %d, that of the least worth is %d", i, l.Band, bulk)
 			}
 		}
@@ -142,26 +142,26 @@
 
 // Messages lost, doubled and out of order, and all of one router late by 2 s, leave one line.
 func TestLineOnBadNetworks(t *testing.T) {
-	for name, link := range map[string]func(w *world, a, b *fleetnet.Node) fleetnet.Link{
-		"a third lost, a third doubled": func(*world, *fleetnet.Node, *fleetnet.Node) fleetnet.Link {
+	for name, link := range map[string]func(w *testFleet, a, b *fleetnet.Node) fleetnet.Link{
+		"a third lost, a third doubled": func(*testFleet, *fleetnet.Node, *fleetnet.Node) fleetnet.Link {
 			return fleetnet.Link{Loss: 0.3, Double: 0.3, Delay: 1, Jitter: 100}
 		},
-		"one is late by 2 s": func(w *world, a, b *fleetnet.Node) fleetnet.Link {
+		"one is late by 2 s": func(w *testFleet, a, b *fleetnet.Node) fleetnet.Link {
 			if a == w.Nodes[1] || b == w.Nodes[1] {
 				return fleetnet.Link{Delay: 2000}
 			}
 			return fleetnet.Link{Delay: 1}
 		},
-		"one way": func(w *world, a, b *fleetnet.Node) fleetnet.Link {
+		"one way": func(w *testFleet, a, b *fleetnet.Node) fleetnet.Link {
 			return fleetnet.Link{Delay: 1, Cut: a == w.Nodes[1] && b != w.Nodes[2]}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := begin(t, 12)
+			w := newTestFleet(t, 12)
 			w.Link = func(a, b *fleetnet.Node) fleetnet.Link { return link(w, a, b) }
-			w.ask(2.5)
+			w.setDemand(2.5)
 			w.For(3000)
-			w.agree(name, 8000, 0.5)
+			w.checkAdmitted(name, 8000, 0.5)
 		})
 	}
 }
@@ -169,8 +169,8 @@
 // Two thirds of the routers are killed while less than half of what servers can do is asked for, and their clients come to the others: nobody refuses. At
 // more than that the line follows.
 func TestRoutersKilledUnderLine(t *testing.T) {
-	w := begin(t, 12)
-	w.ask(0.6)
+	w := newTestFleet(t, 12)
+	w.setDemand(0.6)
 	w.For(3000)
 	kill := func() {
 		for i, nd := range w.Nodes {
@@ -184,7 +184,7 @@
 		}
 	}
 	kill()
-	if over, _ := w.over(10e3); over < 0.95 {
+	if over, _ := w.measureAdmitted(10e3); over < 0.95 {
 		t.Errorf("half of what servers can do is asked for, and %.3f pass", over)
 	}
 	for _, nd := range w.Nodes {
@@ -193,45 +193,45 @@
 		}
 	}
 	w.For(3000)
-	w.agree("a third of the routers", 5000, 0.5)
+	w.checkAdmitted("a third of the routers", 5000, 0.5)
 }
 
 // Halves that don't hear each other and reach all servers each let pass what is theirs, and are one line soon after the cut has ended.
 func TestLineOfHalves(t *testing.T) {
-	w := begin(t, 12)
-	w.ask(2.5)
+	w := newTestFleet(t, 12)
+	w.setDemand(2.5)
 	w.For(2000)
 	w.Link = func(a, b *fleetnet.Node) fleetnet.Link {
 		return fleetnet.Link{Delay: 1, Cut: (a.Cfg.Seed < 6) != (b.Cfg.Seed < 6)}
 	}
 	for range 4 {
 		w.For(1000)
-		if over, _ := w.over(4000); over < 0.4 || over > 0.56 {
+		if over, _ := w.measureAdmitted(4000); over < 0.4 || over > 0.56 {
 			t.Errorf("in halves %.3f pass, 0.5 are right", over)
 		}
 	}
 	w.Link = func(_, _ *fleetnet.Node) fleetnet.Link { return fleetnet.Link{Delay: 1} }
 	w.For(4000)
-	w.agree("healed", 5000, 0.5)
+	w.checkAdmitted("healed", 5000, 0.5)
 }
 
 // A router that claims a thousand times what it is asked for has the line drawn at the highest worth at most: that is what it can do.
 func TestLiarDrawsTheLineTooHigh(t *testing.T) {
-	w := begin(t, 24)
-	w.ask(1)
-	w.Nodes[1].Asks = asked(1000 * each)
+	w := newTestFleet(t, 24)
+	w.setDemand(1)
+	w.Nodes[1].Asks = demandOf(1000 * baseRate)
 	w.For(5000)
 	least := 1.0
 	for i, nd := range w.Nodes {
 		if i != 1 {
-			least = min(least, nd.Line.Figures().Open)
+			least = min(least, nd.Line.Stats().AdmittedShare)
 		}
 	}
 	t.Logf("%.3f of what all say that is asked for is over the line", least)
 	if least < 1.0/40 { // 16 times the room, in the mean of those who met it lately
 		t.Errorf("a liar leaves %.4f of what is asked for over the line", least)
 	}
-	w.ask(1)
+	w.setDemand(1)
 	if took, ok := w.Until(20e3, func() bool { o, _ := w.Over(); return o > 0.99 }); !ok {
 		t.Error("the line stays")
 	} else {
@@ -241,11 +241,11 @@
 
 // Load around what servers can do does not have the line swing: what it lets pass stays between the two.
 func TestLineDoesNotSwing(t *testing.T) {
-	w := begin(t, 12)
+	w := newTestFleet(t, 12)
 	least := 1.0
 	for i := range 20 {
-		w.ask([]float64{1.1, 1.45}[i%2]) // 0.88 and 1.16 of it
-		over, _ := w.over(1500)
+		w.setDemand([]float64{1.1, 1.45}[i%2]) // 0.88 and 1.16 of it
+		over, _ := w.measureAdmitted(1500)
 		least = min(least, over)
 	}
 	if least < 0.8 {
@@ -255,28 +255,28 @@
 
 // All routers start anew within a second in the middle of an overload: the line is back as soon as they know of each other.
 func TestLineAfterAllRestart(t *testing.T) {
-	w := begin(t, 12)
-	w.ask(2.5)
+	w := newTestFleet(t, 12)
+	w.setDemand(2.5)
 	w.For(3000)
 	for _, nd := range w.Nodes {
 		nd.Kill()
 		w.For(40)
 		nd.Again()
 	}
-	w.ask(2.5)
+	w.setDemand(2.5)
 	w.For(3500)
-	w.agree("restarted", 5000, 0.5)
+	w.checkAdmitted("restarted", 5000, 0.5)
 }
 
 // The hash turns alike at all routers, also with one that came later.
 func TestHashTurnsAlike(t *testing.T) {
-	w := begin(t, 6)
+	w := newTestFleet(t, 6)
 	w.Start(fleetnet.Lending(6))
-	w.ask(3)
+	w.setDemand(3)
 	w.For(5000)
-	first := w.Nodes[0].Line.Line(w.Now).Turn
+	first := w.Nodes[0].Line.Threshold(w.Now).Turn
 	for i, nd := range w.Nodes {
-		apart := nd.Line.Line(w.Now).Turn - first
+		apart := nd.Line.Threshold(w.Now).Turn - first
 		if apart -= math.Round(apart); math.Abs(apart) > 0.005 {
 			t.Errorf("router %d is %.3f of a turn apart", i, apart)
 		}
@@ -289,29 +289,29 @@
 	f.Add(append([]byte{3, 0, 0, 0, 1}, make([]byte, line.MaxMessage-5)...))
 	f.Add(append([]byte{4, 0, 0, 0, 1}, bytes.Repeat([]byte{255}, line.MaxMessage-5)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m := line.New(1, 1, nobody{})
+		m := line.New(1, 1, discardHost{})
 		d := line.Demand{Room: 100}
 		for now := 1000.0; now < 3000; now += 50 {
 			d.Work[0] += 1
 			d.Passed, d.Sent = d.Passed+1, d.Sent+1
 			m.Tick(now, 1, d, []line.Peer{{Name: "p"}})
 			m.Receive(now, line.Peer{Name: "p"}, b) //nolint:errcheck // what is wrong is refused
-			if err := m.Line(now).Validate(); err != nil {
+			if err := m.Threshold(now).Validate(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if g := m.Figures(); !(g.Mean <= 16*decide.Bands*100+1) || g.Open < 0 || g.Open > 1 {
+		if g := m.Stats(); !(g.MeanRate <= 16*decide.Bands*100+1) || g.AdmittedShare < 0 || g.AdmittedShare > 1 {
 			t.Errorf("%x: %+v", b, g)
 		}
 	})
 }
 
-type nobody struct{}
+type discardHost struct{}
 
-func (nobody) Send(line.Peer, []byte) {}
+func (discardHost) Send(line.Peer, []byte) {}
 
 func TestBadMessages(t *testing.T) {
-	m := line.New(1, 1, nobody{})
+	m := line.New(1, 1, discardHost{})
 	for name, b := range map[string][]byte{"nothing": nil, "short": make([]byte, line.MaxMessage-1), "no kind of ours": make([]byte, line.MaxMessage),
 		"of another pool": append([]byte{3, 0, 0, 0, 9}, make([]byte, line.MaxMessage-5)...)} {
 		if err := m.Receive(1000, line.Peer{Name: "p"}, b); err == nil || !strings.HasPrefix(err.Error(), "line: a message of ") {
--- a/internal/pure/line/race_off_test.go
+++ b/internal/pure/line/race_off_test.go
@@ -2,5 +2,5 @@
 
 package line_test
 
-// most routers are in the largest fleet that is played.
-const most = 100
+// maxFleetSize routers are in the largest fleet that is played.
+const maxFleetSize = 100
--- a/internal/pure/quota/codec.go
+++ b/internal/pure/quota/codec.go
@@ -11,56 +11,56 @@
 
 // The kinds of messages, and their lengths.
 const (
-	kindQuestion = 1
-	kindAnswer   = 2
-	questionLen  = 1 + 1 + 4 + 4 + 4
-	answerLen    = 1 + 1 + 4 + 4
+	kindRequest = 1
+	kindGrant   = 2
+	requestLen  = 1 + 1 + 4 + 4 + 4
+	grantLen    = 1 + 1 + 4 + 4
 )
 
-// question asks for a loan: how much work there is, and what there is for it without a loan of the one that is asked.
-type question struct {
-	good uint8
-	id   uint32
-	rate float32
-	have float32
+// leaseRequest asks for a loan: how much work there is, and what there is for it without a loan of the one that is asked.
+type leaseRequest struct {
+	resource  uint8
+	id        uint32
+	rate      float32
+	available float32
 }
 
-// answer gives a loan. Its time counts from the question.
-type answer struct {
-	good   uint8
-	id     uint32
-	amount float32 // of the whole
+// leaseGrant gives a loan. Its time counts from the question.
+type leaseGrant struct {
+	resource uint8
+	id       uint32
+	amount   float32 // of the whole
 }
 
-func (q question) encode() []byte {
-	b := append(make([]byte, 0, questionLen), kindQuestion, q.good)
+func (q leaseRequest) encode() []byte {
+	b := append(make([]byte, 0, requestLen), kindRequest, q.resource)
 	b = binary.BigEndian.AppendUint32(b, q.id)
 	b = binary.BigEndian.AppendUint32(b, math.Float32bits(q.rate))
-	return binary.BigEndian.AppendUint32(b, math.Float32bits(q.have))
+	return binary.BigEndian.AppendUint32(b, math.Float32bits(q.available))
 }
 
-func (a answer) encode() []byte {
-	b := append(make([]byte, 0, answerLen), kindAnswer, a.good)
+func (a leaseGrant) encode() []byte {
+	b := append(make([]byte, 0, grantLen), kindGrant, a.resource)
 	b = binary.BigEndian.AppendUint32(b, a.id)
 	return binary.BigEndian.AppendUint32(b, math.Float32bits(a.amount))
 }
 
 // decode reads a message. Numbers that are none, or that no router has, are errors.
-func decode(b []byte) (*question, *answer, error) {
+func decode(b []byte) (*leaseRequest, *leaseGrant, error) {
 	if len(b) < 2 {
 		return nil, nil, fmt.Errorf("quota: a message of %d bytes", len(b))
 	}
 	number := func(at int) float32 { return math.Float32frombits(binary.BigEndian.Uint32(b[at:])) }
 	share := func(v float32) bool { return v >= 0 && v <= 1 }
 	switch {
-	case b[0] == kindQuestion && len(b) == questionLen:
-		q := &question{good: b[1], id: binary.BigEndian.Uint32(b[2:]), rate: number(6), have: number(10)}
-		if !(q.rate >= 0 && q.rate <= maxRate) || !share(q.have) {
-			return nil, nil, fmt.Errorf("quota: a question by %v a second that have %v", q.rate, q.have)
+	case b[0] == kindRequest && len(b) == requestLen:
+		q := &leaseRequest{resource: b[1], id: binary.BigEndian.Uint32(b[2:]), rate: number(6), available: number(10)}
+		if !(q.rate >= 0 && q.rate <= maxRate) || !share(q.available) {
+			return nil, nil, fmt.Errorf("quota: a question by %v a second that have %v", q.rate, q.available)
 		}
 		return q, nil, nil
-	case b[0] == kindAnswer && len(b) == answerLen:
-		a := &answer{good: b[1], id: binary.BigEndian.Uint32(b[2:]), amount: number(6)}
+	case b[0] == kindGrant && len(b) == grantLen:
+		a := &leaseGrant{resource: b[1], id: binary.BigEndian.Uint32(b[2:]), amount: number(6)}
 		if !share(a.amount) {
 			return nil, nil, fmt.Errorf("quota: a loan of %v", a.amount)
 		}
--- a/internal/pure/quota/quota.go
+++ b/internal/pure/quota/quota.go
@@ -17,34 +17,34 @@
 
 // Times in ms. Term is how long a loan lasts, for the view too: what a router had is not another's before its loans have ended.
 const (
-	Term     = 1000.0
-	slack    = 0.95   // of the term, for the borrower: clocks of two machines do not run quite alike
-	askEvery = 100.0  // while there is too little here
-	askIdle  = 1000.0 // otherwise, and where nobody had anything to lend: so the others hear how much work there is here
-	renewAt  = 400.0  // age of a loan at which it is asked for again
-	heardFor = 10e3   // for which another's word of its work counts
+	LeaseTerm            = 1000.0
+	lesseeTermFactor     = 0.95   // of the term, for the borrower: clocks of two machines do not run quite alike
+	shortRequestInterval = 100.0  // while there is too little here
+	idleRequestInterval  = 1000.0 // otherwise, and where nobody had anything to lend: so the others hear how much work there is here
+	renewalAge           = 400.0  // age of a loan at which it is asked for again
+	rateReportTTL        = 10e3   // for which another's word of its work counts
 )
 
 // Bounds.
 const (
-	MaxGoods   = 4
-	maxLenders = 64  // of one good, at once
-	maxLoans   = 512 // that are out, of all goods
-	perPeer    = 6   // of one good to one borrower, those that it has asked for anew since among them
-	strangers  = 4   // asked in a round beside those that lend already, where there is too little here
-	idly       = 2   // otherwise
-	maxHeard   = 512 // routers whose work is known, of one good
+	MaxResources        = 4
+	maxLessors          = 64  // of one good, at once
+	maxLeases           = 512 // that are out, of all goods
+	maxLeasesPerLessee  = 6   // of one good to one borrower, those that it has asked for anew since among them
+	newLessorsWhenShort = 4   // asked in a round beside those that lend already, where there is too little here
+	newLessorsWhenIdle  = 2   // otherwise
+	maxRateReports      = 512 // routers whose work is known, of one good
 )
 
 // Parts.
 const (
-	floor    = 0.25 // of the own part that is never lent: work may come at any moment
-	least    = 0.02 // of the own part, below which lending is not worth a message
-	enough   = 0.95 // of what is due: no more is asked for then
-	plenty   = 1.25 // times what is due: loans are not asked for anew
-	kept     = 0.7  // of a loan is lent again at least, while it is asked for: each lender's mean is another
-	base     = 1.0  // a second, added to the work of each: where next to none has any, all are due alike
-	suddenly = 1.3  // times more work than when it last asked in vain: it asks at once
+	unleasableFraction = 0.25 // of the own part that is never lent: work may come at any moment
+	minLeaseFraction   = 0.02 // of the own part, below which lending is not worth a message
+	satisfiedFraction  = 0.95 // of what is due: no more is asked for then
+	surplusFactor      = 1.25 // times what is due: loans are not asked for anew
+	renewedFraction    = 0.7  // of a loan is lent again at least, while it is asked for: each lender's mean is another
+	baseRate           = 1.0  // a second, added to the work of each: where next to none has any, all are due alike
+	surgeFactor        = 1.3  // times more work than when it last asked in vain: it asks at once
 )
 
 // Peer is a process of another router.
@@ -58,131 +58,131 @@
 	Send(to Peer, m []byte) // at most MaxMessage bytes, which may be lost, late, doubled or out of order
 }
 
-// Own is what the view gives this router: a share of each good until a time, and another from there on.
-type Own struct{ Share, Until, Then float64 }
+// BaseShare is what the view gives this router: a share of each good until a time, and another from there on.
+type BaseShare struct{ Share, Until, After float64 }
 
-// at is the share at a time.
-func (o Own) at(now float64) float64 {
+// sentAt is the share at a time.
+func (o BaseShare) shareAt(now float64) float64 {
 	if now > o.Until {
-		return o.Then
+		return o.After
 	}
 	return o.Share
 }
 
 // Machine is one router's. Times are in ms on a clock that never runs backwards.
 type Machine struct {
-	host  Host
-	rng   *rand.Rand
-	now   float64
-	own   Own
-	peers []Peer
-	seq   uint32
-	goods []good
-	loans int // that are out
+	host       Host
+	rng        *rand.Rand
+	now        float64
+	base       BaseShare
+	peers      []Peer
+	seq        uint32
+	resources  []resource
+	leaseCount int // that are out
 }
 
-// good is what is known of one common good.
-type good struct {
-	rate    float64 // of work that needs it here
-	lent    map[Peer][]loan
-	had     map[Peer]loan // borrowed, the latest of each
-	asked   map[Peer]ask  // the last question to each that may still be answered
-	askAt   float64
-	inVain  int     // rounds in a row that brought nothing
-	askedBy float64 // rate at the last round
-	heard   map[Peer]word
+// resource is what is known of one common good.
+type resource struct {
+	rate            float64 // of work that needs it here
+	leasedOut       map[Peer][]lease
+	leasedIn        map[Peer]lease          // borrowed, the latest of each
+	pending         map[Peer]pendingRequest // the last question to each that may still be answered
+	nextRequestAt   float64
+	fruitlessRounds int     // rounds in a row that brought nothing
+	lastRoundRate   float64 // rate at the last round
+	peerRates       map[Peer]rateReport
 }
 
-// word is what another said of its work.
-type word struct{ rate, at float64 }
+// rateReport is what another said of its work.
+type rateReport struct{ rate, receivedAt float64 }
 
-type loan struct {
+type lease struct {
 	id     uint32
 	amount float64
-	from   float64 // when it was asked for
+	start  float64 // when it was asked for
 	until  float64
 }
 
-type ask struct {
-	id uint32
-	at float64
+type pendingRequest struct {
+	id     uint32
+	sentAt float64
 }
 
 // New is the machine of a router that shares so many goods.
 func New(goods int, seed uint64, host Host) (*Machine, error) {
-	if goods < 1 || goods > MaxGoods {
-		return nil, fmt.Errorf("quota: %d goods; 1 to %d are right", goods, MaxGoods)
+	if goods < 1 || goods > MaxResources {
+		return nil, fmt.Errorf("quota: %d goods; 1 to %d are right", goods, MaxResources)
 	}
 	m := &Machine{host: host, rng: rand.New(rand.NewPCG(seed, 13))}
 	m.seq = m.rng.Uint32() >> 1 // it grows for weeks before it is used up
 	for range goods {
-		m.goods = append(m.goods, good{lent: map[Peer][]loan{}, had: map[Peer]loan{}, asked: map[Peer]ask{}, heard: map[Peer]word{}})
+		m.resources = append(m.resources, resource{leasedOut: map[Peer][]lease{}, leasedIn: map[Peer]lease{}, pending: map[Peer]pendingRequest{}, peerRates: map[Peer]rateReport{}})
 	}
 	return m, nil
 }
 
 // Tick lets time pass: own is what the view gives, rates the work that needs each good here, peers those that may be asked.
-func (m *Machine) Tick(now float64, own Own, rates []float64, peers []Peer) {
-	m.now, m.own, m.peers = now, own, peers
-	for i := range m.goods {
-		g := &m.goods[i]
+func (m *Machine) Tick(now float64, own BaseShare, rates []float64, peers []Peer) {
+	m.now, m.base, m.peers = now, own, peers
+	for i := range m.resources {
+		g := &m.resources[i]
 		if i < len(rates) {
-			g.rate = base + max(0, rates[i])
+			g.rate = baseRate + max(0, rates[i])
 		}
 		m.expire(g)
-		m.round(i, g)
+		m.requestLeases(i, g)
 	}
 }
 
-// Shrink has another part count at once.
-func (m *Machine) Shrink(now float64, own Own) { m.now, m.own = max(m.now, now), own }
+// UpdateShare has another part count at once.
+func (m *Machine) UpdateShare(now float64, own BaseShare) { m.now, m.base = max(m.now, now), own }
 
 // expire lets go of loans that have ended, and of questions that nothing comes of any more.
-func (m *Machine) expire(g *good) {
-	for p, ls := range g.lent {
+func (m *Machine) expire(g *resource) {
+	for p, ls := range g.leasedOut {
 		before := len(ls)
-		ls = slices.DeleteFunc(ls, func(l loan) bool { return m.now >= l.until })
-		m.loans -= before - len(ls)
-		if g.lent[p] = ls; len(ls) == 0 {
-			delete(g.lent, p)
+		ls = slices.DeleteFunc(ls, func(l lease) bool { return m.now >= l.until })
+		m.leaseCount -= before - len(ls)
+		if g.leasedOut[p] = ls; len(ls) == 0 {
+			delete(g.leasedOut, p)
 		}
 	}
-	for p, l := range g.had {
+	for p, l := range g.leasedIn {
 		if m.now >= l.until {
-			delete(g.had, p)
+			delete(g.leasedIn, p)
 		}
 	}
-	for p, a := range g.asked {
-		if m.now-a.at >= Term {
-			delete(g.asked, p)
+	for p, a := range g.pending {
+		if m.now-a.sentAt >= LeaseTerm {
+			delete(g.pending, p)
 		}
 	}
-	for p, w := range g.heard {
-		if m.now-w.at >= heardFor {
-			delete(g.heard, p)
+	for p, w := range g.peerRates {
+		if m.now-w.receivedAt >= rateReportTTL {
+			delete(g.peerRates, p)
 		}
 	}
 }
 
-// mean is the work of a router in the mean of this one and of those that have said how much theirs is.
-func (g *good) mean() float64 {
+// meanRate is the work of a router in the mean of this one and of those that have said how much theirs is.
+func (g *resource) meanRate() float64 {
 	sum := g.rate
-	for _, w := range g.heard {
+	for _, w := range g.peerRates {
 		sum += w.rate
 	}
-	return sum / float64(1+len(g.heard))
+	return sum / float64(1+len(g.peerRates))
 }
 
-// due is the share that work makes of a whole that is divided by work, own being an equal part.
-func due(own, rate, mean float64) float64 {
+// fairShare is the share that work makes of a whole that is divided by work, own being an equal part.
+func fairShare(own, rate, mean float64) float64 {
 	if mean <= 0 {
 		return own
 	}
 	return own * rate / mean
 }
 
-// reserved is what a borrower may be using of what it was lent: of loans of one lender it uses one.
-func reserved(ls []loan, now float64) (most float64) {
+// largestLease is what a borrower may be using of what it was lent: of loans of one lender it uses one.
+func largestLease(ls []lease, now float64) (most float64) {
 	for _, l := range ls {
 		if now < l.until {
 			most = max(most, l.amount)
@@ -191,19 +191,19 @@
 	return most
 }
 
-// lentOf is what is lent of a good, but for one borrower.
-func (m *Machine) lentOf(g *good, but Peer) (sum float64) {
-	for p, ls := range g.lent {
+// leasedOutExcept is what is lent of a good, but for one borrower.
+func (m *Machine) leasedOutExcept(g *resource, but Peer) (sum float64) {
+	for p, ls := range g.leasedOut {
 		if p != but || p == (Peer{}) { // what the process before lent is keyed by nobody
-			sum += reserved(ls, m.now)
+			sum += largestLease(ls, m.now)
 		}
 	}
 	return sum
 }
 
-// hadOf is what is borrowed of a good, but from one lender.
-func (m *Machine) hadOf(g *good, but Peer) (sum float64) {
-	for p, l := range g.had {
+// leasedInExcept is what is borrowed of a good, but from one lender.
+func (m *Machine) leasedInExcept(g *resource, but Peer) (sum float64) {
+	for p, l := range g.leasedIn {
 		if p != but && m.now < l.until {
 			sum += l.amount
 		}
@@ -211,99 +211,99 @@
 	return sum
 }
 
-// Have is the share of a good that this router may use now.
-func (m *Machine) Have(now float64, i int) float64 {
+// UsableShare is the share of a good that this router may use now.
+func (m *Machine) UsableShare(now float64, i int) float64 {
 	m.now = max(m.now, now)
-	g := &m.goods[i]
-	return max(0, m.own.at(m.now)-m.lentOf(g, Peer{})) + m.hadOf(g, Peer{})
+	g := &m.resources[i]
+	return max(0, m.base.shareAt(m.now)-m.leasedOutExcept(g, Peer{})) + m.leasedInExcept(g, Peer{})
 }
 
-// Loans are what is out of a good, and what is borrowed of it.
-func (m *Machine) Loans(now float64, i int) (lent, borrowed float64) {
+// Leases are what is out of a good, and what is borrowed of it.
+func (m *Machine) Leases(now float64, i int) (lent, borrowed float64) {
 	m.now = max(m.now, now)
-	return m.lentOf(&m.goods[i], Peer{}), m.hadOf(&m.goods[i], Peer{})
+	return m.leasedOutExcept(&m.resources[i], Peer{}), m.leasedInExcept(&m.resources[i], Peer{})
 }
 
-// Handed is what a process hands on to the next one of the same router, which the others know by the same start.
-type Handed struct {
-	Lent []float64 `json:"lent"` // of each good
-	Seq  uint32    `json:"seq"`  // of the last question
+// HandoverState is what a process hands on to the next one of the same router, which the others know by the same start.
+type HandoverState struct {
+	LeasedOut []float64 `json:"lent"` // of each good
+	Seq       uint32    `json:"seq"`  // of the last question
 }
 
-// Hand ends the machine's life here.
-func (m *Machine) Hand(now float64) (h Handed) {
+// Handover ends the machine's life here.
+func (m *Machine) Handover(now float64) (h HandoverState) {
 	m.now = max(m.now, now)
 	h.Seq = m.seq
-	for i := range m.goods {
-		h.Lent = append(h.Lent, m.lentOf(&m.goods[i], Peer{}))
+	for i := range m.resources {
+		h.LeasedOut = append(h.LeasedOut, m.leasedOutExcept(&m.resources[i], Peer{}))
 	}
 	return h
 }
 
 // Resume has this router keep back, for as long as loans last, what the process before it had lent. Its questions come after that one's: a
 // number that was used before would be taken for a question that is asked twice, and answered with a loan that has begun long ago.
-func (m *Machine) Resume(now float64, h Handed) {
+func (m *Machine) Resume(now float64, h HandoverState) {
 	m.now, m.seq = max(m.now, now), h.Seq
-	for i := range min(len(h.Lent), len(m.goods)) {
-		if lent := h.Lent[i]; lent > 0 && lent <= 1 {
-			m.goods[i].lent[Peer{}] = []loan{{amount: lent, from: m.now, until: m.now + Term}}
-			m.loans++
+	for i := range min(len(h.LeasedOut), len(m.resources)) {
+		if lent := h.LeasedOut[i]; lent > 0 && lent <= 1 {
+			m.resources[i].leasedOut[Peer{}] = []lease{{amount: lent, start: m.now, until: m.now + LeaseTerm}}
+			m.leaseCount++
 		}
 	}
 }
 
-// Until is when what Have says of a good ends at the earliest, and Then what is left of it for ever from there on.
-func (m *Machine) Until(now float64, i int) (until, then float64) {
+// Expiry is when what Have says of a good ends at the earliest, and Then what is left of it for ever from there on.
+func (m *Machine) Expiry(now float64, i int) (until, then float64) {
 	m.now = max(m.now, now)
-	g := &m.goods[i]
-	if until = m.own.Until; m.now > until {
+	g := &m.resources[i]
+	if until = m.base.Until; m.now > until {
 		until = math.Inf(1)
 	}
-	for _, l := range g.had {
+	for _, l := range g.leasedIn {
 		if m.now < l.until {
 			until = min(until, l.until)
 		}
 	}
-	return until, max(0, min(m.own.at(m.now), m.own.Then)-m.lentOf(g, Peer{}))
+	return until, max(0, min(m.base.shareAt(m.now), m.base.After)-m.leasedOutExcept(g, Peer{}))
 }
 
-// round asks those that lend, once their loans age, and a few others: more and sooner where there is less than is due.
-func (m *Machine) round(i int, g *good) {
-	own := m.own.at(m.now)
-	has, is := m.Have(m.now, i), due(own, g.rate, g.mean())
-	short := has < enough*is
-	sudden := g.rate > suddenly*g.askedBy
-	if m.now < g.askAt && !sudden || len(m.peers) == 0 || own <= 0 {
+// requestLeases asks those that lend, once their loans age, and a few others: more and sooner where there is less than is due.
+func (m *Machine) requestLeases(i int, g *resource) {
+	own := m.base.shareAt(m.now)
+	has, is := m.UsableShare(m.now, i), fairShare(own, g.rate, g.meanRate())
+	short := has < satisfiedFraction*is
+	sudden := g.rate > surgeFactor*g.lastRoundRate
+	if m.now < g.nextRequestAt && !sudden || len(m.peers) == 0 || own <= 0 {
 		return
 	}
-	every, fresh := askIdle, idly
-	if g.inVain++; short && g.inVain <= 5 || sudden {
-		every, fresh = askEvery, strangers
+	every, fresh := idleRequestInterval, newLessorsWhenIdle
+	if g.fruitlessRounds++; short && g.fruitlessRounds <= 5 || sudden {
+		every, fresh = shortRequestInterval, newLessorsWhenShort
 	}
-	if len(g.had) > 0 {
-		every = min(every, (slack*Term-renewAt)/2) // loans are renewed in time
+	if len(g.leasedIn) > 0 {
+		every = min(every, (lesseeTermFactor*LeaseTerm-renewalAge)/2) // loans are renewed in time
 	}
-	g.askAt, g.askedBy = m.now+every*(0.75+0.5*m.rng.Float64()), g.rate
-	for _, p := range m.toAsk(g, fresh, has <= plenty*is) {
+	g.nextRequestAt, g.lastRoundRate = m.now+every*(0.75+0.5*m.rng.Float64()), g.rate
+	for _, p := range m.chooseLessors(g, fresh, has <= surplusFactor*is) {
 		m.seq++
-		g.asked[p] = ask{m.seq, m.now}
-		have := max(0, own-m.lentOf(g, Peer{})) + m.hadOf(g, p)
-		m.host.Send(p, question{good: uint8(i), id: m.seq, rate: float32(g.rate), have: float32(min(1, have))}.encode())
+		g.pending[p] = pendingRequest{m.seq, m.now}
+		have := max(0, own-m.leasedOutExcept(g, Peer{})) + m.leasedInExcept(g, p)
+		m.host.Send(p, leaseRequest{resource: uint8(i), id: m.seq, rate: float32(g.rate), available: float32(min(1, have))}.encode())
 	}
 }
 
-// toAsk are those whose loans age, where these are to be kept, and so many others.
-func (m *Machine) toAsk(g *good, fresh int, keep bool) (to []Peer) {
-	for p, l := range g.had {
-		if keep && m.now-l.from >= renewAt && slices.Contains(m.peers, p) {
+// chooseLessors are those whose loans age, where these are to be kept, and so many others.
+func (m *Machine) chooseLessors(g *resource, fresh int, keep bool) (to []Peer) {
+	for p, l := range g.leasedIn {
+		if keep && m.now-l.start >= renewalAge && slices.Contains(m.peers, p) {
 			to = append(to, p)
 		}
 	}
 	slices.SortFunc(to, func(a, b Peer) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start)) })
-	room := min(fresh, maxLenders-len(g.had))
+	room := min(fresh, maxLessors-len(g.leasedIn))
 	for range 4 * fresh {
 		p := m.peers[m.rng.IntN(len(m.peers))]
-		if _, has := g.had[p]; has || slices.Contains(to, p) {
+		if _, has := g.leasedIn[p]; has || slices.Contains(to, p) {
 			continue
 		}
 		if room--; room < 0 {
@@ -321,62 +321,62 @@
 	switch {
 	case err != nil:
 		return err
-	case q != nil && int(q.good) < len(m.goods):
-		m.lend(from, *q)
-	case a != nil && int(a.good) < len(m.goods):
-		m.borrow(from, *a)
+	case q != nil && int(q.resource) < len(m.resources):
+		m.handleRequest(from, *q)
+	case a != nil && int(a.resource) < len(m.resources):
+		m.handleGrant(from, *a)
 	default:
 		return fmt.Errorf("quota: %s asks for a good that there is not", from.Name)
 	}
 	return nil
 }
 
-// lend answers a question with a loan: of what is more than this router's due, as much as the other lacks to its own. The answer to a question
+// handleRequest answers a question with a loan: of what is more than this router's due, as much as the other lacks to its own. The answer to a question
 // that is asked twice is the same.
-func (m *Machine) lend(to Peer, q question) {
-	g := &m.goods[q.good]
+func (m *Machine) handleRequest(to Peer, q leaseRequest) {
+	g := &m.resources[q.resource]
 	m.expire(g)
-	if _, known := g.heard[to]; known || len(g.heard) < maxHeard {
-		g.heard[to] = word{float64(q.rate), m.now}
+	if _, known := g.peerRates[to]; known || len(g.peerRates) < maxRateReports {
+		g.peerRates[to] = rateReport{float64(q.rate), m.now}
 	}
-	ls := g.lent[to]
+	ls := g.leasedOut[to]
 	for _, l := range ls {
 		if l.id == q.id {
-			m.host.Send(to, answer{good: q.good, id: q.id, amount: float32(l.amount)}.encode())
+			m.host.Send(to, leaseGrant{resource: q.resource, id: q.id, amount: float32(l.amount)}.encode())
 			return
 		}
 		if int32(q.id-l.id) < 0 {
 			return // overtaken by a newer one
 		}
 	}
-	own := m.own.at(m.now)
-	if len(ls) >= perPeer || m.loans >= maxLoans || own <= 0 || m.now+Term > m.own.Until && m.own.Then < own {
+	own := m.base.shareAt(m.now)
+	if len(ls) >= maxLeasesPerLessee || m.leaseCount >= maxLeases || own <= 0 || m.now+LeaseTerm > m.base.Until && m.base.After < own {
 		return // the last: it may not be this router's for so long
 	}
-	mean := g.mean()
-	spare := own - max(floor*own, due(own, g.rate, mean)) - m.lentOf(g, to)
-	lacks := due(own, float64(q.rate), mean) - float64(q.have)
-	y := float64(float32(min(spare, max(lacks, kept*reserved(ls, m.now)))))
-	if y < least*own {
+	mean := g.meanRate()
+	spare := own - max(unleasableFraction*own, fairShare(own, g.rate, mean)) - m.leasedOutExcept(g, to)
+	lacks := fairShare(own, float64(q.rate), mean) - float64(q.available)
+	y := float64(float32(min(spare, max(lacks, renewedFraction*largestLease(ls, m.now)))))
+	if y < minLeaseFraction*own {
 		return
 	}
-	g.lent[to] = append(ls, loan{id: q.id, amount: y, from: m.now, until: m.now + Term})
-	m.loans++
-	m.host.Send(to, answer{good: q.good, id: q.id, amount: float32(y)}.encode())
+	g.leasedOut[to] = append(ls, lease{id: q.id, amount: y, start: m.now, until: m.now + LeaseTerm})
+	m.leaseCount++
+	m.host.Send(to, leaseGrant{resource: q.resource, id: q.id, amount: float32(y)}.encode())
 }
 
-// borrow takes a loan that was asked for, in place of the one before of the same lender. An older one, or one that nobody asked for, is none.
-func (m *Machine) borrow(from Peer, a answer) {
-	g := &m.goods[a.good]
-	asked, ok := g.asked[from]
+// handleGrant takes a loan that was asked for, in place of the one before of the same lender. An older one, or one that nobody asked for, is none.
+func (m *Machine) handleGrant(from Peer, a leaseGrant) {
+	g := &m.resources[a.resource]
+	asked, ok := g.pending[from]
 	if !ok || asked.id != a.id {
 		return
 	}
-	delete(g.asked, from)
-	until := asked.at + slack*Term
+	delete(g.pending, from)
+	until := asked.sentAt + lesseeTermFactor*LeaseTerm
 	if m.now >= until || a.amount <= 0 {
 		return
 	}
-	g.had[from] = loan{id: a.id, amount: float64(a.amount), from: asked.at, until: until}
-	g.inVain = 0
+	g.leasedIn[from] = lease{id: a.id, amount: float64(a.amount), start: asked.sentAt, until: until}
+	g.fruitlessRounds = 0
 }
--- a/internal/pure/shares/shares.go
+++ b/internal/pure/shares/shares.go
@@ -20,15 +20,15 @@
 	return &Pool{total: total, multiple: multiple, held: map[string]int64{}}
 }
 
-// Fits says whether a party may have n more, beside what it holds. most is a bound of its own; 0 = it has none.
-func (p *Pool) Fits(who string, n, most int64) bool {
+// CanTake says whether a party may have n more, beside what it holds. most is a bound of its own; 0 = it has none.
+func (p *Pool) CanTake(who string, n, most int64) bool {
 	have := p.held[who] + n
 	return (most <= 0 || have <= most) && p.used+n <= p.total && float64(have) <= p.multiple*float64(p.total-p.used-n)
 }
 
 // Take is Fits, and books what fits.
 func (p *Pool) Take(who string, n, most int64) bool {
-	if !p.Fits(who, n, most) {
+	if !p.CanTake(who, n, most) {
 		return false
 	}
 	p.Add(who, n)
@@ -59,31 +59,31 @@
 // Parties is how many hold something.
 func (p *Pool) Parties() int { return len(p.held) }
 
-// Over says whether a party holds more than it could take now: others have come since.
-func (p *Pool) Over(who string, most int64) bool {
+// OverLimit says whether a party holds more than it could take now: others have come since.
+func (p *Pool) OverLimit(who string, most int64) bool {
 	have := p.held[who]
 	return have > 0 && (most > 0 && have > most || float64(have) > p.multiple*float64(p.total-p.used))
 }
 
-// Strangers is the party of those that nobody knows yet. No name is empty.
-const Strangers = ""
+// Unidentified is the party of those that nobody knows yet. No name is empty.
+const Unidentified = ""
 
-// strangersWeigh is how many times what strangers hold counts where one has to give way: who is known has more to lose.
-const strangersWeigh = 8
+// unidentifiedWeight is how many times what strangers hold counts where one has to give way: who is known has more to lose.
+const unidentifiedWeight = 8
 
-// Yields names the party that gives way to one more of another, of those that have something idle; ok is false where none does. It is the
+// ChooseVictim names the party that gives way to one more of another, of those that have something idle; ok is false where none does. It is the
 // one that weighs most. A known party gives way to itself, and to others only while it holds more than an equal part and more than who comes:
 // however many strangers come, they drive out nobody who holds little.
-func (p *Pool) Yields(to string, idle []string) (who string, ok bool) {
+func (p *Pool) ChooseVictim(to string, idle []string) (who string, ok bool) {
 	most := int64(0)
 	for _, x := range idle {
 		have := p.held[x]
 		weight := have
 		switch {
-		case x == Strangers:
-			weight = strangersWeigh * have
+		case x == Unidentified:
+			weight = unidentifiedWeight * have
 		case x == to:
-		case have*int64(len(p.held)) <= p.total || have <= p.held[to] && to != Strangers:
+		case have*int64(len(p.held)) <= p.total || have <= p.held[to] && to != Unidentified:
 			continue
 		}
 		if weight > most || weight == most && ok && x < who {
--- a/internal/pure/shares/shares_test.go
+++ b/internal/pure/shares/shares_test.go
@@ -19,12 +19,12 @@
 		first := rapid.IntRange(0, k-1).Draw(rt, "first")
 		for p.Take(name(first), 1, 0) {
 		}
-		if free := total - p.Used(); free > 1 && !p.Fits("new", 1, 0) {
+		if free := total - p.Used(); free > 1 && !p.CanTake("new", 1, 0) {
 			rt.Fatalf("nothing for a new one, of %d free", free)
 		}
 		for range 4 * total {
 			for i := range k {
-				if !p.Take(name(i), 1, 0) && p.Over(name(i), 0) {
+				if !p.Take(name(i), 1, 0) && p.OverLimit(name(i), 0) {
 					p.Add(name(i), -1)
 				}
 			}
@@ -49,7 +49,7 @@
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			who, n := rapid.SampledFrom([]string{"a", "b", ""}).Draw(rt, "who"), rapid.Int64Range(-40, 40).Draw(rt, "n")
 			most := rapid.Int64Range(0, 30).Draw(rt, "most")
-			fits := p.Fits(who, n, most)
+			fits := p.CanTake(who, n, most)
 			switch {
 			case rapid.Bool().Draw(rt, "add"):
 				p.Add(who, n)
@@ -64,7 +64,7 @@
 				if sum += h; h > 0 {
 					some++
 				}
-				if p.Held(w) != h || p.Over(w, 1<<40) != (h > 0 && float64(h) > 2*float64(p.Total()-p.Used())) || p.Over(w, 5) && h <= 5 && float64(h) <= 2*float64(p.Total()-p.Used()) {
+				if p.Held(w) != h || p.OverLimit(w, 1<<40) != (h > 0 && float64(h) > 2*float64(p.Total()-p.Used())) || p.OverLimit(w, 5) && h <= 5 && float64(h) <= 2*float64(p.Total()-p.Used()) {
 					rt.Fatalf("%q holds %d, not %d", w, p.Held(w), h)
 				}
 			}
@@ -78,7 +78,7 @@
 // Who gives way: strangers ahead of those that are known; a known party to itself, and to others only while it holds more than its part and
 // more than they; of several the one that weighs most. A flood, of strangers or of a tenant, drives out nobody who holds little.
 func TestYields(t *testing.T) {
-	held := map[string]int64{"flood": 60, "big": 30, "small": 4, Strangers: 6}
+	held := map[string]int64{"flood": 60, "big": 30, "small": 4, Unidentified: 6}
 	made := func(without ...string) (*Pool, []string) {
 		p := New(100, 8)
 		var idle []string
@@ -97,9 +97,9 @@
 		want    string
 		ok      bool
 	}{
-		"a stranger, and the heaviest gives way":          {to: Strangers, want: "flood", ok: true},
-		"strangers weigh eight times":                     {to: Strangers, without: []string{"flood"}, want: Strangers, ok: true},
-		"the small one is spared":                         {to: Strangers, idle: []string{"small"}},
+		"a stranger, and the heaviest gives way":          {to: Unidentified, want: "flood", ok: true},
+		"strangers weigh eight times":                     {to: Unidentified, without: []string{"flood"}, want: Unidentified, ok: true},
+		"the small one is spared":                         {to: Unidentified, idle: []string{"small"}},
 		"a small one to itself":                           {to: "small", idle: []string{"small"}, want: "small", ok: true},
 		"a flood drives out nobody":                       {to: "flood", idle: []string{"big", "small"}},
 		"but has its own":                                 {to: "flood", idle: []string{"flood", "big"}, want: "flood", ok: true},
@@ -112,28 +112,28 @@
 		if x.idle != nil {
 			idle = x.idle
 		}
-		if who, ok := p.Yields(x.to, idle); who != x.want || ok != x.ok {
+		if who, ok := p.ChooseVictim(x.to, idle); who != x.want || ok != x.ok {
 			t.Errorf("%s: %q %v", name, who, ok)
 		}
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		p := New(200, 8)
-		names := []string{Strangers, "a", "b", "c", "d"}
+		names := []string{Unidentified, "a", "b", "c", "d"}
 		for _, n := range names {
 			p.Add(n, rapid.Int64Range(0, 60).Draw(rt, n))
 		}
 		idle := rapid.SliceOfDistinct(rapid.SampledFrom(names), rapid.ID[string]).Draw(rt, "idle")
 		to := rapid.SampledFrom(append(names, "new")).Draw(rt, "to")
-		who, ok := p.Yields(to, idle)
+		who, ok := p.ChooseVictim(to, idle)
 		turned := slices.Clone(idle)
 		slices.Reverse(turned)
-		if again, _ := p.Yields(to, turned); again != who {
+		if again, _ := p.ChooseVictim(to, turned); again != who {
 			rt.Fatalf("%q, and %q in another order", who, again)
 		}
 		if ok && (!slices.Contains(idle, who) || p.Held(who) == 0) {
 			rt.Fatalf("%q has nothing to give", who)
 		}
-		if ok && who != Strangers && who != to && (p.Held(who)*int64(p.Parties()) <= p.Total() || to != Strangers && p.Held(who) <= p.Held(to)) {
+		if ok && who != Unidentified && who != to && (p.Held(who)*int64(p.Parties()) <= p.Total() || to != Unidentified && p.Held(who) <= p.Held(to)) {
 			rt.Fatalf("%q holds %d and gives way to %q", who, p.Held(who), to)
 		}
 	})
--- a/internal/pure/tier/group.go
+++ b/internal/pure/tier/group.go
@@ -9,9 +9,9 @@
 	"github.com/zeebo/blake3"
 )
 
-// Homes are the parts of the slots that a Group divides: enough that dozens of routers have nearly the same number, few enough for a
+// PartitionCount are the parts of the slots that a Group divides: enough that dozens of routers have nearly the same number, few enough for a
 // client's map.
-const Homes = 512
+const PartitionCount = 512
 
 // Router is a router of the fleet as far as it serves a pool.
 type Router struct {
@@ -19,55 +19,55 @@
 	State      State
 }
 
-// Share says who serves which part of the slots, as one router has it.
-type Share struct {
-	Routers []string // addresses; one that serves nothing just now is among them
-	Me      int      // this one
-	Serves  []int    // the router that serves, by home
-	Hands   []bool   // whether this one hands a home on while it drains
-	Version uint64   // grows with each change
+// Assignment says who serves which part of the slots, as one router has it.
+type Assignment struct {
+	Routers   []string // addresses; one that serves nothing just now is among them
+	Self      int      // this one
+	ServedBy  []int    // the router that serves, by home
+	HandsOver []bool   // whether this one hands a home on while it drains
+	Version   uint64   // grows with each change
 }
 
 // Group divides the slots among routers that a view of the fleet names. It takes no numbers from a file: what any two of them compute from
 // the same routers is the same, and one that comes or goes moves hardly more than its own part. Its memory is that of the routers.
 type Group struct {
-	me      Router
-	others  []Router
+	self    Router
+	peers   []Router
 	version uint64
 }
 
 // NewGroup is for a router that knows of no other.
-func NewGroup(me Router) *Group { return &Group{me: me} }
+func NewGroup(me Router) *Group { return &Group{self: me} }
 
-// Say takes what this router says of itself, and tells whether that is news.
-func (g *Group) Say(s State) bool {
-	if g.me.State == s {
+// SetOwnState takes what this router says of itself, and tells whether that is news.
+func (g *Group) SetOwnState(s State) bool {
+	if g.self.State == s {
 		return false
 	}
-	g.me.State = s
+	g.self.State = s
 	g.version++
 	return true
 }
 
-// Heard takes the routers that the view names and that are heard, in any order, and tells whether that is news. What it says of this one
+// RecordState takes the routers that the view names and that are heard, in any order, and tells whether that is news. What it says of this one
 // is passed over: nobody knows that better.
-func (g *Group) Heard(rs []Router) bool {
-	others := slices.DeleteFunc(slices.Clone(rs), func(r Router) bool { return r.Name == g.me.Name })
+func (g *Group) SetPeers(rs []Router) bool {
+	others := slices.DeleteFunc(slices.Clone(rs), func(r Router) bool { return r.Name == g.self.Name })
 	slices.SortFunc(others, func(a, b Router) int { return cmp.Compare(a.Name, b.Name) })
 	others = slices.CompactFunc(others, func(a, b Router) bool { return a.Name == b.Name })
-	if slices.Equal(others, g.others) {
+	if slices.Equal(others, g.peers) {
 		return false
 	}
-	g.others = others
+	g.peers = others
 	g.version++
 	return true
 }
 
-// Share is who serves what. Where nobody serves, all that are there do: what comes is refused by who knows why.
-func (g *Group) Share() Share {
-	all := append(slices.Clone(g.others), g.me)
+// Assignment is who serves what. Where nobody serves, all that are there do: what comes is refused by who knows why.
+func (g *Group) Assignment() Assignment {
+	all := append(slices.Clone(g.peers), g.self)
 	slices.SortFunc(all, func(a, b Router) int { return cmp.Compare(a.Name, b.Name) })
-	s := Share{Me: slices.Index(all, g.me), Version: g.version}
+	s := Assignment{Self: slices.Index(all, g.self), Version: g.version}
 	for _, r := range all {
 		s.Routers = append(s.Routers, r.Addr)
 	}
@@ -75,18 +75,18 @@
 	if !slices.ContainsFunc(all, can) {
 		can = func(Router) bool { return true }
 	}
-	s.Serves = divide(all, can)
-	mine := divide(all, func(r Router) bool { return can(r) || r == g.me })
-	for home := range Homes {
-		s.Hands = append(s.Hands, mine[home] == s.Me)
+	s.ServedBy = assignPartitions(all, can)
+	mine := assignPartitions(all, func(r Router) bool { return can(r) || r == g.self })
+	for home := range PartitionCount {
+		s.HandsOver = append(s.HandsOver, mine[home] == s.Self)
 	}
 	return s
 }
 
-// divide gives each home to one of the routers that can serve: to the one that draws highest for it among those that have less than 5/4 of
+// assignPartitions gives each home to one of the routers that can serve: to the one that draws highest for it among those that have less than 5/4 of
 // an equal part. A router's draws are its own, so others that come or go change few of them; with parts that are quite equal one of 64 that
 // goes moves 8% of the slots at worst, with these 5.5%. Of hundreds of routers some have no home.
-func divide(all []Router, can func(Router) bool) []int {
+func assignPartitions(all []Router, can func(Router) bool) []int {
 	type taker struct {
 		i, room int
 		seed    uint64
@@ -99,9 +99,9 @@
 		}
 	}
 	for k := range takers {
-		takers[k].room = (5*Homes + 4*len(takers) - 1) / (4 * len(takers))
+		takers[k].room = (5*PartitionCount + 4*len(takers) - 1) / (4 * len(takers))
 	}
-	out := make([]int, Homes)
+	out := make([]int, PartitionCount)
 	for home := range out {
 		best, most := -1, uint64(0)
 		for k, t := range takers {
@@ -123,52 +123,52 @@
 	return z ^ z>>31
 }
 
-// Share is who serves what where the routers have numbers, and addresses by them.
-func (t *Table) Share(addrs []string) Share {
-	s := Share{Routers: addrs, Me: t.me, Serves: t.Serves(), Version: t.version}
+// Assignment is who serves what where the routers have numbers, and addresses by them.
+func (t *Table) Assignment(addrs []string) Assignment {
+	s := Assignment{Routers: addrs, Self: t.self, ServedBy: t.ServedBy(), Version: t.version}
 	for home := range t.peers {
-		s.Hands = append(s.Hands, t.Mine(home))
+		s.HandsOver = append(s.HandsOver, t.OwnPartition(home))
 	}
 	return s
 }
 
-// Door is what a router tells the others of a pool: where clients reach it, and whether they may be sent there. The host is the router's.
-type Door struct {
+// Endpoint is what a router tells the others of a pool: where clients reach it, and whether they may be sent there. The host is the router's.
+type Endpoint struct {
 	Pool  uint16 // see PoolTag; its two highest bits are the state's on the way
 	Port  uint16
 	State State
 }
 
-// doorBytes is the length of a door on the way; MaxDoors is how many a router may have.
+// endpointLen is the length of a door on the way; MaxEndpoints is how many a router may have.
 const (
-	doorBytes = 4
-	MaxDoors  = 3
-	tagBits   = 14
+	endpointLen  = 4
+	MaxEndpoints = 3
+	poolTagBits  = 14
 )
 
 // PoolTag is a pool's name in 14 bits. Two pools of one router must not have the same.
 func PoolTag(name string) uint16 {
 	sum := blake3.Sum256([]byte(name))
-	return binary.LittleEndian.Uint16(sum[:]) & (1<<tagBits - 1)
+	return binary.LittleEndian.Uint16(sum[:]) & (1<<poolTagBits - 1)
 }
 
-// AppendDoors writes doors.
-func AppendDoors(b []byte, ds []Door) []byte {
+// AppendEndpoints writes doors.
+func AppendEndpoints(b []byte, ds []Endpoint) []byte {
 	for _, d := range ds {
-		b = binary.BigEndian.AppendUint16(b, d.Pool&(1<<tagBits-1)|uint16(d.State)<<tagBits)
+		b = binary.BigEndian.AppendUint16(b, d.Pool&(1<<poolTagBits-1)|uint16(d.State)<<poolTagBits)
 		b = binary.BigEndian.AppendUint16(b, d.Port)
 	}
 	return b
 }
 
-// ReadDoors reads what AppendDoors wrote. Input is another router's: what makes no sense is an error.
-func ReadDoors(b []byte) (out []Door, err error) {
-	if len(b)%doorBytes != 0 || len(b) > MaxDoors*doorBytes {
-		return nil, fmt.Errorf("%d bytes are no doors: up to %d of %d bytes are right", len(b), MaxDoors, doorBytes)
+// DecodeEndpoints reads what AppendEndpoints wrote. Input is another router's: what makes no sense is an error.
+func DecodeEndpoints(b []byte) (out []Endpoint, err error) {
+	if len(b)%endpointLen != 0 || len(b) > MaxEndpoints*endpointLen {
+		return nil, fmt.Errorf("%d bytes are no doors: up to %d of %d bytes are right", len(b), MaxEndpoints, endpointLen)
 	}
-	for ; len(b) > 0; b = b[doorBytes:] {
+	for ; len(b) > 0; b = b[endpointLen:] {
 		w := binary.BigEndian.Uint16(b)
-		d := Door{Pool: w & (1<<tagBits - 1), State: State(w >> tagBits), Port: binary.BigEndian.Uint16(b[2:])}
+		d := Endpoint{Pool: w & (1<<poolTagBits - 1), State: State(w >> poolTagBits), Port: binary.BigEndian.Uint16(b[2:])}
 		if d.Port == 0 || d.State > Loading {
 			return nil, fmt.Errorf("pool %d: no door has port %d and state %d", d.Pool, d.Port, d.State)
 		}
--- a/internal/pure/tier/tier.go
+++ b/internal/pure/tier/tier.go
@@ -14,54 +14,54 @@
 
 // The states of a router.
 const (
-	Serving  State = iota // also taken for granted of one that nothing is known of
-	Draining              // goes away, and still answers what comes
-	Loading               // has no list of servers yet
-	Silent                // has not answered several times in a row
+	Serving      State = iota // also taken for granted of one that nothing is known of
+	Draining                  // goes away, and still answers what comes
+	Loading                   // has no list of servers yet
+	Unresponsive              // has not answered several times in a row
 )
 
-// silence is how many answers in a row may be missing before a router counts as silent.
-const silence = 3
+// maxMissedReplies is how many answers in a row may be missing before a router counts as silent.
+const maxMissedReplies = 3
 
 // Table is what one router knows of its tier. Its memory is that of the routers.
 type Table struct {
-	me      int
+	self    int
 	peers   []peer
 	version uint64
 }
 
 type peer struct {
-	state  State
-	missed int
+	state         State
+	missedReplies int
 }
 
 // New is the table of router me among n. All are taken for serving.
-func New(n, me int) *Table { return &Table{me: me, peers: make([]peer, max(1, n))} }
+func New(n, me int) *Table { return &Table{self: me, peers: make([]peer, max(1, n))} }
 
-// Heard takes what a router says of itself, and tells whether that is news.
-func (t *Table) Heard(router int, s State) bool {
+// RecordState takes what a router says of itself, and tells whether that is news.
+func (t *Table) RecordState(router int, s State) bool {
 	if router < 0 || router >= len(t.peers) {
 		return false
 	}
-	t.peers[router].missed = 0
-	return t.set(router, s)
+	t.peers[router].missedReplies = 0
+	return t.setState(router, s)
 }
 
-// Missed takes that a router has given no answer, and tells whether it counts as silent from now on. One router never
+// RecordMissedReply takes that a router has given no answer, and tells whether it counts as silent from now on. One router never
 // counts as silent to itself.
-func (t *Table) Missed(router int) bool {
-	if router < 0 || router >= len(t.peers) || router == t.me {
+func (t *Table) RecordMissedReply(router int) bool {
+	if router < 0 || router >= len(t.peers) || router == t.self {
 		return false
 	}
 	p := &t.peers[router]
-	if p.missed++; p.missed < silence {
+	if p.missedReplies++; p.missedReplies < maxMissedReplies {
 		return false
 	}
-	p.missed = silence
-	return t.set(router, Silent)
+	p.missedReplies = maxMissedReplies
+	return t.setState(router, Unresponsive)
 }
 
-func (t *Table) set(router int, s State) bool {
+func (t *Table) setState(router int, s State) bool {
 	p := &t.peers[router]
 	if p.state == s {
 		return false
@@ -77,18 +77,18 @@
 // Version grows with each change.
 func (t *Table) Version() uint64 { return t.version }
 
-// Serves are the routers that serve, by the router whose part it is at home. Where nobody serves each keeps its own: what
+// ServedBy are the routers that serve, by the router whose part it is at home. Where nobody serves each keeps its own: what
 // comes there is refused by who knows why.
-func (t *Table) Serves() []int {
-	return t.serves(func(i int) bool { return t.peers[i].state == Serving })
+func (t *Table) ServedBy() []int {
+	return t.assign(func(i int) bool { return t.peers[i].state == Serving })
 }
 
-// Mine says whether a part would be this router's if that did not drain: those are the ones that it hands on.
-func (t *Table) Mine(home int) bool {
-	return t.serves(func(i int) bool { return i == t.me || t.peers[i].state == Serving })[home] == t.me
+// OwnPartition says whether a part would be this router's if that did not drain: those are the ones that it hands on.
+func (t *Table) OwnPartition(home int) bool {
+	return t.assign(func(i int) bool { return i == t.self || t.peers[i].state == Serving })[home] == t.self
 }
 
-func (t *Table) serves(can func(int) bool) []int {
+func (t *Table) assign(can func(int) bool) []int {
 	n := len(t.peers)
 	out := make([]int, n)
 	for home := range out {
@@ -103,8 +103,8 @@
 	return out
 }
 
-// Parts are the homes that a router serves, in order.
-func Parts(serves []int, router int) (homes []int) {
+// PartitionsOf are the homes that a router serves, in order.
+func PartitionsOf(serves []int, router int) (homes []int) {
 	for home, at := range serves {
 		if at == router {
 			homes = append(homes, home)
--- a/internal/pure/tier/tier_test.go
+++ b/internal/pure/tier/tier_test.go
@@ -10,44 +10,44 @@
 	tb := New(4, 0)
 	same := func(what string, want ...int) {
 		t.Helper()
-		if got := tb.Serves(); !slices.Equal(got, want) {
+		if got := tb.ServedBy(); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", what, got, want)
 		}
 	}
 	same("nothing heard", 0, 1, 2, 3)
-	if !tb.Heard(1, Draining) || tb.Heard(1, Draining) {
+	if !tb.RecordState(1, Draining) || tb.RecordState(1, Draining) {
 		t.Error("news is told once")
 	}
 	same("1 drains", 0, 2, 2, 3)
-	tb.Heard(2, Loading)
+	tb.RecordState(2, Loading)
 	same("2 loads", 0, 3, 3, 3)
-	tb.Missed(3)
-	tb.Missed(3)
+	tb.RecordMissedReply(3)
+	tb.RecordMissedReply(3)
 	same("3 was missed twice", 0, 3, 3, 3)
-	if !tb.Missed(3) || tb.Missed(3) {
+	if !tb.RecordMissedReply(3) || tb.RecordMissedReply(3) {
 		t.Error("silence is told once")
 	}
 	same("3 is silent", 0, 0, 0, 0)
-	if !tb.Mine(2) {
+	if !tb.OwnPartition(2) {
 		t.Error("all are its own")
 	}
-	tb.Heard(0, Draining)
+	tb.RecordState(0, Draining)
 	same("nobody serves", 0, 1, 2, 3)
-	if !tb.Mine(1) {
+	if !tb.OwnPartition(1) {
 		t.Error("what it hands on is its own until then")
 	}
-	tb.Heard(3, Serving)
+	tb.RecordState(3, Serving)
 	same("3 is back", 3, 3, 3, 3)
-	if tb.Mine(1) || !tb.Mine(0) {
+	if tb.OwnPartition(1) || !tb.OwnPartition(0) {
 		t.Error("1 is 3's by now, 0 is handed on")
 	}
-	tb.Heard(2, Serving)
-	tb.Heard(1, Serving)
+	tb.RecordState(2, Serving)
+	tb.RecordState(1, Serving)
 	same("all but 0", 1, 1, 2, 3)
-	if got := Parts(tb.Serves(), 1); !slices.Equal(got, []int{0, 1}) {
+	if got := PartitionsOf(tb.ServedBy(), 1); !slices.Equal(got, []int{0, 1}) {
 		t.Errorf("parts of 1: %v", got)
 	}
-	if got := Parts(tb.Serves(), 0); len(got) != 0 {
+	if got := PartitionsOf(tb.ServedBy(), 0); len(got) != 0 {
 		t.Errorf("parts of 0: %v", got)
 	}
 }
@@ -56,19 +56,19 @@
 func TestSilenceIsInARow(t *testing.T) {
 	tb := New(2, 0)
 	for range 10 {
-		tb.Missed(1)
-		tb.Missed(1)
-		if tb.Heard(1, Serving) || tb.State(1) != Serving {
+		tb.RecordMissedReply(1)
+		tb.RecordMissedReply(1)
+		if tb.RecordState(1, Serving) || tb.State(1) != Serving {
 			t.Fatal("taken for silent")
 		}
 	}
 	for range 5 {
-		tb.Missed(0)
+		tb.RecordMissedReply(0)
 	}
 	if tb.State(0) != Serving {
 		t.Error("silent to itself")
 	}
-	if tb.Heard(7, Draining) || tb.Missed(-1) || tb.Heard(-1, Draining) {
+	if tb.RecordState(7, Draining) || tb.RecordMissedReply(-1) || tb.RecordState(-1, Draining) {
 		t.Error("a router that is none")
 	}
 }
@@ -81,16 +81,16 @@
 		a, b := New(n, 0), New(n, n-1)
 		for range 50 {
 			r, s, was := rng.IntN(n), State(rng.IntN(4)), a.Version()
-			if s == Silent {
+			if s == Unresponsive {
 				s = Loading
 			}
-			if news := a.Heard(r, s); news != (a.Version() > was) {
+			if news := a.RecordState(r, s); news != (a.Version() > was) {
 				t.Fatal("a version without news, or news without")
 			}
-			b.Heard(r, s)
-			serves := a.Serves()
-			if !slices.Equal(serves, b.Serves()) {
-				t.Fatalf("seed %d: %v and %v", seed, serves, b.Serves())
+			b.RecordState(r, s)
+			serves := a.ServedBy()
+			if !slices.Equal(serves, b.ServedBy()) {
+				t.Fatalf("seed %d: %v and %v", seed, serves, b.ServedBy())
 			}
 			some := false
 			for i := range n {
@@ -98,7 +98,7 @@
 			}
 			total := 0
 			for i := range n {
-				total += len(Parts(serves, i))
+				total += len(PartitionsOf(serves, i))
 			}
 			if total != n {
 				t.Fatalf("seed %d: %d parts of %d", seed, total, n)
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -94,13 +94,13 @@
 
 // OutOfService has every pool send its clients away, and returns when that is in force.
 func (c *Control) OutOfService(ctx context.Context) error {
-	return c.each(ctx, func(d *drainer, now float64) error { d.m.OutOfService(now); return nil })
+	return c.each(ctx, func(d *drainer, now float64) error { d.m.TakeOutOfService(now); return nil })
 }
 
 // InService ends that, and returns when it is in force.
 func (c *Control) InService(ctx context.Context) error {
 	return c.each(ctx, func(d *drainer, _ float64) error {
-		if !d.m.InService() {
+		if !d.m.PutInService() {
 			return ErrEnding
 		}
 		return nil
@@ -149,11 +149,11 @@
 		if d.m.Phase(at) == drain.Closing {
 			return
 		}
-		alarm.Reset(time.Duration(min(d.m.Next(at)-at, 3.6e6) * float64(time.Millisecond)))
+		alarm.Reset(time.Duration(min(d.m.NextChange(at)-at, 3.6e6) * float64(time.Millisecond)))
 		select {
 		case <-end:
 			end = nil
-			d.m.End(d.now())
+			d.m.BeginShutdown(d.now())
 		case call := <-d.calls:
 			call()
 		case <-alarm.C:
@@ -163,10 +163,10 @@
 
 // apply has the fronts do what holds at a time.
 func (d *drainer) apply(now float64) {
-	phase, invites := d.m.Phase(now), d.m.Invites(now)
+	phase, invites := d.m.Phase(now), d.m.ShouldAdvertise(now)
 	for _, f := range d.fronts {
 		f.Invite(invites, phase == drain.Serving)
-		f.Empty(phase >= drain.Emptying)
+		f.Empty(phase >= drain.Draining)
 	}
 }
 
--- a/internal/router/doors.go
+++ b/internal/router/doors.go
@@ -30,7 +30,7 @@
 	say func(card string) bool
 
 	mu      sync.Mutex
-	own     []tier.Door // in the order of their tags
+	own     []tier.Endpoint // in the order of their tags
 	unsaid  bool
 	frozen  bool // another process of this router speaks of them
 	members []Member
@@ -55,10 +55,10 @@
 }
 
 // tell has the others hear of a door of this router, where that is news or the last word did not go out.
-func (d *Doors) tell(door tier.Door) {
+func (d *Doors) tell(door tier.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at, found := slices.BinarySearchFunc(d.own, door, func(a, b tier.Door) int { return cmp.Compare(a.Pool, b.Pool) })
+	at, found := slices.BinarySearchFunc(d.own, door, func(a, b tier.Endpoint) int { return cmp.Compare(a.Pool, b.Pool) })
 	switch {
 	case !found:
 		d.own = slices.Insert(d.own, at, door)
@@ -67,7 +67,7 @@
 	default:
 		d.own[at] = door
 	}
-	d.unsaid = !d.say(string(tier.AppendDoors(nil, d.own)))
+	d.unsaid = !d.say(string(tier.AppendEndpoints(nil, d.own)))
 }
 
 // Freeze has this router's doors stay as they were told: another of its processes takes clients at them, whatever becomes of this one.
@@ -88,7 +88,7 @@
 		return nil, known
 	}
 	for _, m := range d.members {
-		doors, err := tier.ReadDoors(m.Card)
+		doors, err := tier.DecodeEndpoints(m.Card)
 		if err != nil {
 			if d.bad[m.Name] != string(m.Card) {
 				d.bad[m.Name] = string(m.Card)
@@ -117,7 +117,7 @@
 			there, known = rs, version
 		}
 		word := p.Among(there, ready())
-		d.tell(tier.Door{Pool: tag, Port: port, State: word})
+		d.tell(tier.Endpoint{Pool: tag, Port: port, State: word})
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
--- a/internal/router/hands.go
+++ b/internal/router/hands.go
@@ -70,5 +70,5 @@
 	defer h.mu.Unlock()
 	need := int64(float64(open+1) * k.mean)
 	held = h.pool.Held(k.party)
-	return h.pool.Fits(k.party, need, 0) || float64(held+need) <= leastHand*float64(h.pool.Total()), held
+	return h.pool.CanTake(k.party, need, 0) || float64(held+need) <= leastHand*float64(h.pool.Total()), held
 }
--- a/internal/router/room.go
+++ b/internal/router/room.go
@@ -93,7 +93,7 @@
 // Regain tells that the process which was to take over from this one is gone: nobody takes clients in its place.
 func (c *Control) Regain() {
 	c.regain(func(o *company) { o.heir = false })
-	c.each(context.Background(), func(d *drainer, _ float64) error { d.m.Follow(false); return nil }) //nolint:errcheck // one that ends needs not know
+	c.each(context.Background(), func(d *drainer, _ float64) error { d.m.SetSuccessor(false); return nil }) //nolint:errcheck // one that ends needs not know
 }
 
 func (c *Control) regain(change func(*company)) {
@@ -116,7 +116,7 @@
 
 // Followed tells that another process takes the clients.
 func (c *Control) Followed() {
-	c.each(context.Background(), func(d *drainer, _ float64) error { d.m.Follow(true); return nil }) //nolint:errcheck // one that ends needs not know
+	c.each(context.Background(), func(d *drainer, _ float64) error { d.m.SetSuccessor(true); return nil }) //nolint:errcheck // one that ends needs not know
 }
 
 // memory has the collector keep the process within a part of what it had at its start.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -241,7 +241,7 @@
 	if s.RESP == nil || s.RESP.Origin == "" {
 		return nil
 	}
-	return &stores{table: fill.New(), reads: map[*engine.Request]fill.Read{},
+	return &stores{table: fill.New(), reads: map[*engine.Request]fill.ReadID{},
 		owners:  func(key string) []uint32 { return s.cluster.Owners(slots.Of([]byte(key)), true) },
 		command: func(key string, value []byte) [][]byte { return servers.StoreCommand(key, value, s.RESP.KeepMS) },
 	}
--- a/internal/router/stores.go
+++ b/internal/router/stores.go
@@ -14,7 +14,7 @@
 
 	mu    sync.Mutex
 	table *fill.Table
-	reads map[*engine.Request]fill.Read
+	reads map[*engine.Request]fill.ReadID
 }
 
 // Arrived is engine.Store's.
@@ -23,11 +23,11 @@
 	defer s.mu.Unlock()
 	switch {
 	case q.Stores:
-		s.table.Out()
+		s.table.StoreStarted()
 	case q.Write:
-		s.table.Wrote(q.Key, q.Words)
+		s.table.RecordWrite(q.Key, q.Words)
 	default:
-		s.reads[q] = s.table.Arrived(q.Key)
+		s.reads[q] = s.table.ReadStarted(q.Key)
 	}
 }
 
@@ -36,9 +36,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if q.Stores {
-		s.table.Done()
+		s.table.StoreFinished()
 	} else if r, ok := s.reads[q]; ok {
-		s.table.Over(r)
+		s.table.ReadFinished(r)
 		delete(s.reads, q)
 	}
 }
@@ -48,14 +48,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.reads[q]
-	if !ok || !s.table.Fetched(r) {
+	if !ok || !s.table.CanStore(r) {
 		return nil
 	}
 	owners := s.owners(q.Key)
 	if len(owners) == 0 {
 		return nil
 	}
-	id, d := s.table.Store(owners)
+	id, d := s.table.NewStore(owners)
 	return &engine.Request{ID: id, Class: d.Class, Key: q.Key, Held: len(q.Key) + len(value), Wait: d.Left, Write: d.Write, Owners: owners,
 		Words: s.command(q.Key, value), Stores: d.Stores}
 }
--- a/internal/service/fleet.go
+++ b/internal/service/fleet.go
@@ -157,7 +157,7 @@
 
 // shownLine is a line in the form that operators get.
 func shownLine(l fleet.Line) operator.Line {
-	out := operator.Line{Pool: l.Pool, Open: l.Open, Asked: l.Mean, Room: l.Room, Here: l.Here, Cost: l.Cost, Turned: l.Turned, Worths: []operator.Worth{}}
+	out := operator.Line{Pool: l.Pool, Open: l.AdmittedShare, Asked: l.MeanRate, Room: l.MeanCapacity, Here: l.LocalRate, Cost: l.AttemptsPerRequest, Turned: l.Turned, Worths: []operator.Worth{}}
 	if l.Band < len(l.Asked) {
 		out.Worth, out.Share = fleet.WorthOf(l.Band), l.Share
 	}
