--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
+	"mossproxy.example/mossproxy/internal/pure/admission"
 	"mossproxy.example/mossproxy/internal/pure/fleet"
-	"mossproxy.example/mossproxy/internal/pure/line"
 	"mossproxy.example/mossproxy/internal/pure/quota"
 )
 
@@ -60,7 +60,7 @@
 	// Demands is what has come to each pool so far, and Line is told what a pool serves, until a time, while the fleet can't serve all, by the
 	// owner's goroutine. Neither may block; nil = the fleet settles no line. Both go with Work.
 	Demands func() []Demand
-	Line    func(pool string, l line.Threshold, until time.Time)
+	Line    func(pool string, l admission.Threshold, until time.Time)
 
 	// Sockets are those of the process that this one takes over from; nil = it listens by itself.
 	Sockets *Sockets
@@ -72,7 +72,7 @@
 // Demand is what has come to a pool.
 type Demand struct {
 	Pool string
-	line.Demand
+	admission.Demand
 }
 
 // Member is a router that is heard.
@@ -388,7 +388,7 @@
 
 // Cargo passes on what another router's parts have to say.
 func (h host) Cargo(from fleet.Record, b []byte) {
-	pool, ours := line.MessagePool(b)
+	pool, ours := admission.MessagePool(b)
 	switch {
 	case ours && h.lines != nil:
 		h.lines.cargo(from, pool, b)
--- a/internal/fleet/lines.go
+++ b/internal/fleet/lines.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"mossproxy.example/mossproxy/decide"
+	"mossproxy.example/mossproxy/internal/pure/admission"
 	"mossproxy.example/mossproxy/internal/pure/fleet"
-	"mossproxy.example/mossproxy/internal/pure/line"
 )
 
 // Bounds of lines.
@@ -26,20 +26,20 @@
 type lines struct {
 	f       *Fleet
 	of      map[uint32]*poolLine
-	peers   []line.Peer // all that are heard: one that has no part yet is asked for as much as others
-	changes uint64      // of the view that peers are of, and one more
+	peers   []admission.Peer // all that are heard: one that has no part yet is asked for as much as others
+	changes uint64           // of the view that peers are of, and one more
 }
 
 // poolLine is that of one pool.
 type poolLine struct {
 	f      *Fleet
 	name   string
-	m      *line.Machine
-	told   line.Threshold
+	m      *admission.Machine
+	told   admission.Threshold
 	at     time.Time // when
 	said   int       // the band that the log knows of
 	sayAt  time.Time
-	gone   line.Demand // as it was a second before
+	gone   admission.Demand // as it was a second before
 	goneT  time.Time
 	shed   [decide.Bands]float64 // work a second that is refused as it is under the line, and
 	asked  [decide.Bands]float64 // that is asked for
@@ -53,8 +53,8 @@
 	return h.Sum32()
 }
 
-// Send is line.Host's.
-func (p *poolLine) Send(to line.Peer, m []byte) { p.f.m.Carry(p.f.now(), to.Name, to.Start, m) }
+// Send is admission.Host's.
+func (p *poolLine) Send(to admission.Peer, m []byte) { p.f.m.Carry(p.f.now(), to.Name, to.Start, m) }
 
 // tick has each pool's machine take what has come, and tells what follows.
 func (l *lines) tick() {
@@ -66,7 +66,7 @@
 		l.changes, l.peers = l.f.m.Changes()+1, l.peers[:0]
 		l.f.m.Each(func(r fleet.Record) {
 			if r.State <= fleet.Suspect {
-				l.peers = append(l.peers, line.Peer{Name: r.Name, Start: r.Start})
+				l.peers = append(l.peers, admission.Peer{Name: r.Name, Start: r.Start})
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 				continue
 			}
 			p = &poolLine{f: l.f, name: d.Pool, told: decide.NoLine, said: decide.Bands}
-			p.m = line.New(id, rand.Uint64(), p)
+			p.m = admission.New(id, rand.Uint64(), p)
 			l.of[id] = p
 		}
 		p.m.Tick(l.f.now(), share, d.Demand, l.peers)
@@ -88,7 +88,7 @@
 }
 
 // count keeps figures of what is refused, over a second.
-func (p *poolLine) count(d line.Demand) {
+func (p *poolLine) count(d admission.Demand) {
 	now := time.Now()
 	if gone := now.Sub(p.goneT); gone >= time.Second {
 		for i := range d.Work {
@@ -140,7 +140,7 @@
 		if p == nil {
 			return // it has no such pool, or has not begun
 		}
-		if err := p.m.Receive(l.f.now(), line.Peer{Name: from.Name, Start: from.Start}, b); err != nil {
+		if err := p.m.Receive(l.f.now(), admission.Peer{Name: from.Name, Start: from.Start}, b); err != nil {
 			l.f.counts.refused.Add(1)
 			slog.Debug("fleet: a word of the line is refused", "from", from.Name, "why", err)
 		}
@@ -150,8 +150,8 @@
 // Line is what a pool serves while the fleet can't serve all, with what it follows from: work a second, in the mean over the routers.
 type Line struct {
 	Pool string
-	line.Threshold
-	line.Stats
+	admission.Threshold
+	admission.Stats
 	Asked, Shed [decide.Bands]float64 // here
 	Turned      float64
 }
--- a/internal/model/fleetnet/lines.go
+++ b/internal/model/fleetnet/lines.go
@@ -4,31 +4,31 @@
 	"math"
 
 	"mossproxy.example/mossproxy/decide"
+	"mossproxy.example/mossproxy/internal/pure/admission"
 	"mossproxy.example/mossproxy/internal/pure/fleet"
-	"mossproxy.example/mossproxy/internal/pure/line"
 )
 
 // Lines are a node's line of worth, and what is asked of it.
 type Lines struct {
-	Line *line.Machine // nil = it has none
+	Line *admission.Machine // nil = it has none
 	Asks [decide.Bands]float64
 	Room float64 // work a second of all servers, as it knows them
 
-	came   line.Demand
+	came   admission.Demand
 	cameAt float64
 }
 
 // meeter carries what a node's line has to say.
 type meeter struct{ *Node }
 
-func (m meeter) Send(to line.Peer, b []byte) {
+func (m meeter) Send(to admission.Peer, b []byte) {
 	nd := m.Node
 	nd.cargo = append(nd.cargo, func() { nd.Carry(nd.net.Now, to.Name, to.Start, b) })
 }
 
 // beginLine has a process begin without a word of anything; its servers and clients are those of before.
 func (nd *Node) beginLine() {
-	nd.Line, nd.came, nd.cameAt = line.New(1, nd.Cfg.Seed, meeter{nd}), line.Demand{}, nd.net.Now
+	nd.Line, nd.came, nd.cameAt = admission.New(1, nd.Cfg.Seed, meeter{nd}), admission.Demand{}, nd.net.Now
 }
 
 // settleLine has the node's line take its time. Requests come as they are drawn, and each takes one attempt.
@@ -75,7 +75,7 @@
 // routers drawn at random would say different things, by their lines alone.
 func (n *Net) Over() (share, differ float64) {
 	var all, over float64
-	var lines []line.Threshold
+	var lines []admission.Threshold
 	running := n.Running()
 	for _, nd := range running {
 		l := nd.Line.Threshold(n.Now)
@@ -107,7 +107,7 @@
 }
 
 // passes is the share of a band that is over a line.
-func passes(l line.Threshold, band int) float64 {
+func passes(l admission.Threshold, band int) float64 {
 	switch {
 	case band < l.Band:
 		return 1
--- a/internal/model/fleetnet/quota.go
+++ b/internal/model/fleetnet/quota.go
@@ -4,8 +4,8 @@
 	"slices"
 	"strings"
 
+	"mossproxy.example/mossproxy/internal/pure/admission"
 	"mossproxy.example/mossproxy/internal/pure/fleet"
-	"mossproxy.example/mossproxy/internal/pure/line"
 	"mossproxy.example/mossproxy/internal/pure/quota"
 )
 
@@ -38,7 +38,7 @@
 	if nd.Quota == nil {
 		return
 	}
-	if _, ours := line.MessagePool(b); ours {
+	if _, ours := admission.MessagePool(b); ours {
 		nd.cargo = append(nd.cargo, func() { nd.Line.Receive(nd.net.Now, quota.Peer{Name: from.Name, Start: from.Start}, b) }) //nolint:errcheck // as below
 		return
 	}
--- a/internal/pure/line/line.go
+++ b/internal/pure/admission/admission.go
@@ -1,11 +1,11 @@
-// Package line settles what the routers of a fleet refuse while all of them together can't serve all: one line of worth, the same at all, from
+// Package admission settles what the routers of a fleet refuse while all of them together can't serve all: one line of worth, the same at all, from
 // what each has been asked for. It does no input or output and has no clock.
 //
 // Each router keeps a guess of the mean over all routers, by worth and of the room that there is. What changes here changes the guess at once;
 // pairs of routers meet in the middle again and again; and each guess leaks towards what is so here, slowly. Neither of the first two
 // moves the mean of all guesses from the mean of what is so, but where messages are lost or routers end: that is what the leak mends, so nothing
 // has to be counted or to begin anew. Design and options compared: docs/design/line.md.
-package line
+package admission
 
 import (
 	"math"
--- a/internal/pure/line/cases_test.go
+++ b/internal/pure/admission/cases_test.go
@@ -1,4 +1,4 @@
-package line_test
+package admission_test
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"mossproxy.example/mossproxy/decide"
 	"mossproxy.example/mossproxy/internal/model/fleetnet"
-	"mossproxy.example/mossproxy/internal/pure/line"
+	"mossproxy.example/mossproxy/internal/pure/admission"
 )
 
 // The bands of three classes whose worths are 10, 1 and 0.1.
@@ -285,17 +285,17 @@
 
 // Whatever comes, a router's line stays one, and its guess of what is asked for within what is believed.
 func FuzzReceive(f *testing.F) {
-	f.Add(make([]byte, line.MaxMessage))
-	f.Add(append([]byte{3, 0, 0, 0, 1}, make([]byte, line.MaxMessage-5)...))
-	f.Add(append([]byte{4, 0, 0, 0, 1}, bytes.Repeat([]byte{255}, line.MaxMessage-5)...))
+	f.Add(make([]byte, admission.MaxMessage))
+	f.Add(append([]byte{3, 0, 0, 0, 1}, make([]byte, admission.MaxMessage-5)...))
+	f.Add(append([]byte{4, 0, 0, 0, 1}, bytes.Repeat([]byte{255}, admission.MaxMessage-5)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m := line.New(1, 1, discardHost{})
-		d := line.Demand{Room: 100}
+		m := admission.New(1, 1, discardHost{})
+		d := admission.Demand{Room: 100}
 		for now := 1000.0; now < 3000; now += 50 {
 			d.Work[0] += 1
 			d.Passed, d.Sent = d.Passed+1, d.Sent+1
-			m.Tick(now, 1, d, []line.Peer{{Name: "p"}})
-			m.Receive(now, line.Peer{Name: "p"}, b) //nolint:errcheck // what is wrong is refused
+			m.Tick(now, 1, d, []admission.Peer{{Name: "p"}})
+			m.Receive(now, admission.Peer{Name: "p"}, b) //nolint:errcheck // what is wrong is refused
 			if err := m.Threshold(now).Validate(); err != nil {
 				t.Fatal(err)
 			}
@@ -308,13 +308,13 @@
 
 type discardHost struct{}
 
-func (discardHost) Send(line.Peer, []byte) {}
+func (discardHost) Send(admission.Peer, []byte) {}
 
 func TestBadMessages(t *testing.T) {
-	m := line.New(1, 1, discardHost{})
-	for name, b := range map[string][]byte{"nothing": nil, "short": make([]byte, line.MaxMessage-1), "no kind of ours": make([]byte, line.MaxMessage),
-		"of another pool": append([]byte{3, 0, 0, 0, 9}, make([]byte, line.MaxMessage-5)...)} {
-		if err := m.Receive(1000, line.Peer{Name: "p"}, b); err == nil || !strings.HasPrefix(err.Error(), "line: a message of ") {
+	m := admission.New(1, 1, discardHost{})
+	for name, b := range map[string][]byte{"nothing": nil, "short": make([]byte, admission.MaxMessage-1), "no kind of ours": make([]byte, admission.MaxMessage),
+		"of another pool": append([]byte{3, 0, 0, 0, 9}, make([]byte, admission.MaxMessage-5)...)} {
+		if err := m.Receive(1000, admission.Peer{Name: "p"}, b); err == nil || !strings.HasPrefix(err.Error(), "line: a message of ") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/pure/line/codec.go
+++ b/internal/pure/admission/codec.go
@@ -1,4 +1,4 @@
-package line
+package admission
 
 import (
 	"encoding/binary"
--- a/internal/pure/line/draw_test.go
+++ b/internal/pure/admission/draw_test.go
@@ -1,4 +1,4 @@
-package line_test
+package admission_test
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 
 // After drawn schedules of partitions, one-way cuts, loss, doubling, crashes, pauses, restarts, renames, replacements and joins, with twice as
 // much and more asked for than servers can do, all routers have one line again, which lets pass what servers can do.
-// go test -run Drawn ./internal/pure/line -args -schedules 10000 plays more.
+// go test -run Drawn ./internal/pure/admission -args -schedules 10000 plays more.
 func TestDrawnSchedulesUnderOverload(t *testing.T) {
 	t.Parallel()
 	if err := fleetnet.PlayDrawn(*schedules, true, true); err != nil {
--- a/internal/pure/line/race_off_test.go
+++ b/internal/pure/admission/race_off_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package line_test
+package admission_test
 
 // maxFleetSize routers are in the largest fleet that is played.
 const maxFleetSize = 100
