--- a/internal/pure/quota/quota.go
+++ b/internal/pure/quota/quota.go
@@ -1,10 +1,11 @@
-// Package quota settles how much of what all routers share each of them may use, by what each needs: parts that the view of the fleet gives
-// out equally are lent, for a second at a time, from routers that need little to such as need much. It does no input or output and has no
-// clock.
+// Package quota divides resources shared by all routers according to need. The membership view gives every
+// router an equal share; routers with little work lease part of theirs, for one second at a time, to
+// routers with much work. The package performs no I/O and has no clock.
 //
-// Invariant: whoever lends does not use what it has lent until the loan has ended by its own clock, and whoever borrows counts the loan's time
-// from when it asked, which was earlier. So whatever is lost, late, doubled or out of order, the sum over all routers of what they may use
-// is at most that of the parts that the view gives them. Design and options compared: docs/design/quota.md.
+// Invariant: a lessor does not use what it has leased out until the lease has expired by its own clock, and
+// a lessee counts the term from when it sent the request, which is earlier. So even if messages are lost,
+// late, duplicated or reordered, the sum of the usable shares of all routers never exceeds the sum of the
+// shares that the view gives them. Design and options compared: docs/design/quota.md.
 package quota
 
 import (
@@ -15,53 +16,60 @@
 	"slices"
 )
 
-// Times in ms. Term is how long a loan lasts, for the view too: what a router had is not another's before its loans have ended.
+// Times in ms. LeaseTerm is the duration of a lease. The membership view waits for it too: the share of a
+// departed router is given to others only after its leases have expired.
 const (
-	LeaseTerm            = 1000.0
-	lesseeTermFactor     = 0.95   // of the term, for the borrower: clocks of two machines do not run quite alike
-	shortRequestInterval = 100.0  // while there is too little here
-	idleRequestInterval  = 1000.0 // otherwise, and where nobody had anything to lend: so the others hear how much work there is here
-	renewalAge           = 400.0  // age of a loan at which it is asked for again
-	rateReportTTL        = 10e3   // for which another's word of its work counts
+	LeaseTerm = 1000.0
+	// Fraction of the term that a lessee uses, as the clocks of two machines drift.
+	lesseeTermFactor     = 0.95
+	shortRequestInterval = 100.0 // between request rounds while the usable share is too small
+	// Otherwise, and after rounds in which no lease was granted; also tells peers the local rate.
+	idleRequestInterval = 1000.0
+	renewalAge          = 400.0 // age at which a lease is renewed
+	rateReportTTL       = 10e3  // for which a peer's reported rate is used
 )
 
-// Bounds.
+// Limits.
 const (
 	MaxResources        = 4
-	maxLessors          = 64  // of one good, at once
-	maxLeases           = 512 // that are out, of all goods
-	maxLeasesPerLessee  = 6   // of one good to one borrower, those that it has asked for anew since among them
-	newLessorsWhenShort = 4   // asked in a round beside those that lend already, where there is too little here
-	newLessorsWhenIdle  = 2   // otherwise
-	maxRateReports      = 512 // routers whose work is known, of one good
+	maxLessors          = 64  // per resource, at the same time
+	maxLeases           = 512 // leased out, over all resources
+	maxLeasesPerLessee  = 6   // per resource; includes leases that were renewed and have not expired yet
+	newLessorsWhenShort = 4   // new lessors asked per round while the usable share is too small
+	newLessorsWhenIdle  = 2   // new lessors asked per round otherwise
+	maxRateReports      = 512 // peers with a known rate, per resource
 )
 
-// Parts.
+// Fractions and factors of shares and rates.
 const (
-	unleasableFraction = 0.25 // of the own part that is never lent: work may come at any moment
-	minLeaseFraction   = 0.02 // of the own part, below which lending is not worth a message
-	satisfiedFraction  = 0.95 // of what is due: no more is asked for then
-	surplusFactor      = 1.25 // times what is due: loans are not asked for anew
-	renewedFraction    = 0.7  // of a loan is lent again at least, while it is asked for: each lender's mean is another
-	baseRate           = 1.0  // a second, added to the work of each: where next to none has any, all are due alike
-	surgeFactor        = 1.3  // times more work than when it last asked in vain: it asks at once
+	unleasableFraction = 0.25 // of the own share, never leased out as local work may arrive at any moment
+	minLeaseFraction   = 0.02 // of the own share; smaller leases are not worth a message
+	satisfiedFraction  = 0.95 // of the fair share; a router that has this much is not short
+	surplusFactor      = 1.25 // of the fair share; a router with more does not renew its leases
+	// Of a lease that is granted again on renewal at least, as lessors differ in their mean rate.
+	renewedFraction = 0.7
+	// Per second, added to each router's rate; with hardly any work all fair shares are equal.
+	baseRate    = 1.0
+	surgeFactor = 1.3 // growth of the rate since the last round that triggers a round at once
 )
 
-// Peer is a process of another router.
+// Peer identifies a process of another router.
 type Peer struct {
 	Name  string
 	Start uint64
 }
 
-// Host carries out what a Machine wants.
+// Host sends messages on behalf of a Machine.
 type Host interface {
-	Send(to Peer, m []byte) // at most MaxMessage bytes, which may be lost, late, doubled or out of order
+	// m has at most MaxMessage bytes; it may be lost, delayed, duplicated or reordered.
+	Send(to Peer, m []byte)
 }
 
-// BaseShare is what the view gives this router: a share of each good until a time, and another from there on.
+// BaseShare is what the membership view gives this router of each resource: Share until the time Until, and
+// After from then on.
 type BaseShare struct{ Share, Until, After float64 }
 
-// sentAt is the share at a time.
+// shareAt returns the share at the given time.
 func (o BaseShare) shareAt(now float64) float64 {
 	if now > o.Until {
 		return o.After
@@ -69,7 +77,7 @@
 	return o.Share
 }
 
-// Machine is one router's. Times are in ms on a clock that never runs backwards.
+// Machine is the state machine of one router. Times are in ms on a monotonic clock.
 type Machine struct {
 	host       Host
 	rng        *rand.Rand
@@ -78,28 +86,28 @@
 	peers      []Peer
 	seq        uint32
 	resources  []resource
-	leaseCount int // that are out
+	leaseCount int // leases granted and not expired, over all resources
 }
 
-// resource is what is known of one common good.
+// resource is the state of one shared resource.
 type resource struct {
-	rate            float64 // of work that needs it here
+	rate            float64 // local work that needs the resource, per second
 	leasedOut       map[Peer][]lease
-	leasedIn        map[Peer]lease          // borrowed, the latest of each
-	pending         map[Peer]pendingRequest // the last question to each that may still be answered
+	leasedIn        map[Peer]lease          // latest lease by lessor
+	pending         map[Peer]pendingRequest // last request to each lessor that can still be answered
 	nextRequestAt   float64
-	fruitlessRounds int     // rounds in a row that brought nothing
+	fruitlessRounds int     // consecutive rounds without a new lease
 	lastRoundRate   float64 // rate at the last round
 	peerRates       map[Peer]rateReport
 }
 
-// rateReport is what another said of its work.
+// rateReport is the rate of work that a peer has reported.
 type rateReport struct{ rate, receivedAt float64 }
 
 type lease struct {
 	id     uint32
 	amount float64
-	start  float64 // when it was asked for
+	start  float64 // when it was requested (lessee) or granted (lessor)
 	until  float64
 }
 
@@ -108,129 +116,134 @@
 	sentAt float64
 }
 
-// New is the machine of a router that shares so many goods.
-func New(goods int, seed uint64, host Host) (*Machine, error) {
-	if goods < 1 || goods > MaxResources {
-		return nil, fmt.Errorf("quota: %d goods; 1 to %d are right", goods, MaxResources)
+// New returns the Machine of a router that shares the given number of resources, or an error if that is not
+// within 1 to MaxResources.
+func New(resources int, seed uint64, host Host) (*Machine, error) {
+	if resources < 1 || resources > MaxResources {
+		return nil, fmt.Errorf("quota: %d resources, want 1 to %d", resources, MaxResources)
 	}
 	m := &Machine{host: host, rng: rand.New(rand.NewPCG(seed, 13))}
-	m.seq = m.rng.Uint32() >> 1 // it grows for weeks before it is used up
-	for range goods {
+	m.seq = m.rng.Uint32() >> 1 // half of the range is left, which lasts for weeks
+	for range resources {
 		m.resources = append(m.resources, resource{leasedOut: map[Peer][]lease{}, leasedIn: map[Peer]lease{}, pending: map[Peer]pendingRequest{}, peerRates: map[Peer]rateReport{}})
 	}
 	return m, nil
 }
 
-// Tick lets time pass: own is what the view gives, rates the work that needs each good here, peers those that may be asked.
+// Tick advances the time. own is what the view gives this router, rates is the local work per second by
+// resource, and peers are the routers that may be asked for leases.
 func (m *Machine) Tick(now float64, own BaseShare, rates []float64, peers []Peer) {
 	m.now, m.base, m.peers = now, own, peers
 	for i := range m.resources {
-		g := &m.resources[i]
+		res := &m.resources[i]
 		if i < len(rates) {
-			g.rate = baseRate + max(0, rates[i])
+			res.rate = baseRate + max(0, rates[i])
 		}
-		m.expire(g)
-		m.requestLeases(i, g)
+		m.expire(res)
+		m.requestLeases(i, res)
 	}
 }
 
-// UpdateShare has another part count at once.
+// UpdateShare applies a new base share immediately.
 func (m *Machine) UpdateShare(now float64, own BaseShare) { m.now, m.base = max(m.now, now), own }
 
-// expire lets go of loans that have ended, and of questions that nothing comes of any more.
-func (m *Machine) expire(g *resource) {
-	for p, ls := range g.leasedOut {
-		before := len(ls)
-		ls = slices.DeleteFunc(ls, func(l lease) bool { return m.now >= l.until })
-		m.leaseCount -= before - len(ls)
-		if g.leasedOut[p] = ls; len(ls) == 0 {
-			delete(g.leasedOut, p)
+// expire removes expired leases, rate reports and requests.
+func (m *Machine) expire(res *resource) {
+	for p, leases := range res.leasedOut {
+		before := len(leases)
+		leases = slices.DeleteFunc(leases, func(l lease) bool { return m.now >= l.until })
+		m.leaseCount -= before - len(leases)
+		if res.leasedOut[p] = leases; len(leases) == 0 {
+			delete(res.leasedOut, p)
 		}
 	}
-	for p, l := range g.leasedIn {
+	for p, l := range res.leasedIn {
 		if m.now >= l.until {
-			delete(g.leasedIn, p)
+			delete(res.leasedIn, p)
 		}
 	}
-	for p, a := range g.pending {
+	for p, a := range res.pending {
 		if m.now-a.sentAt >= LeaseTerm {
-			delete(g.pending, p)
+			delete(res.pending, p)
 		}
 	}
-	for p, w := range g.peerRates {
+	for p, w := range res.peerRates {
 		if m.now-w.receivedAt >= rateReportTTL {
-			delete(g.peerRates, p)
+			delete(res.peerRates, p)
 		}
 	}
 }
 
-// meanRate is the work of a router in the mean of this one and of those that have said how much theirs is.
-func (g *resource) meanRate() float64 {
-	sum := g.rate
-	for _, w := range g.peerRates {
+// meanRate returns the mean rate of this router and of all peers with a known rate.
+func (res *resource) meanRate() float64 {
+	sum := res.rate
+	for _, w := range res.peerRates {
 		sum += w.rate
 	}
-	return sum / float64(1+len(g.peerRates))
+	return sum / float64(1+len(res.peerRates))
 }
 
-// fairShare is the share that work makes of a whole that is divided by work, own being an equal part.
-func fairShare(own, rate, mean float64) float64 {
+// fairShare returns the share of a router when the whole is divided in proportion to the rates; equalShare
+// is an equal part of it.
+func fairShare(equalShare, rate, mean float64) float64 {
 	if mean <= 0 {
-		return own
+		return equalShare
 	}
-	return own * rate / mean
+	return equalShare * rate / mean
 }
 
-// largestLease is what a borrower may be using of what it was lent: of loans of one lender it uses one.
-func largestLease(ls []lease, now float64) (most float64) {
-	for _, l := range ls {
+// largestLease returns the most that a lessee may be using: it uses only one of the leases of a lessor at a
+// time.
+func largestLease(leases []lease, now float64) (largest float64) {
+	for _, l := range leases {
 		if now < l.until {
-			most = max(most, l.amount)
+			largest = max(largest, l.amount)
 		}
 	}
-	return most
+	return largest
 }
 
-// leasedOutExcept is what is lent of a good, but for one borrower.
-func (m *Machine) leasedOutExcept(g *resource, but Peer) (sum float64) {
-	for p, ls := range g.leasedOut {
-		if p != but || p == (Peer{}) { // what the process before lent is keyed by nobody
-			sum += largestLease(ls, m.now)
+// leasedOutExcept returns the share leased out to all lessees but one.
+func (m *Machine) leasedOutExcept(res *resource, except Peer) (sum float64) {
+	for p, leases := range res.leasedOut {
+		if p != except || p == (Peer{}) { // leases of the previous process have the zero Peer as key
+			sum += largestLease(leases, m.now)
 		}
 	}
 	return sum
 }
 
-// leasedInExcept is what is borrowed of a good, but from one lender.
-func (m *Machine) leasedInExcept(g *resource, but Peer) (sum float64) {
-	for p, l := range g.leasedIn {
-		if p != but && m.now < l.until {
+// leasedInExcept returns the share leased from all lessors but one.
+func (m *Machine) leasedInExcept(res *resource, except Peer) (sum float64) {
+	for p, l := range res.leasedIn {
+		if p != except && m.now < l.until {
 			sum += l.amount
 		}
 	}
 	return sum
 }
 
-// UsableShare is the share of a good that this router may use now.
+// UsableShare returns the share of resource i that this router may use now.
 func (m *Machine) UsableShare(now float64, i int) float64 {
 	m.now = max(m.now, now)
-	g := &m.resources[i]
-	return max(0, m.base.shareAt(m.now)-m.leasedOutExcept(g, Peer{})) + m.leasedInExcept(g, Peer{})
+	res := &m.resources[i]
+	return max(0, m.base.shareAt(m.now)-m.leasedOutExcept(res, Peer{})) + m.leasedInExcept(res, Peer{})
 }
 
-// Leases are what is out of a good, and what is borrowed of it.
-func (m *Machine) Leases(now float64, i int) (lent, borrowed float64) {
+// Leases returns the shares of resource i that are leased out and leased in.
+func (m *Machine) Leases(now float64, i int) (leasedOut, leasedIn float64) {
 	m.now = max(m.now, now)
 	return m.leasedOutExcept(&m.resources[i], Peer{}), m.leasedInExcept(&m.resources[i], Peer{})
 }
 
-// HandoverState is what a process hands on to the next one of the same router, which the others know by the same start.
+// HandoverState is what a process hands over to its successor, which peers see as the same process of the
+// router.
 type HandoverState struct {
-	LeasedOut []float64 `json:"lent"` // of each good
-	Seq       uint32    `json:"seq"`  // of the last question
+	LeasedOut []float64 `json:"lent"` // by resource
+	Seq       uint32    `json:"seq"`  // of the last request
 }
 
-// Handover ends the machine's life here.
+// Handover returns the state for the successor. The Machine must not be used afterwards.
 func (m *Machine) Handover(now float64) (h HandoverState) {
 	m.now = max(m.now, now)
 	h.Seq = m.seq
@@ -240,81 +253,86 @@
 	return h
 }
 
-// Resume has this router keep back, for as long as loans last, what the process before it had lent. Its questions come after that one's: a
-// number that was used before would be taken for a question that is asked twice, and answered with a loan that has begun long ago.
+// Resume takes over the state of the previous process: what that had leased out stays reserved for a full
+// lease term, and request numbers continue after its last. Lessors would take a reused number for a
+// duplicate of an old request and answer it with a lease that began long ago.
 func (m *Machine) Resume(now float64, h HandoverState) {
 	m.now, m.seq = max(m.now, now), h.Seq
 	for i := range min(len(h.LeasedOut), len(m.resources)) {
-		if lent := h.LeasedOut[i]; lent > 0 && lent <= 1 {
-			m.resources[i].leasedOut[Peer{}] = []lease{{amount: lent, start: m.now, until: m.now + LeaseTerm}}
+		if leasedOut := h.LeasedOut[i]; leasedOut > 0 && leasedOut <= 1 {
+			m.resources[i].leasedOut[Peer{}] = []lease{{amount: leasedOut, start: m.now, until: m.now + LeaseTerm}}
 			m.leaseCount++
 		}
 	}
 }
 
-// Expiry is when what Have says of a good ends at the earliest, and Then what is left of it for ever from there on.
-func (m *Machine) Expiry(now float64, i int) (until, then float64) {
+// Expiry returns the earliest time at which the value of UsableShare can change (+Inf if never), and the
+// share that is certain to remain after that.
+func (m *Machine) Expiry(now float64, i int) (until, after float64) {
 	m.now = max(m.now, now)
-	g := &m.resources[i]
+	res := &m.resources[i]
 	if until = m.base.Until; m.now > until {
 		until = math.Inf(1)
 	}
-	for _, l := range g.leasedIn {
+	for _, l := range res.leasedIn {
 		if m.now < l.until {
 			until = min(until, l.until)
 		}
 	}
-	return until, max(0, min(m.base.shareAt(m.now), m.base.After)-m.leasedOutExcept(g, Peer{}))
+	return until, max(0, min(m.base.shareAt(m.now), m.base.After)-m.leasedOutExcept(res, Peer{}))
 }
 
-// requestLeases asks those that lend, once their loans age, and a few others: more and sooner where there is less than is due.
-func (m *Machine) requestLeases(i int, g *resource) {
-	own := m.base.shareAt(m.now)
-	has, is := m.UsableShare(m.now, i), fairShare(own, g.rate, g.meanRate())
-	short := has < satisfiedFraction*is
-	sudden := g.rate > surgeFactor*g.lastRoundRate
-	if m.now < g.nextRequestAt && !sudden || len(m.peers) == 0 || own <= 0 {
+// requestLeases asks lessors whose leases are due for renewal and a few other peers for leases. It asks
+// more peers, and more often, while the usable share is below the fair share.
+func (m *Machine) requestLeases(i int, res *resource) {
+	base := m.base.shareAt(m.now)
+	usable, fair := m.UsableShare(m.now, i), fairShare(base, res.rate, res.meanRate())
+	short := usable < satisfiedFraction*fair
+	surged := res.rate > surgeFactor*res.lastRoundRate
+	if m.now < res.nextRequestAt && !surged || len(m.peers) == 0 || base <= 0 {
 		return
 	}
-	every, fresh := idleRequestInterval, newLessorsWhenIdle
-	if g.fruitlessRounds++; short && g.fruitlessRounds <= 5 || sudden {
-		every, fresh = shortRequestInterval, newLessorsWhenShort
+	interval, maxNew := idleRequestInterval, newLessorsWhenIdle
+	if res.fruitlessRounds++; short && res.fruitlessRounds <= 5 || surged {
+		interval, maxNew = shortRequestInterval, newLessorsWhenShort
 	}
-	if len(g.leasedIn) > 0 {
-		every = min(every, (lesseeTermFactor*LeaseTerm-renewalAge)/2) // loans are renewed in time
+	if len(res.leasedIn) > 0 {
+		// So that leases are renewed before they expire.
+		interval = min(interval, (lesseeTermFactor*LeaseTerm-renewalAge)/2)
 	}
-	g.nextRequestAt, g.lastRoundRate = m.now+every*(0.75+0.5*m.rng.Float64()), g.rate
-	for _, p := range m.chooseLessors(g, fresh, has <= surplusFactor*is) {
+	res.nextRequestAt, res.lastRoundRate = m.now+interval*(0.75+0.5*m.rng.Float64()), res.rate
+	for _, p := range m.chooseLessors(res, maxNew, usable <= surplusFactor*fair) {
 		m.seq++
-		g.pending[p] = pendingRequest{m.seq, m.now}
-		have := max(0, own-m.leasedOutExcept(g, Peer{})) + m.leasedInExcept(g, p)
-		m.host.Send(p, leaseRequest{resource: uint8(i), id: m.seq, rate: float32(g.rate), available: float32(min(1, have))}.encode())
+		res.pending[p] = pendingRequest{m.seq, m.now}
+		have := max(0, base-m.leasedOutExcept(res, Peer{})) + m.leasedInExcept(res, p)
+		m.host.Send(p, leaseRequest{resource: uint8(i), id: m.seq, rate: float32(res.rate), available: float32(min(1, have))}.encode())
 	}
 }
 
-// chooseLessors are those whose loans age, where these are to be kept, and so many others.
-func (m *Machine) chooseLessors(g *resource, fresh int, keep bool) (to []Peer) {
-	for p, l := range g.leasedIn {
+// chooseLessors returns the lessors whose leases are due for renewal, unless keep is false, and up to
+// maxNew random other peers.
+func (m *Machine) chooseLessors(res *resource, maxNew int, keep bool) (lessors []Peer) {
+	for p, l := range res.leasedIn {
 		if keep && m.now-l.start >= renewalAge && slices.Contains(m.peers, p) {
-			to = append(to, p)
+			lessors = append(lessors, p)
 		}
 	}
-	slices.SortFunc(to, func(a, b Peer) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start)) })
-	room := min(fresh, maxLessors-len(g.leasedIn))
-	for range 4 * fresh {
+	slices.SortFunc(lessors, func(a, b Peer) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start)) })
+	remaining := min(maxNew, maxLessors-len(res.leasedIn))
+	for range 4 * maxNew {
 		p := m.peers[m.rng.IntN(len(m.peers))]
-		if _, has := g.leasedIn[p]; has || slices.Contains(to, p) {
+		if _, has := res.leasedIn[p]; has || slices.Contains(lessors, p) {
 			continue
 		}
-		if room--; room < 0 {
+		if remaining--; remaining < 0 {
 			break
 		}
-		to = append(to, p)
+		lessors = append(lessors, p)
 	}
-	return to
+	return lessors
 }
 
-// Receive takes a message of a peer. An error says what is wrong with it; then nothing has changed.
+// Receive processes a message from a peer. If it returns an error, no lease or request has changed.
 func (m *Machine) Receive(now float64, from Peer, b []byte) error {
 	m.now = max(m.now, now)
 	q, a, err := decode(b)
@@ -326,57 +344,58 @@
 	case a != nil && int(a.resource) < len(m.resources):
 		m.handleGrant(from, *a)
 	default:
-		return fmt.Errorf("quota: %s asks for a good that there is not", from.Name)
+		return fmt.Errorf("quota: message from %s names an unknown resource", from.Name)
 	}
 	return nil
 }
 
-// handleRequest answers a question with a loan: of what is more than this router's due, as much as the other lacks to its own. The answer to a question
-// that is asked twice is the same.
+// handleRequest grants a lease from what exceeds this router's fair share, at most what the lessee lacks to
+// its own. A duplicate request gets the same answer again.
 func (m *Machine) handleRequest(to Peer, q leaseRequest) {
-	g := &m.resources[q.resource]
-	m.expire(g)
-	if _, known := g.peerRates[to]; known || len(g.peerRates) < maxRateReports {
-		g.peerRates[to] = rateReport{float64(q.rate), m.now}
+	res := &m.resources[q.resource]
+	m.expire(res)
+	if _, known := res.peerRates[to]; known || len(res.peerRates) < maxRateReports {
+		res.peerRates[to] = rateReport{float64(q.rate), m.now}
 	}
-	ls := g.leasedOut[to]
-	for _, l := range ls {
+	leases := res.leasedOut[to]
+	for _, l := range leases {
 		if l.id == q.id {
 			m.host.Send(to, leaseGrant{resource: q.resource, id: q.id, amount: float32(l.amount)}.encode())
 			return
 		}
 		if int32(q.id-l.id) < 0 {
-			return // overtaken by a newer one
+			return // older than a request already answered
 		}
 	}
-	own := m.base.shareAt(m.now)
-	if len(ls) >= maxLeasesPerLessee || m.leaseCount >= maxLeases || own <= 0 || m.now+LeaseTerm > m.base.Until && m.base.After < own {
-		return // the last: it may not be this router's for so long
+	base := m.base.shareAt(m.now)
+	if len(leases) >= maxLeasesPerLessee || m.leaseCount >= maxLeases || base <= 0 || m.now+LeaseTerm > m.base.Until && m.base.After < base {
+		return // no capacity for another lease, or the own share may shrink before the lease expires
 	}
-	mean := g.meanRate()
-	spare := own - max(unleasableFraction*own, fairShare(own, g.rate, mean)) - m.leasedOutExcept(g, to)
-	lacks := fairShare(own, float64(q.rate), mean) - float64(q.available)
-	y := float64(float32(min(spare, max(lacks, renewedFraction*largestLease(ls, m.now)))))
-	if y < minLeaseFraction*own {
+	mean := res.meanRate()
+	surplus := base - max(unleasableFraction*base, fairShare(base, res.rate, mean)) - m.leasedOutExcept(res, to)
+	deficit := fairShare(base, float64(q.rate), mean) - float64(q.available)
+	amount := float64(float32(min(surplus, max(deficit, renewedFraction*largestLease(leases, m.now)))))
+	if amount < minLeaseFraction*base {
 		return
 	}
-	g.leasedOut[to] = append(ls, lease{id: q.id, amount: y, start: m.now, until: m.now + LeaseTerm})
+	res.leasedOut[to] = append(leases, lease{id: q.id, amount: amount, start: m.now, until: m.now + LeaseTerm})
 	m.leaseCount++
-	m.host.Send(to, leaseGrant{resource: q.resource, id: q.id, amount: float32(y)}.encode())
+	m.host.Send(to, leaseGrant{resource: q.resource, id: q.id, amount: float32(amount)}.encode())
 }
 
-// handleGrant takes a loan that was asked for, in place of the one before of the same lender. An older one, or one that nobody asked for, is none.
+// handleGrant stores a lease in place of the previous one from the same lessor. Grants that do not match
+// the pending request are ignored.
 func (m *Machine) handleGrant(from Peer, a leaseGrant) {
-	g := &m.resources[a.resource]
-	asked, ok := g.pending[from]
-	if !ok || asked.id != a.id {
+	res := &m.resources[a.resource]
+	request, ok := res.pending[from]
+	if !ok || request.id != a.id {
 		return
 	}
-	delete(g.pending, from)
-	until := asked.sentAt + lesseeTermFactor*LeaseTerm
+	delete(res.pending, from)
+	until := request.sentAt + lesseeTermFactor*LeaseTerm
 	if m.now >= until || a.amount <= 0 {
 		return
 	}
-	g.leasedIn[from] = lease{id: a.id, amount: float64(a.amount), start: asked.sentAt, until: until}
-	g.fruitlessRounds = 0
+	res.leasedIn[from] = lease{id: a.id, amount: float64(a.amount), start: request.sentAt, until: until}
+	res.fruitlessRounds = 0
 }
