--- a/internal/pure/admission/admission.go
+++ b/internal/pure/admission/admission.go
@@ -1,10 +1,13 @@
-// Package admission settles what the routers of a fleet refuse while all of them together can't serve all: one line of worth, the same at all, from
-// what each has been asked for. It does no input or output and has no clock.
+// Package admission computes the admission threshold of a fleet: while its routers together are asked for
+// more than the servers can do, all of them shed the requests whose worth is below one common threshold.
+// The package performs no I/O and has no clock.
 //
-// Each router keeps a guess of the mean over all routers, by worth and of the room that there is. What changes here changes the guess at once;
-// pairs of routers meet in the middle again and again; and each guess leaks towards what is so here, slowly. Neither of the first two
-// moves the mean of all guesses from the mean of what is so, but where messages are lost or routers end: that is what the leak mends, so nothing
-// has to be counted or to begin anew. Design and options compared: docs/design/line.md.
+// Each router keeps an estimate of the mean arrival rates, by worth, and of the mean capacity over all
+// routers. A local change is added to the estimate immediately; pairs of routers average their estimates
+// pairwise again and again; and each estimate decays slowly towards the local values. The first two keep
+// the mean of all estimates equal to the mean of the local values, except when messages are lost or routers
+// leave. The decay corrects that error, so no router has to be counted and no epoch has to be restarted.
+// Design and options compared: docs/design/line.md.
 package admission
 
 import (
@@ -15,51 +18,56 @@
 	"mossproxy.example/mossproxy/internal/pure/quota"
 )
 
-// Demand is what has come to a router so far, and Line what follows for it.
+// Demand counts the arrivals at a router so far, and Threshold is the admission threshold that results.
 type (
 	Demand    = decide.Demand
 	Threshold = decide.Line
 )
 
-// Times, in ms.
+// Times in ms.
 const (
-	fastRateWindow       = 300.0  // over which what comes is counted as a rate that may have changed,
-	slowRateWindow       = 1500.0 // and as one that has not: what one router's chance adds stands out in its guess until it has met others
-	smoothingWindow      = 200.0  // over which a guess counts: what came here last stands out in it until two or three meetings later
-	decayTime            = 5000.0 // in which a guess would come to what is so here
-	busyExchangeInterval = 200.0  // between two meetings begun here, while there may be a line
-	calmExchangeInterval = 1000.0 // and otherwise
-	replyTimeout         = 1000.0 // for an answer
-	hashRotationPeriod   = 30e3   // of the hash: for so long at most the same are refused
-	thresholdTTL         = 2000.0 // unless told anew: a router that nobody tells any more serves as it did without
-	fullRelaxTime        = 1000.0 // from nothing to everything: what tightens counts at once, what loosens comes by steps
+	fastRateWindow = 300.0 // averaging window for arrival rates that may have changed
+	// Window for rates that have not; longer, as a router's random variation stays in its estimate until it
+	// is averaged.
+	slowRateWindow = 1500.0
+	// For the estimate, where a local change stands out until two or three exchanges later.
+	smoothingWindow      = 200.0
+	decayTime            = 5000.0 // time constant of the estimate's decay towards the local values
+	busyExchangeInterval = 200.0  // between exchanges started here, near overload
+	calmExchangeInterval = 1000.0 // between exchanges started here otherwise
+	replyTimeout         = 1000.0 // for the reply in an exchange
+	hashRotationPeriod   = 30e3   // bounds for how long the same requests are shed
+	thresholdTTL         = 2000.0 // without updates, a router then serves without a threshold
+	// From shedding all to admitting all; tightening is immediate, relaxing is gradual.
+	fullRelaxTime = 1000.0
 )
 
-// Bounds.
+// Limits and factors.
 const (
-	maxPendingExchanges   = 16   // questions that wait for answers
-	maxAttemptsPerRequest = 4.0  // attempts that a request is taken to need
-	rateChangeDeviations  = 2.5  // deviations of a count, beyond which a rate has changed
-	maxRateToCapacity     = 8.0  // times its room that is believed of a router's work of one worth: a liar does no more
-	busyFraction          = 0.75 // of the room, from which on there may be a line
-	surgeFactor           = 1.25 // times more here than at the last meeting: the next one is at once
+	maxPendingExchanges   = 16   // exchanges that wait for a reply
+	maxAttemptsPerRequest = 4.0  // upper bound of the attempts per request
+	rateChangeDeviations  = 2.5  // standard deviations of a count beyond which the rate has changed
+	maxRateToCapacity     = 8.0  // times the capacity; a peer's rate per band is capped at it, in case it lies
+	busyFraction          = 0.75 // of the capacity, from which on a router is near overload
+	surgeFactor           = 1.25 // growth of the local rate since the last exchange that triggers one at once
 )
 
-// Peer is a process of another router.
+// Peer identifies a process of another router.
 type Peer = quota.Peer
 
-// Host carries out what a Machine wants.
+// Host sends messages on behalf of a Machine.
 type Host interface {
-	Send(to Peer, m []byte) // at most MaxMessage bytes, which may be lost, late, doubled or out of order
+	// m has at most MaxMessage bytes; it may be lost, delayed, duplicated or reordered.
+	Send(to Peer, m []byte)
 }
 
-// loadVector is work a second by worth, and behind it the room.
+// loadVector holds work per second by band of worth, followed by the capacity.
 type loadVector [decide.Bands + 1]float64
 
-// capacityIndex is where it stands in a vector.
+// capacityIndex is the index of the capacity in a loadVector.
 const capacityIndex = decide.Bands
 
-// totalRate is the work in it.
+// totalRate returns the work per second over all bands.
 func (v *loadVector) totalRate() (sum float64) {
 	for _, x := range v[:capacityIndex] {
 		sum += x
@@ -67,117 +75,120 @@
 	return sum
 }
 
-// Machine is one router's, for one pool. Times are in ms on a clock that never runs backwards.
+// Machine is the state machine of one router for one pool. Times are in ms on a monotonic clock.
 type Machine struct {
 	pool               uint32
 	host               Host
 	rng                *rand.Rand
 	now                float64
 	started            bool
-	lastDemand         Demand // as of lastAt
+	lastDemand         Demand // as of lastDemandAt
 	lastDemandAt       float64
-	attemptsPerRequest float64 // attempts at servers that a request needs
+	attemptsPerRequest float64 // mean number of attempts per request
 	local              loadVector
-	fastLocal          loadVector // what is so here by the last moment alone
-	estimate           loadVector // of the mean,
-	smoothed           loadVector // and that over a moment
-	admittedShare      float64    // share of all work that is over the line
-	lastExchangeRate   float64    // total here at the last meeting
-	nextExchangeAt     float64    // when the next one is
+	fastLocal          loadVector // local values over the fast window
+	estimate           loadVector // of the mean over all routers
+	smoothed           loadVector // estimate, smoothed over time
+	admittedShare      float64    // share of all work that is above the threshold
+	lastExchangeRate   float64    // local total rate at the last exchange
+	nextExchangeAt     float64    // time of the next exchange
 	seq                uint16
 	pending            map[uint16]pendingExchange
-	rotationTag        uint32  // whose turn the hash follows: the least of all that were heard of
-	rotation           float64 // of it, 0 to 1, at turnAt
+	rotationTag        uint32  // router whose hash rotation is followed: the lowest tag known
+	rotation           float64 // of the hash, 0 to 1, at rotationAt
 	rotationAt         float64
 }
 
-// pendingExchange is what was sent, and when.
+// pendingExchange is an exchange that waits for its reply.
 type pendingExchange struct {
 	sent   loadVector
 	to     Peer
 	sentAt float64
 }
 
-// New is the machine of a router for a pool, which all routers know by the same number.
+// New returns the Machine of a router for a pool. All routers must use the same number for the pool.
 func New(pool uint32, seed uint64, host Host) *Machine {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	return &Machine{pool: pool, host: host, rng: rng, attemptsPerRequest: 1, admittedShare: 1, pending: map[uint16]pendingExchange{}, rotationTag: rng.Uint32(), rotation: rng.Float64()}
 }
 
-// Tick lets time pass: share is the part of the whole that the view gives this router, d what has come so far, peers those that may be met.
+// Tick advances the time. share is the router's share of the whole in the membership view, d counts the
+// arrivals so far, and peers are the routers to exchange estimates with.
 func (m *Machine) Tick(now, share float64, d Demand, peers []Peer) {
 	m.updateLocal(now, share, d)
-	for seq, q := range m.pending {
-		if now-q.sentAt >= replyTimeout {
+	for seq, exchange := range m.pending {
+		if now-exchange.sentAt >= replyTimeout {
 			delete(m.pending, seq)
 		}
 	}
 	m.startExchange(peers)
 }
 
-// updateLocal brings up to date what is so here, and the guess by as much.
+// updateLocal updates the local values and adds their change to the estimate.
 func (m *Machine) updateLocal(now, share float64, d Demand) {
-	gone := now - m.lastDemandAt
-	if !m.started || gone < 0 {
+	elapsed := now - m.lastDemandAt
+	if !m.started || elapsed < 0 {
 		m.started, m.now, m.lastDemandAt, m.lastDemand, m.rotationAt = true, now, now, d, now
 		return
 	}
-	if m.now = now; gone == 0 {
+	if m.now = now; elapsed == 0 {
 		return
 	}
-	was := m.local
+	previous := m.local
 	if passed, sent := d.Passed-m.lastDemand.Passed, d.Sent-m.lastDemand.Sent; passed > 0 && sent >= 0 {
-		// A request or two say little of the mean: as much as they are beside what comes in four of these times.
-		w := min(1, passed/(8+4*m.local.totalRate()*slowRateWindow/1000))
-		m.attemptsPerRequest += w * (min(maxAttemptsPerRequest, max(0.5, sent/passed)) - m.attemptsPerRequest)
+		// Weights the sample by the arrivals it covers, relative to those of four slow windows, as one or
+		// two requests say little about the mean.
+		weight := min(1, passed/(8+4*m.local.totalRate()*slowRateWindow/1000))
+		m.attemptsPerRequest += weight * (min(maxAttemptsPerRequest, max(0.5, sent/passed)) - m.attemptsPerRequest)
 	}
 	for i := range d.Work {
-		came := max(0, d.Work[i]-m.lastDemand.Work[i]) / gone * 1000 * max(1, m.attemptsPerRequest)
-		m.fastLocal[i] += (1 - math.Exp(-gone/fastRateWindow)) * (came - m.fastLocal[i])
-		m.local[i] += (1 - math.Exp(-gone/slowRateWindow)) * (came - m.local[i])
+		rate := max(0, d.Work[i]-m.lastDemand.Work[i]) / elapsed * 1000 * max(1, m.attemptsPerRequest)
+		m.fastLocal[i] += (1 - math.Exp(-elapsed/fastRateWindow)) * (rate - m.fastLocal[i])
+		m.local[i] += (1 - math.Exp(-elapsed/slowRateWindow)) * (rate - m.local[i])
 	}
-	// A quick rate deviates by the root of what comes in twice its time.
-	if is := m.local.totalRate(); math.Abs(m.fastLocal.totalRate()-is) > rateChangeDeviations*math.Sqrt(max(1, is)/(2*fastRateWindow/1000)) {
+	// The standard deviation of a fast rate is the square root of the rate divided by twice its window.
+	if total := m.local.totalRate(); math.Abs(m.fastLocal.totalRate()-total) > rateChangeDeviations*math.Sqrt(max(1, total)/(2*fastRateWindow/1000)) {
 		m.local = m.fastLocal
 	}
 	m.local[capacityIndex] = max(0, d.Room*share)
-	leak, soon := 1-math.Exp(-gone/decayTime), 1-math.Exp(-gone/smoothingWindow)
+	decay, smoothing := 1-math.Exp(-elapsed/decayTime), 1-math.Exp(-elapsed/smoothingWindow)
 	for i := range m.estimate {
-		m.estimate[i] = max(0, m.estimate[i]+m.local[i]-was[i])
-		m.estimate[i] += leak * (m.local[i] - m.estimate[i])
-		m.smoothed[i] += soon * (m.estimate[i] - m.smoothed[i])
+		m.estimate[i] = max(0, m.estimate[i]+m.local[i]-previous[i])
+		m.estimate[i] += decay * (m.local[i] - m.estimate[i])
+		m.smoothed[i] += smoothing * (m.estimate[i] - m.smoothed[i])
 	}
 	m.lastDemand, m.lastDemandAt = d, now
-	m.updateAdmittedShare(gone)
+	m.updateAdmittedShare(elapsed)
 }
 
-// updateAdmittedShare moves the share of all work that is over the line: down at once, up by steps.
-func (m *Machine) updateAdmittedShare(gone float64) {
-	want := 1.0
-	if all, r := m.smoothed.totalRate(), m.smoothed[capacityIndex]; r > 0 && all > r {
-		want = r / all
+// updateAdmittedShare updates the share of all work above the threshold: it falls immediately and rises
+// gradually.
+func (m *Machine) updateAdmittedShare(elapsed float64) {
+	target := 1.0
+	if total, capacity := m.smoothed.totalRate(), m.smoothed[capacityIndex]; capacity > 0 && total > capacity {
+		target = capacity / total
 	}
-	m.admittedShare = min(want, m.admittedShare+gone/fullRelaxTime)
+	m.admittedShare = min(target, m.admittedShare+elapsed/fullRelaxTime)
 }
 
-// nearOverload says whether there may be a line soon.
+// nearOverload reports whether there is a threshold or may be one soon.
 func (m *Machine) nearOverload() bool {
-	r := m.estimate[capacityIndex]
-	return m.admittedShare < 1 || r > 0 && max(m.estimate.totalRate(), m.local.totalRate()) > busyFraction*r
+	capacity := m.estimate[capacityIndex]
+	return m.admittedShare < 1 || capacity > 0 && max(m.estimate.totalRate(), m.local.totalRate()) > busyFraction*capacity
 }
 
-// startExchange begins a meeting with a peer that is drawn, when it is time.
+// startExchange starts an exchange with a random peer when one is due.
 func (m *Machine) startExchange(peers []Peer) {
-	all := m.local.totalRate()
-	rush := all > surgeFactor*m.lastExchangeRate+1 && m.nearOverload()
-	if m.now < m.nextExchangeAt && !rush || len(peers) == 0 || len(m.pending) >= maxPendingExchanges {
+	total := m.local.totalRate()
+	surged := total > surgeFactor*m.lastExchangeRate+1 && m.nearOverload()
+	if m.now < m.nextExchangeAt && !surged || len(peers) == 0 || len(m.pending) >= maxPendingExchanges {
 		return
 	}
-	every := calmExchangeInterval
+	interval := calmExchangeInterval
 	if m.nearOverload() {
-		every = busyExchangeInterval
+		interval = busyExchangeInterval
 	}
-	m.nextExchangeAt, m.lastExchangeRate = m.now+every*(0.75+0.5*m.rng.Float64()), all
+	m.nextExchangeAt, m.lastExchangeRate = m.now+interval*(0.75+0.5*m.rng.Float64()), total
 	to := peers[m.rng.IntN(len(peers))]
 	m.seq++
 	m.pending[m.seq] = pendingExchange{sent: m.estimate, to: to, sentAt: m.now}
@@ -188,74 +199,77 @@
 	return message{kind: kind, pool: m.pool, seq: seq, rotationTag: m.rotationTag, rotation: m.currentRotation(), values: m.estimate}
 }
 
-// currentRotation is where the hash stands now.
+// currentRotation returns the rotation of the hash now, from 0 to 1.
 func (m *Machine) currentRotation() float64 {
 	t := m.rotation + (m.now-m.rotationAt)/hashRotationPeriod
 	return t - math.Floor(t)
 }
 
-// Receive takes a message of a peer. An error says what is wrong with it; then nothing has changed.
+// Receive processes a message from a peer. If it returns an error, nothing has changed.
 func (m *Machine) Receive(now float64, from Peer, b []byte) error {
-	q, err := decode(b)
+	msg, err := decode(b)
 	if err != nil {
 		return err
 	}
-	if q.pool != m.pool {
+	if msg.pool != m.pool {
 		return errWrongPool
 	}
 	m.now = max(m.now, now)
-	m.adoptRotation(q)
-	for i := range q.values[:capacityIndex] {
-		q.values[i] = min(q.values[i], maxRateToCapacity*max(m.estimate[capacityIndex], m.local[capacityIndex]))
+	m.adoptRotation(msg)
+	for i := range msg.values[:capacityIndex] {
+		msg.values[i] = min(msg.values[i], maxRateToCapacity*max(m.estimate[capacityIndex], m.local[capacityIndex]))
 	}
-	if q.kind == kindRequest {
-		m.host.Send(from, m.newMessage(kindReply, q.seq).encode())
-		m.averagePairwise(m.estimate, q.values)
+	if msg.kind == kindRequest {
+		m.host.Send(from, m.newMessage(kindReply, msg.seq).encode())
+		m.averagePairwise(m.estimate, msg.values)
 		return nil
 	}
-	asked, ok := m.pending[q.seq]
-	if !ok || asked.to != from {
-		return nil // late, doubled, or never asked
+	exchange, ok := m.pending[msg.seq]
+	if !ok || exchange.to != from {
+		return nil // late, duplicate or unsolicited
 	}
-	delete(m.pending, q.seq)
-	m.averagePairwise(asked.sent, q.values)
+	delete(m.pending, msg.seq)
+	m.averagePairwise(exchange.sent, msg.values)
 	return nil
 }
 
-// averagePairwise moves the guess by half of the way between what two routers had when they met: the one by as much up as the other down.
-func (m *Machine) averagePairwise(mine, theirs loadVector) {
+// averagePairwise moves the estimate by half of the difference between the two estimates exchanged: one
+// router gains as much as the other loses.
+func (m *Machine) averagePairwise(sent, received loadVector) {
 	for i := range m.estimate {
-		m.estimate[i] = max(0, m.estimate[i]+(theirs[i]-mine[i])/2)
+		m.estimate[i] = max(0, m.estimate[i]+(received[i]-sent[i])/2)
 	}
 }
 
-// adoptRotation takes the turn of the router with the least tag that was heard of, so that all have the same.
-func (m *Machine) adoptRotation(q *message) {
-	if q.rotationTag < m.rotationTag || q.rotationTag == m.rotationTag && q.seq%16 == 0 { // clocks do not run quite alike
-		m.rotationTag, m.rotation, m.rotationAt = q.rotationTag, q.rotation, m.now
+// adoptRotation follows the rotation of the router with the lowest tag, so that all routers have the same.
+func (m *Machine) adoptRotation(msg *message) {
+	// A repeat corrects clock drift.
+	if msg.rotationTag < m.rotationTag || msg.rotationTag == m.rotationTag && msg.seq%16 == 0 {
+		m.rotationTag, m.rotation, m.rotationAt = msg.rotationTag, msg.rotation, m.now
 	}
 }
 
-// Threshold is the line that holds now; its end is a time of the machine's clock.
+// Threshold returns the current admission threshold, which expires at a time of the Machine's clock.
 func (m *Machine) Threshold(now float64) Threshold {
 	m.now = max(m.now, now)
 	if m.admittedShare >= 1 {
 		return decide.NoLine
 	}
-	left := m.admittedShare * m.smoothed.totalRate()
-	for i, work := range m.smoothed[:capacityIndex] {
-		if work > left {
-			return Threshold{Band: i, Share: left / work, Turn: m.currentRotation(), Pace: hashRotationPeriod, Until: m.now + thresholdTTL}
+	remaining := m.admittedShare * m.smoothed.totalRate()
+	for i, rate := range m.smoothed[:capacityIndex] {
+		if rate > remaining {
+			return Threshold{Band: i, Share: remaining / rate, Turn: m.currentRotation(), Pace: hashRotationPeriod, Until: m.now + thresholdTTL}
 		}
-		left -= work
+		remaining -= rate
 	}
 	return decide.NoLine
 }
 
-// Stats are what is known of the whole, as means over the routers: work a second and what they may send on, and the share of the work that is over the line.
+// Stats holds the local rate, and estimates of the mean rate and capacity over all routers, in work per
+// second; the share of all work that is above the threshold; and the mean attempts per request.
 type Stats struct{ LocalRate, MeanRate, MeanCapacity, AdmittedShare, AttemptsPerRequest float64 }
 
-// Stats are those of now.
+// Stats returns the current values.
 func (m *Machine) Stats() Stats {
 	return Stats{LocalRate: m.local.totalRate(), MeanRate: m.smoothed.totalRate(), MeanCapacity: m.smoothed[capacityIndex], AdmittedShare: m.admittedShare, AttemptsPerRequest: m.attemptsPerRequest}
 }
--- a/internal/pure/admission/cases_test.go
+++ b/internal/pure/admission/cases_test.go
@@ -314,7 +314,7 @@
 	m := admission.New(1, 1, discardHost{})
 	for name, b := range map[string][]byte{"nothing": nil, "short": make([]byte, admission.MaxMessage-1), "no kind of ours": make([]byte, admission.MaxMessage),
 		"of another pool": append([]byte{3, 0, 0, 0, 9}, make([]byte, admission.MaxMessage-5)...)} {
-		if err := m.Receive(1000, admission.Peer{Name: "p"}, b); err == nil || !strings.HasPrefix(err.Error(), "line: a message of ") {
+		if err := m.Receive(1000, admission.Peer{Name: "p"}, b); err == nil || !strings.HasPrefix(err.Error(), "admission: message of ") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/pure/admission/codec.go
+++ b/internal/pure/admission/codec.go
@@ -9,16 +9,16 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// The kinds of messages. Other parts of the program that have messages carried begin theirs with others.
+// Message kinds. Other protocols on the same transport use other values.
 const (
 	kindRequest = 3
 	kindReply   = 4
 )
 
-// MaxMessage is the length of a message in bytes: all have the same.
+// MaxMessage is the length in bytes of every message.
 const MaxMessage = 1 + 4 + 2 + 4 + 2 + 2*(decide.Bands+1)
 
-// newMessage is what two routers that meet tell each other: what each takes for the mean.
+// message carries the sender's estimate of the mean in an exchange between two routers.
 type message struct {
 	kind        byte
 	pool        uint32
@@ -28,9 +28,9 @@
 	values      loadVector
 }
 
-var errWrongPool = errors.New("line: a message of another pool")
+var errWrongPool = errors.New("admission: message of another pool")
 
-// MessagePool says whether a message is one of lines, and of which pool.
+// MessagePool returns the pool that a message is for; ok is false if b is not a message of this package.
 func MessagePool(b []byte) (pool uint32, ok bool) {
 	if len(b) != MaxMessage || b[0] != kindRequest && b[0] != kindReply {
 		return 0, false
@@ -38,7 +38,7 @@
 	return binary.BigEndian.Uint32(b[1:]), true
 }
 
-// Figures are carried by their logarithms, 2,048 steps to a doubling: 30 doublings from a thousandth on.
+// Values are encoded as logarithms, with 2,048 steps per doubling, over 32 doublings from 1/1024 up.
 const (
 	minEncodedValue  = 1.0 / 1024
 	stepsPerDoubling = 2048
@@ -58,27 +58,27 @@
 	return minEncodedValue * math.Exp2(float64(u-1)/stepsPerDoubling)
 }
 
-func (q message) encode() []byte {
-	b := append(make([]byte, 0, MaxMessage), q.kind)
-	b = binary.BigEndian.AppendUint32(b, q.pool)
-	b = binary.BigEndian.AppendUint16(b, q.seq)
-	b = binary.BigEndian.AppendUint32(b, q.rotationTag)
-	b = binary.BigEndian.AppendUint16(b, uint16(q.rotation*(1<<16)))
-	for _, x := range q.values {
+func (m message) encode() []byte {
+	b := append(make([]byte, 0, MaxMessage), m.kind)
+	b = binary.BigEndian.AppendUint32(b, m.pool)
+	b = binary.BigEndian.AppendUint16(b, m.seq)
+	b = binary.BigEndian.AppendUint32(b, m.rotationTag)
+	b = binary.BigEndian.AppendUint16(b, uint16(m.rotation*(1<<16)))
+	for _, x := range m.values {
 		b = binary.BigEndian.AppendUint16(b, encodeValue(x))
 	}
 	return b
 }
 
-// decode reads a message. Each figure that it can hold is one that a router may have.
+// decode parses a message. Every encoded value is valid.
 func decode(b []byte) (*message, error) {
 	if len(b) != MaxMessage || b[0] != kindRequest && b[0] != kindReply {
-		return nil, fmt.Errorf("line: a message of %d bytes; %d and kind %d or %d are right", len(b), MaxMessage, kindRequest, kindReply)
+		return nil, fmt.Errorf("admission: message of %d bytes, want %d and kind %d or %d", len(b), MaxMessage, kindRequest, kindReply)
 	}
-	q := &message{kind: b[0], pool: binary.BigEndian.Uint32(b[1:]), seq: binary.BigEndian.Uint16(b[5:]), rotationTag: binary.BigEndian.Uint32(b[7:]),
+	msg := &message{kind: b[0], pool: binary.BigEndian.Uint32(b[1:]), seq: binary.BigEndian.Uint16(b[5:]), rotationTag: binary.BigEndian.Uint32(b[7:]),
 		rotation: float64(binary.BigEndian.Uint16(b[11:])) / (1 << 16)}
-	for i := range q.values {
-		q.values[i] = decodeValue(binary.BigEndian.Uint16(b[13+2*i:]))
+	for i := range msg.values {
+		msg.values[i] = decodeValue(binary.BigEndian.Uint16(b[13+2*i:]))
 	}
-	return q, nil
+	return msg, nil
 }
