--- a/internal/pure/shares/shares_test.go
+++ b/internal/pure/shares/shares_test.go
@@ -47,17 +47,17 @@
 		p := New(100, 2)
 		have := map[string]int64{}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			who, n := rapid.SampledFrom([]string{"a", "b", ""}).Draw(rt, "who"), rapid.Int64Range(-40, 40).Draw(rt, "n")
+			party, n := rapid.SampledFrom([]string{"a", "b", ""}).Draw(rt, "who"), rapid.Int64Range(-40, 40).Draw(rt, "n")
 			most := rapid.Int64Range(0, 30).Draw(rt, "most")
-			fits := p.CanTake(who, n, most)
+			fits := p.CanTake(party, n, most)
 			switch {
 			case rapid.Bool().Draw(rt, "add"):
-				p.Add(who, n)
-				have[who] = max(0, have[who]+n)
-			case p.Take(who, n, most) != fits:
+				p.Add(party, n)
+				have[party] = max(0, have[party]+n)
+			case p.Take(party, n, most) != fits:
 				rt.Fatal("Take and Fits differ")
 			case fits:
-				have[who] = max(0, have[who]+n)
+				have[party] = max(0, have[party]+n)
 			}
 			sum, some := int64(0), 0
 			for w, h := range have {
@@ -82,10 +82,10 @@
 	made := func(without ...string) (*Pool, []string) {
 		p := New(100, 8)
 		var idle []string
-		for who, n := range held {
-			if !slices.Contains(without, who) {
-				p.Add(who, n)
-				idle = append(idle, who)
+		for party, n := range held {
+			if !slices.Contains(without, party) {
+				p.Add(party, n)
+				idle = append(idle, party)
 			}
 		}
 		return p, idle
@@ -112,8 +112,8 @@
 		if x.idle != nil {
 			idle = x.idle
 		}
-		if who, ok := p.ChooseVictim(x.to, idle); who != x.want || ok != x.ok {
-			t.Errorf("%s: %q %v", name, who, ok)
+		if party, ok := p.ChooseVictim(x.to, idle); party != x.want || ok != x.ok {
+			t.Errorf("%s: %q %v", name, party, ok)
 		}
 	}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -124,17 +124,17 @@
 		}
 		idle := rapid.SliceOfDistinct(rapid.SampledFrom(names), rapid.ID[string]).Draw(rt, "idle")
 		to := rapid.SampledFrom(append(names, "new")).Draw(rt, "to")
-		who, ok := p.ChooseVictim(to, idle)
+		party, ok := p.ChooseVictim(to, idle)
 		turned := slices.Clone(idle)
 		slices.Reverse(turned)
-		if again, _ := p.ChooseVictim(to, turned); again != who {
-			rt.Fatalf("%q, and %q in another order", who, again)
+		if again, _ := p.ChooseVictim(to, turned); again != party {
+			rt.Fatalf("%q, and %q in another order", party, again)
 		}
-		if ok && (!slices.Contains(idle, who) || p.Held(who) == 0) {
-			rt.Fatalf("%q has nothing to give", who)
+		if ok && (!slices.Contains(idle, party) || p.Held(party) == 0) {
+			rt.Fatalf("%q has nothing to give", party)
 		}
-		if ok && who != Unidentified && who != to && (p.Held(who)*int64(p.Parties()) <= p.Total() || to != Unidentified && p.Held(who) <= p.Held(to)) {
-			rt.Fatalf("%q holds %d and gives way to %q", who, p.Held(who), to)
+		if ok && party != Unidentified && party != to && (p.Held(party)*int64(p.Parties()) <= p.Total() || to != Unidentified && p.Held(party) <= p.Held(to)) {
+			rt.Fatalf("%q holds %d and gives way to %q", party, p.Held(party), to)
 		}
 	})
 }
