--- a/internal/pure/tier/group_test.go
+++ b/internal/pure/tier/group_test.go
@@ -23,8 +23,8 @@
 
 // servingAddrs is the address that serves, by home.
 func servingAddrs(s Assignment) (out []string) {
-	for _, at := range s.ServedBy {
-		out = append(out, s.Routers[at])
+	for _, server := range s.ServedBy {
+		out = append(out, s.Routers[server])
 	}
 	return out
 }
@@ -58,8 +58,8 @@
 		worst, sum := 0, 0
 		for gone := 1; gone < n; gone++ {
 			moved := 0
-			for home, a := range servingAddrs(newTestGroup(0, slices.Delete(slices.Clone(rs), gone, gone+1)).Assignment()) {
-				if a != before[home] {
+			for partition, a := range servingAddrs(newTestGroup(0, slices.Delete(slices.Clone(rs), gone, gone+1)).Assignment()) {
+				if a != before[partition] {
 					moved++
 				}
 			}
@@ -82,9 +82,9 @@
 	if slices.Contains(s.ServedBy, s.Self) {
 		t.Error("it serves while it drains")
 	}
-	for home := range s.ServedBy {
-		if s.HandsOver[home] != (own.ServedBy[home] == own.Self) {
-			t.Fatalf("home %d is handed on: %v", home, s.HandsOver[home])
+	for partition := range s.ServedBy {
+		if s.HandsOver[partition] != (own.ServedBy[partition] == own.Self) {
+			t.Fatalf("home %d is handed on: %v", partition, s.HandsOver[partition])
 		}
 	}
 	rs[1].State, rs[2].State = Loading, Draining
@@ -95,7 +95,7 @@
 		t.Error("nobody serves, and not all keep a part")
 	}
 	g.SetOwnState(Serving)
-	if s = g.Assignment(); slices.ContainsFunc(s.ServedBy, func(at int) bool { return at != s.Self }) {
+	if s = g.Assignment(); slices.ContainsFunc(s.ServedBy, func(server int) bool { return server != s.Self }) {
 		t.Error("the only one that serves does not have all")
 	}
 	if g.SetPeers(nil); len(g.Assignment().Routers) != 1 {
--- a/internal/pure/tier/tier.go
+++ b/internal/pure/tier/tier.go
@@ -1,29 +1,30 @@
-// Package tier settles which router of a tier serves which part of the slots: each its own, and those of routers that drain,
-// load or say nothing go to the next one that serves. It does no input or output and has no clock: what was heard of each
-// router goes in, the routers that serve go out.
+// Package tier decides which router of a tier serves which partition of the slots. Each router serves its
+// own; those of routers that are draining, loading or unresponsive go to the next router that serves. The
+// package performs no I/O and has no clock.
 //
-// Routers need not agree: any of them can serve any slot, as the cluster behind them alone knows the data. A part that two
-// of them take for theirs is served by both, and one that each takes for the other's is found by the client after one hop
-// more, once the slower has heard.
+// Routers need not agree, because any router can serve any slot: only the cluster behind them holds the
+// data. A partition that two routers consider their own is served by both. If each considers it the
+// other's, the client reaches the right one with one more redirect, once the slower router has been
+// updated.
 package tier
 
 import "slices"
 
-// State is what a router says of itself.
+// State is the state that a router reports of itself.
 type State int
 
-// The states of a router.
+// Router states.
 const (
-	Serving      State = iota // also taken for granted of one that nothing is known of
-	Draining                  // goes away, and still answers what comes
+	Serving      State = iota // also assumed while nothing is known of a router
+	Draining                  // is leaving, and still answers requests
 	Loading                   // has no list of servers yet
-	Unresponsive              // has not answered several times in a row
+	Unresponsive              // has missed maxMissedReplies replies in a row
 )
 
-// maxMissedReplies is how many answers in a row may be missing before a router counts as silent.
+// maxMissedReplies is the number of consecutive missed replies after which a router is unresponsive.
 const maxMissedReplies = 3
 
-// Table is what one router knows of its tier. Its memory is that of the routers.
+// Table holds what one router knows of its tier. Its memory is proportional to the number of routers.
 type Table struct {
 	self    int
 	peers   []peer
@@ -35,10 +36,10 @@
 	missedReplies int
 }
 
-// New is the table of router me among n. All are taken for serving.
+// New returns the Table of router me among n routers, all assumed to be serving.
 func New(n, me int) *Table { return &Table{self: me, peers: make([]peer, max(1, n))} }
 
-// RecordState takes what a router says of itself, and tells whether that is news.
+// RecordState records the state that a router has reported. It reports whether the state changed.
 func (t *Table) RecordState(router int, s State) bool {
 	if router < 0 || router >= len(t.peers) {
 		return false
@@ -47,8 +48,8 @@
 	return t.setState(router, s)
 }
 
-// RecordMissedReply takes that a router has given no answer, and tells whether it counts as silent from now on. One router never
-// counts as silent to itself.
+// RecordMissedReply records that a router did not reply. It reports whether the router becomes unresponsive
+// by that. A router is never unresponsive to itself.
 func (t *Table) RecordMissedReply(router int) bool {
 	if router < 0 || router >= len(t.peers) || router == t.self {
 		return false
@@ -71,44 +72,45 @@
 	return true
 }
 
-// State is what was heard of a router last.
+// State returns the last known state of a router.
 func (t *Table) State(router int) State { return t.peers[router].state }
 
-// Version grows with each change.
+// Version returns a number that grows with each change.
 func (t *Table) Version() uint64 { return t.version }
 
-// ServedBy are the routers that serve, by the router whose part it is at home. Where nobody serves each keeps its own: what
-// comes there is refused by who knows why.
+// ServedBy returns the serving router of each partition, indexed by the router that owns it. If no router
+// serves, each keeps its own, because it knows the reason to refuse requests with.
 func (t *Table) ServedBy() []int {
 	return t.assign(func(i int) bool { return t.peers[i].state == Serving })
 }
 
-// OwnPartition says whether a part would be this router's if that did not drain: those are the ones that it hands on.
-func (t *Table) OwnPartition(home int) bool {
-	return t.assign(func(i int) bool { return i == t.self || t.peers[i].state == Serving })[home] == t.self
+// OwnPartition reports whether a partition would be served by this router if it were not draining. Those
+// are the partitions that it hands over.
+func (t *Table) OwnPartition(partition int) bool {
+	return t.assign(func(i int) bool { return i == t.self || t.peers[i].state == Serving })[partition] == t.self
 }
 
-func (t *Table) assign(can func(int) bool) []int {
+func (t *Table) assign(canServe func(int) bool) []int {
 	n := len(t.peers)
-	out := make([]int, n)
-	for home := range out {
-		out[home] = home
+	servedBy := make([]int, n)
+	for partition := range servedBy {
+		servedBy[partition] = partition
 		for step := range n {
-			if at := (home + step) % n; can(at) {
-				out[home] = at
+			if server := (partition + step) % n; canServe(server) {
+				servedBy[partition] = server
 				break
 			}
 		}
 	}
-	return out
+	return servedBy
 }
 
-// PartitionsOf are the homes that a router serves, in order.
-func PartitionsOf(serves []int, router int) (homes []int) {
-	for home, at := range serves {
-		if at == router {
-			homes = append(homes, home)
+// PartitionsOf returns the partitions that a router serves, in ascending order.
+func PartitionsOf(servedBy []int, router int) (partitions []int) {
+	for partition, server := range servedBy {
+		if server == router {
+			partitions = append(partitions, partition)
 		}
 	}
-	return slices.Clip(homes)
+	return slices.Clip(partitions)
 }
--- a/internal/pure/tier/tier_test.go
+++ b/internal/pure/tier/tier_test.go
@@ -103,9 +103,9 @@
 			if total != n {
 				t.Fatalf("seed %d: %d parts of %d", seed, total, n)
 			}
-			for home, at := range serves {
-				if some && a.State(at) != Serving || a.State(home) == Serving && at != home {
-					t.Fatalf("seed %d: part %d is served by %d: %v", seed, home, at, a.peers)
+			for partition, server := range serves {
+				if some && a.State(server) != Serving || a.State(partition) == Serving && server != partition {
+					t.Fatalf("seed %d: part %d is served by %d: %v", seed, partition, server, a.peers)
 				}
 			}
 		}
