--- a/internal/pure/drain/drain.go
+++ b/internal/pure/drain/drain.go
@@ -1,23 +1,25 @@
-// Package drain settles how a router sends its clients away: when operators take it out of service and in again, and when it is
-// told to end. It has no clock and does nothing: times come in ms, and who asks acts on the phase.
+// Package drain decides how a router moves its clients away when operators take it out of service, and when
+// it shuts down. It has no clock and no side effects: times are passed in ms, and the caller acts on the
+// phase.
 package drain
 
 import "math"
 
-// Phase is what holds for clients' connections.
+// Phase says how client connections are handled.
 type Phase int
 
-// The phases, in the order in which a router that empties goes through them.
+// The phases, in the order in which a draining router passes through them.
 const (
-	Serving     Phase = iota // nothing is asked of it
-	Redirecting              // clients are sent elsewhere, and served as ever: some are still sent here
-	Draining                 // a connection ends as soon as nothing is open on it; who still comes is served, and closed behind the answer
-	Closing                  // nobody is taken any more; the process ends when the last answer is out. It is final
+	Serving     Phase = iota // normal operation
+	Redirecting              // clients are directed elsewhere, and those that still come are served as usual
+	// Idle connections are closed; requests that still come are answered, and their connection closed.
+	Draining
+	Closing // no connections are accepted, and the process exits after the last answer; final
 )
 
-// Machine is one router's. The zero value, with the time that newcomers get, serves.
+// Machine is the state machine of one router. The zero value with Grace set is in the phase Serving.
 type Machine struct {
-	Grace float64 // ms for which clients still come, as ever, after they are told to go elsewhere
+	Grace float64 // ms for which clients are still served as usual after they are directed elsewhere
 
 	outOfService      bool
 	outOfServiceSince float64
@@ -26,31 +28,35 @@
 	hasSuccessor      bool
 }
 
-// TakeOutOfService empties the router from now on. Two calls are one, of the first one's time.
+// TakeOutOfService starts draining the router. Repeated calls have no effect.
 func (m *Machine) TakeOutOfService(now float64) {
 	if !m.outOfService {
 		m.outOfService, m.outOfServiceSince = true, now
 	}
 }
 
-// PutInService ends what TakeOutOfService has begun, and says whether the router serves: one that ends does not come back.
+// PutInService reverts TakeOutOfService. It reports whether the router serves: one that is shutting down
+// does not.
 func (m *Machine) PutInService() bool {
 	m.outOfService = false
 	return !m.shuttingDown
 }
 
-// BeginShutdown has the process end. Nothing takes that back.
+// BeginShutdown starts the shutdown of the process, which cannot be reverted.
 func (m *Machine) BeginShutdown(now float64) {
 	if !m.shuttingDown {
 		m.shuttingDown, m.shutdownSince = true, now
 	}
 }
 
-// SetSuccessor tells whether another process of this router takes its clients, at the same address: then nobody needs this one to take
-// any once it is told to end. Where that one is gone again, this one goes on as before, unless it has been told to end.
-func (m *Machine) SetSuccessor(yes bool) { m.hasSuccessor = yes || m.hasSuccessor && m.shuttingDown }
+// SetSuccessor sets whether another process of this router accepts clients at the same address. This
+// process then stops accepting them as soon as it shuts down. If the successor disappears, this process
+// continues as before, unless it is shutting down.
+func (m *Machine) SetSuccessor(present bool) {
+	m.hasSuccessor = present || m.hasSuccessor && m.shuttingDown
+}
 
-// Phase is what holds now.
+// Phase returns the phase at the given time.
 func (m *Machine) Phase(now float64) Phase {
 	switch {
 	case m.shuttingDown && (m.hasSuccessor || now >= m.shutdownSince+m.Grace):
@@ -63,7 +69,7 @@
 	return Serving
 }
 
-// NextChange is when the phase changes by itself; +Inf where it does not.
+// NextChange returns the time at which the phase changes without a call, or +Inf.
 func (m *Machine) NextChange(now float64) float64 {
 	next := math.Inf(1)
 	if at := m.shutdownSince + m.Grace; m.shuttingDown && !m.hasSuccessor && at > now {
@@ -75,11 +81,12 @@
 	return next
 }
 
-// ShouldAdvertise says whether clients may be sent to the router's address. One that ends says so too while clients come all the same, as
-// whoever ended it knows, and for as long as it lives where another process serves them there.
+// ShouldAdvertise reports whether clients may be sent to the router's address. While it shuts down this
+// holds as long as it still accepts clients, because whoever started the shutdown knows of it, and until it
+// exits if a successor accepts them at the same address.
 func (m *Machine) ShouldAdvertise(now float64) bool {
 	return !m.outOfService && (m.hasSuccessor || m.Phase(now) < Closing)
 }
 
-// IsOutOfService says whether operators have taken the router out of service.
+// IsOutOfService reports whether operators have taken the router out of service.
 func (m *Machine) IsOutOfService() bool { return m.outOfService }
