--- a/internal/pure/admission/cases_test.go
+++ b/internal/pure/admission/cases_test.go
@@ -32,76 +32,76 @@
 func newTestFleet(t *testing.T, routers int) *testFleet {
 	t.Helper()
 	t.Parallel()
-	w := &testFleet{fleetnet.New(uint64(routers)), t, 1}
+	f := &testFleet{fleetnet.New(uint64(routers)), t, 1}
 	for i := range routers {
-		w.Start(fleetnet.Lending(i))
+		f.Start(fleetnet.Lending(i))
 	}
-	w.setDemand(1)
-	if _, ok := w.Until(6000, func() bool { return w.Settled() == nil && w.Spent() > 0.999 }); !ok {
+	f.setDemand(1)
+	if _, ok := f.Until(6000, func() bool { return f.Settled() == nil && f.Spent() > 0.999 }); !ok {
 		t.Fatal("no start")
 	}
-	w.For(3000)
-	return w
+	f.For(3000)
+	return f
 }
 
 // demandOf is what a router is asked for, of three worths.
-func demandOf(much float64) [decide.Bands]float64 {
-	return [decide.Bands]float64{gold: 0.2 * much, read: 0.5 * much, bulk: 0.3 * much}
+func demandOf(rate float64) [decide.Bands]float64 {
+	return [decide.Bands]float64{gold: 0.2 * rate, read: 0.5 * rate, bulk: 0.3 * rate}
 }
 
 // setDemand has all be asked for so many times as much.
-func (w *testFleet) setDemand(times float64) {
-	w.demandFactor = times
-	for _, nd := range w.Nodes {
-		nd.Asks, nd.Room = demandOf(times*baseRate), 1.25*baseRate*float64(len(w.Nodes))
+func (f *testFleet) setDemand(factor float64) {
+	f.demandFactor = factor
+	for _, node := range f.Nodes {
+		node.Asks, node.Room = demandOf(factor*baseRate), 1.25*baseRate*float64(len(f.Nodes))
 	}
 }
 
 // measureAdmitted is the share that lines let pass, in the mean over some time, and of how much two routers differ.
-func (w *testFleet) measureAdmitted(ms float64) (over, differ float64) {
+func (f *testFleet) measureAdmitted(ms float64) (admitted, difference float64) {
 	n := 0.0
-	w.Run(w.Now+ms, func() {
-		o, d := w.Over()
-		over, differ, n = over+o, differ+d, n+1
+	f.Run(f.Now+ms, func() {
+		a, d := f.Over()
+		admitted, difference, n = admitted+a, difference+d, n+1
 	})
-	return over / n, differ / n
+	return admitted / n, difference / n
 }
 
 // checkAdmitted checks what lines let pass over some time.
-func (w *testFleet) checkAdmitted(when string, ms, want float64) {
-	w.t.Helper()
-	over, differ := w.measureAdmitted(ms)
-	w.t.Logf("%s: %.3f pass, %.3f are right, two routers differ about %.3f", when, over, want, differ)
-	if over < 0.88*want || over > 1.12*want || differ > 0.06 {
-		w.t.Errorf("%s: %.3f pass, %.3f are right, two routers differ about %.3f", when, over, want, differ)
+func (f *testFleet) checkAdmitted(when string, ms, want float64) {
+	f.t.Helper()
+	admitted, difference := f.measureAdmitted(ms)
+	f.t.Logf("%s: %.3f pass, %.3f are right, two routers differ about %.3f", when, admitted, want, difference)
+	if admitted < 0.88*want || admitted > 1.12*want || difference > 0.06 {
+		f.t.Errorf("%s: %.3f pass, %.3f are right, two routers differ about %.3f", when, admitted, want, difference)
 	}
 }
 
 // Within a second of an overload all routers have one line, which lets pass what servers can do; the highest worth is over it. Without one there is none.
-func TestOneLineForAll(t *testing.T) {
+func TestOneThresholdForAll(t *testing.T) {
 	for _, n := range []int{2, 6, maxFleetSize} {
 		for _, times := range []float64{2, 4} {
 			t.Run(fmt.Sprintf("%d routers, %v times", n, times), func(t *testing.T) {
-				w := newTestFleet(t, n)
-				if over, _ := w.measureAdmitted(3000); over < 0.99 {
-					t.Errorf("in calm %.3f pass", over)
+				f := newTestFleet(t, n)
+				if admitted, _ := f.measureAdmitted(3000); admitted < 0.99 {
+					t.Errorf("in calm %.3f pass", admitted)
 				}
-				w.setDemand(times)
-				began := w.Now
-				took, ok := w.Until(2000, func() bool { o, _ := w.Over(); return o < 1.3*1.25/times })
+				f.setDemand(times)
+				began := f.Now
+				took, ok := f.Until(2000, func() bool { o, _ := f.Over(); return o < 1.3*1.25/times })
 				t.Logf("a line after %.0f ms", took)
 				if !ok || took > 1000 {
 					t.Errorf("no line within %.0f ms", took)
 				}
-				w.For(began + 1200 - w.Now)
-				w.checkAdmitted("overload", 5000, 1.25/times)
-				for i, nd := range w.Nodes {
-					if l := nd.Line.Threshold(w.Now); l.Band == gold {
+				f.For(began + 1200 - f.Now)
+				f.checkAdmitted("overload", 5000, 1.25/times)
+				for i, node := range f.Nodes {
+					if l := node.Line.Threshold(f.Now); l.Band == gold {
 						t.Errorf("router %d refuses of the highest worth: %+v", i, l)
 					}
 				}
-				w.setDemand(1)
-				if took, ok := w.Until(3000, func() bool { o, _ := w.Over(); return o > 0.99 }); !ok {
+				f.setDemand(1)
+				if took, ok := f.Until(3000, func() bool { o, _ := f.Over(); return o > 0.99 }); !ok {
 					t.Error("the line stays")
 				} else {
 					t.Logf("none %.0f ms after", took)
@@ -113,27 +113,27 @@
 
 // What comes to one router alone counts for all: one has ten times the mean, of which another has a twentieth; the highest worth comes to a third of the
 // routers alone.
-func TestUnevenLoadHasOneLine(t *testing.T) {
+func TestUnevenLoadHasOneThreshold(t *testing.T) {
 	t.Run("ten times the mean", func(t *testing.T) {
-		w := newTestFleet(t, 12)
-		w.setDemand(2)
-		w.Nodes[3].Asks, w.Nodes[4].Asks = demandOf(20*baseRate), demandOf(0.1*baseRate)
-		w.For(3000)
-		w.checkAdmitted("uneven", 5000, 12*1.25/(10*2+20+0.1))
+		f := newTestFleet(t, 12)
+		f.setDemand(2)
+		f.Nodes[3].Asks, f.Nodes[4].Asks = demandOf(20*baseRate), demandOf(0.1*baseRate)
+		f.For(3000)
+		f.checkAdmitted("uneven", 5000, 12*1.25/(10*2+20+0.1))
 	})
 	t.Run("worths at some", func(t *testing.T) {
-		w := newTestFleet(t, 12)
-		w.setDemand(2)
-		for i, nd := range w.Nodes { // 960 are asked for, of which a half is gold: it fits alone
-			nd.Asks = [decide.Bands]float64{bulk: 60}
+		f := newTestFleet(t, 12)
+		f.setDemand(2)
+		for i, node := range f.Nodes { // 960 are asked for, of which a half is gold: it fits alone
+			node.Asks = [decide.Bands]float64{bulk: 60}
 			if i%3 == 0 {
-				nd.Asks = [decide.Bands]float64{gold: 120}
+				node.Asks = [decide.Bands]float64{gold: 120}
 			}
 		}
-		w.For(3000)
-		w.checkAdmitted("uneven", 5000, 600.0/960)
-		for i, nd := range w.Nodes {
-			if l := nd.Line.Threshold(w.Now); l.Band != bulk {
+		f.For(3000)
+		f.checkAdmitted("uneven", 5000, 600.0/960)
+		for i, node := range f.Nodes {
+			if l := node.Line.Threshold(f.Now); l.Band != bulk {
 				t.Errorf("router %d: the line is in band %d, that of the least worth is %d", i, l.Band, bulk)
 			}
 		}
@@ -141,98 +141,98 @@
 }
 
 // Messages lost, doubled and out of order, and all of one router late by 2 s, leave one line.
-func TestLineOnBadNetworks(t *testing.T) {
-	for name, link := range map[string]func(w *testFleet, a, b *fleetnet.Node) fleetnet.Link{
+func TestThresholdOnBadNetworks(t *testing.T) {
+	for name, link := range map[string]func(f *testFleet, a, b *fleetnet.Node) fleetnet.Link{
 		"a third lost, a third doubled": func(*testFleet, *fleetnet.Node, *fleetnet.Node) fleetnet.Link {
 			return fleetnet.Link{Loss: 0.3, Double: 0.3, Delay: 1, Jitter: 100}
 		},
-		"one is late by 2 s": func(w *testFleet, a, b *fleetnet.Node) fleetnet.Link {
-			if a == w.Nodes[1] || b == w.Nodes[1] {
+		"one is late by 2 s": func(f *testFleet, a, b *fleetnet.Node) fleetnet.Link {
+			if a == f.Nodes[1] || b == f.Nodes[1] {
 				return fleetnet.Link{Delay: 2000}
 			}
 			return fleetnet.Link{Delay: 1}
 		},
-		"one way": func(w *testFleet, a, b *fleetnet.Node) fleetnet.Link {
-			return fleetnet.Link{Delay: 1, Cut: a == w.Nodes[1] && b != w.Nodes[2]}
+		"one way": func(f *testFleet, a, b *fleetnet.Node) fleetnet.Link {
+			return fleetnet.Link{Delay: 1, Cut: a == f.Nodes[1] && b != f.Nodes[2]}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newTestFleet(t, 12)
-			w.Link = func(a, b *fleetnet.Node) fleetnet.Link { return link(w, a, b) }
-			w.setDemand(2.5)
-			w.For(3000)
-			w.checkAdmitted(name, 8000, 0.5)
+			f := newTestFleet(t, 12)
+			f.Link = func(a, b *fleetnet.Node) fleetnet.Link { return link(f, a, b) }
+			f.setDemand(2.5)
+			f.For(3000)
+			f.checkAdmitted(name, 8000, 0.5)
 		})
 	}
 }
 
 // Two thirds of the routers are killed while less than half of what servers can do is asked for, and their clients come to the others: nobody refuses. At
 // more than that the line follows.
-func TestRoutersKilledUnderLine(t *testing.T) {
-	w := newTestFleet(t, 12)
-	w.setDemand(0.6)
-	w.For(3000)
+func TestRoutersKilledUnderThreshold(t *testing.T) {
+	f := newTestFleet(t, 12)
+	f.setDemand(0.6)
+	f.For(3000)
 	kill := func() {
-		for i, nd := range w.Nodes {
+		for i, node := range f.Nodes {
 			if i%3 != 0 {
-				nd.Kill()
+				node.Kill()
 				continue
 			}
-			for b := range nd.Asks {
-				nd.Asks[b] *= 3
+			for b := range node.Asks {
+				node.Asks[b] *= 3
 			}
 		}
 	}
 	kill()
-	if over, _ := w.measureAdmitted(10e3); over < 0.95 {
-		t.Errorf("half of what servers can do is asked for, and %.3f pass", over)
+	if admitted, _ := f.measureAdmitted(10e3); admitted < 0.95 {
+		t.Errorf("half of what servers can do is asked for, and %.3f pass", admitted)
 	}
-	for _, nd := range w.Nodes {
-		for b := range nd.Asks {
-			nd.Asks[b] *= 2.5 / 0.6
+	for _, node := range f.Nodes {
+		for b := range node.Asks {
+			node.Asks[b] *= 2.5 / 0.6
 		}
 	}
-	w.For(3000)
-	w.checkAdmitted("a third of the routers", 5000, 0.5)
+	f.For(3000)
+	f.checkAdmitted("a third of the routers", 5000, 0.5)
 }
 
 // Halves that don't hear each other and reach all servers each let pass what is theirs, and are one line soon after the cut has ended.
-func TestLineOfHalves(t *testing.T) {
-	w := newTestFleet(t, 12)
-	w.setDemand(2.5)
-	w.For(2000)
-	w.Link = func(a, b *fleetnet.Node) fleetnet.Link {
+func TestThresholdDuringPartition(t *testing.T) {
+	f := newTestFleet(t, 12)
+	f.setDemand(2.5)
+	f.For(2000)
+	f.Link = func(a, b *fleetnet.Node) fleetnet.Link {
 		return fleetnet.Link{Delay: 1, Cut: (a.Cfg.Seed < 6) != (b.Cfg.Seed < 6)}
 	}
 	for range 4 {
-		w.For(1000)
-		if over, _ := w.measureAdmitted(4000); over < 0.4 || over > 0.56 {
-			t.Errorf("in halves %.3f pass, 0.5 are right", over)
+		f.For(1000)
+		if admitted, _ := f.measureAdmitted(4000); admitted < 0.4 || admitted > 0.56 {
+			t.Errorf("in halves %.3f pass, 0.5 are right", admitted)
 		}
 	}
-	w.Link = func(_, _ *fleetnet.Node) fleetnet.Link { return fleetnet.Link{Delay: 1} }
-	w.For(4000)
-	w.checkAdmitted("healed", 5000, 0.5)
+	f.Link = func(_, _ *fleetnet.Node) fleetnet.Link { return fleetnet.Link{Delay: 1} }
+	f.For(4000)
+	f.checkAdmitted("healed", 5000, 0.5)
 }
 
 // A router that claims a thousand times what it is asked for has the line drawn at the highest worth at most: that is what it can do.
-func TestLiarDrawsTheLineTooHigh(t *testing.T) {
-	w := newTestFleet(t, 24)
-	w.setDemand(1)
-	w.Nodes[1].Asks = demandOf(1000 * baseRate)
-	w.For(5000)
-	least := 1.0
-	for i, nd := range w.Nodes {
+func TestOverreportingPeerRaisesThreshold(t *testing.T) {
+	f := newTestFleet(t, 24)
+	f.setDemand(1)
+	f.Nodes[1].Asks = demandOf(1000 * baseRate)
+	f.For(5000)
+	minimum := 1.0
+	for i, node := range f.Nodes {
 		if i != 1 {
-			least = min(least, nd.Line.Stats().AdmittedShare)
+			minimum = min(minimum, node.Line.Stats().AdmittedShare)
 		}
 	}
-	t.Logf("%.3f of what all say that is asked for is over the line", least)
-	if least < 1.0/40 { // 16 times the room, in the mean of those who met it lately
-		t.Errorf("a liar leaves %.4f of what is asked for over the line", least)
+	t.Logf("%.3f of what all say that is asked for is over the line", minimum)
+	if minimum < 1.0/40 { // 16 times the room, in the mean of those who met it lately
+		t.Errorf("a liar leaves %.4f of what is asked for over the line", minimum)
 	}
-	w.setDemand(1)
-	if took, ok := w.Until(20e3, func() bool { o, _ := w.Over(); return o > 0.99 }); !ok {
+	f.setDemand(1)
+	if took, ok := f.Until(20e3, func() bool { o, _ := f.Over(); return o > 0.99 }); !ok {
 		t.Error("the line stays")
 	} else {
 		t.Logf("none %.0f ms after it stops", took)
@@ -240,43 +240,43 @@
 }
 
 // Load around what servers can do does not have the line swing: what it lets pass stays between the two.
-func TestLineDoesNotSwing(t *testing.T) {
-	w := newTestFleet(t, 12)
-	least := 1.0
+func TestThresholdDoesNotOscillate(t *testing.T) {
+	f := newTestFleet(t, 12)
+	minimum := 1.0
 	for i := range 20 {
-		w.setDemand([]float64{1.1, 1.45}[i%2]) // 0.88 and 1.16 of it
-		over, _ := w.measureAdmitted(1500)
-		least = min(least, over)
+		f.setDemand([]float64{1.1, 1.45}[i%2]) // 0.88 and 1.16 of it
+		admitted, _ := f.measureAdmitted(1500)
+		minimum = min(minimum, admitted)
 	}
-	if least < 0.8 {
-		t.Errorf("%.3f pass at the least, 0.86 are right", least)
+	if minimum < 0.8 {
+		t.Errorf("%.3f pass at the least, 0.86 are right", minimum)
 	}
 }
 
 // All routers start anew within a second in the middle of an overload: the line is back as soon as they know of each other.
-func TestLineAfterAllRestart(t *testing.T) {
-	w := newTestFleet(t, 12)
-	w.setDemand(2.5)
-	w.For(3000)
-	for _, nd := range w.Nodes {
-		nd.Kill()
-		w.For(40)
-		nd.Again()
+func TestThresholdAfterAllRestart(t *testing.T) {
+	f := newTestFleet(t, 12)
+	f.setDemand(2.5)
+	f.For(3000)
+	for _, node := range f.Nodes {
+		node.Kill()
+		f.For(40)
+		node.Again()
 	}
-	w.setDemand(2.5)
-	w.For(3500)
-	w.checkAdmitted("restarted", 5000, 0.5)
+	f.setDemand(2.5)
+	f.For(3500)
+	f.checkAdmitted("restarted", 5000, 0.5)
 }
 
 // The hash turns alike at all routers, also with one that came later.
-func TestHashTurnsAlike(t *testing.T) {
-	w := newTestFleet(t, 6)
-	w.Start(fleetnet.Lending(6))
-	w.setDemand(3)
-	w.For(5000)
-	first := w.Nodes[0].Line.Threshold(w.Now).Turn
-	for i, nd := range w.Nodes {
-		apart := nd.Line.Threshold(w.Now).Turn - first
+func TestHashRotationIsCommon(t *testing.T) {
+	f := newTestFleet(t, 6)
+	f.Start(fleetnet.Lending(6))
+	f.setDemand(3)
+	f.For(5000)
+	first := f.Nodes[0].Line.Threshold(f.Now).Turn
+	for i, node := range f.Nodes {
+		apart := node.Line.Threshold(f.Now).Turn - first
 		if apart -= math.Round(apart); math.Abs(apart) > 0.005 {
 			t.Errorf("router %d is %.3f of a turn apart", i, apart)
 		}
--- a/internal/pure/admission/draw_test.go
+++ b/internal/pure/admission/draw_test.go
@@ -20,7 +20,7 @@
 }
 
 // A drawn schedule of before: after all but one had been killed and cut off, two that are joining had a line each.
-func TestJoiningRoutersHaveOneLine(t *testing.T) {
+func TestJoiningRoutersHaveOneThreshold(t *testing.T) {
 	t.Parallel()
 	s := fleetnet.Draw(8580)
 	s.Lends, s.Lines = true, true
--- a/internal/pure/drain/drain_test.go
+++ b/internal/pure/drain/drain_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestInServiceSaysWhetherItServes(t *testing.T) {
+func TestPutInServiceReportsServing(t *testing.T) {
 	m := &Machine{Grace: 500}
 	if m.TakeOutOfService(0); !m.PutInService() {
 		t.Error("back, and says that it does not serve")
--- a/internal/pure/quota/draw_test.go
+++ b/internal/pure/quota/draw_test.go
@@ -12,7 +12,7 @@
 // Over drawn schedules of partitions, one-way cuts, loss, doubling, crashes, pauses, restarts, renames, replacements, joins and changes of
 // work, routers that lend each other their parts never use more than the whole together, and their views settle.
 // go test -run Drawn ./internal/pure/quota -args -schedules 10000 plays more.
-func TestDrawnSchedulesWithLoans(t *testing.T) {
+func TestDrawnSchedulesWithLeases(t *testing.T) {
 	t.Parallel()
 	if err := fleetnet.PlayDrawn(*schedules, true, false); err != nil {
 		t.Error(err)
--- a/internal/pure/quota/quota.go
+++ b/internal/pure/quota/quota.go
@@ -167,8 +167,8 @@
 			delete(res.pending, p)
 		}
 	}
-	for p, w := range res.peerRates {
-		if m.now-w.receivedAt >= rateReportTTL {
+	for p, report := range res.peerRates {
+		if m.now-report.receivedAt >= rateReportTTL {
 			delete(res.peerRates, p)
 		}
 	}
@@ -177,8 +177,8 @@
 // meanRate returns the mean rate of this router and of all peers with a known rate.
 func (res *resource) meanRate() float64 {
 	sum := res.rate
-	for _, w := range res.peerRates {
-		sum += w.rate
+	for _, report := range res.peerRates {
+		sum += report.rate
 	}
 	return sum / float64(1+len(res.peerRates))
 }
--- a/internal/pure/shares/shares_test.go
+++ b/internal/pure/shares/shares_test.go
@@ -9,7 +9,7 @@
 
 // Parties take all they can get, in any order: the next one to come finds something. Once those over their part have given back, all
 // hold alike, and as much is free as the rule promises.
-func TestGreedyPartiesLeaveRoom(t *testing.T) {
+func TestGreedyPartiesLeaveCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		total := rapid.Int64Range(10, 2000).Draw(rt, "total")
 		multiple := rapid.Float64Range(1, 16).Draw(rt, "multiple")
@@ -42,7 +42,7 @@
 
 // Whatever is taken, added and given back: the sum is that of the parties, nobody holds less than nothing, and who holds nothing leaves
 // no record.
-func TestBooks(t *testing.T) {
+func TestAccounting(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := New(100, 2)
 		have := map[string]int64{}
@@ -77,7 +77,7 @@
 
 // Who gives way: strangers ahead of those that are known; a known party to itself, and to others only while it holds more than its part and
 // more than they; of several the one that weighs most. A flood, of strangers or of a tenant, drives out nobody who holds little.
-func TestYields(t *testing.T) {
+func TestChooseVictim(t *testing.T) {
 	held := map[string]int64{"flood": 60, "big": 30, "small": 4, Unidentified: 6}
 	made := func(without ...string) (*Pool, []string) {
 		p := New(100, 8)
--- a/internal/pure/tier/group.go
+++ b/internal/pure/tier/group.go
@@ -68,21 +68,21 @@
 // knows the reason to refuse requests with.
 func (g *Group) Assignment() Assignment {
 	routers := append(slices.Clone(g.peers), g.self)
-	slices.SortFunc(routers, func(a, b Router) int { return cmp.Compare(a.Name, b.Name) })
-	a := Assignment{Self: slices.Index(routers, g.self), Version: g.version}
+	slices.SortFunc(routers, func(assignment, b Router) int { return cmp.Compare(assignment.Name, b.Name) })
+	assignment := Assignment{Self: slices.Index(routers, g.self), Version: g.version}
 	for _, r := range routers {
-		a.Routers = append(a.Routers, r.Addr)
+		assignment.Routers = append(assignment.Routers, r.Addr)
 	}
 	canServe := func(r Router) bool { return r.State == Serving }
 	if !slices.ContainsFunc(routers, canServe) {
 		canServe = func(Router) bool { return true }
 	}
-	a.ServedBy = assignPartitions(routers, canServe)
+	assignment.ServedBy = assignPartitions(routers, canServe)
 	withSelf := assignPartitions(routers, func(r Router) bool { return canServe(r) || r == g.self })
 	for partition := range PartitionCount {
-		a.HandsOver = append(a.HandsOver, withSelf[partition] == a.Self)
+		assignment.HandsOver = append(assignment.HandsOver, withSelf[partition] == assignment.Self)
 	}
-	return a
+	return assignment
 }
 
 // assignPartitions assigns each partition to a router that can serve: to the one with the highest random
@@ -130,11 +130,11 @@
 
 // Assignment returns the assignment of a tier with numbered routers; addrs holds their addresses by number.
 func (t *Table) Assignment(addrs []string) Assignment {
-	a := Assignment{Routers: addrs, Self: t.self, ServedBy: t.ServedBy(), Version: t.version}
+	assignment := Assignment{Routers: addrs, Self: t.self, ServedBy: t.ServedBy(), Version: t.version}
 	for partition := range t.peers {
-		a.HandsOver = append(a.HandsOver, t.OwnPartition(partition))
+		assignment.HandsOver = append(assignment.HandsOver, t.OwnPartition(partition))
 	}
-	return a
+	return assignment
 }
 
 // Endpoint is what a router announces of a pool: the port for clients, and whether they may be sent there.
--- a/internal/pure/tier/group_test.go
+++ b/internal/pure/tier/group_test.go
@@ -51,7 +51,7 @@
 }
 
 // One that comes or goes moves its own part, and not much more.
-func TestFewHomesMove(t *testing.T) {
+func TestFewPartitionsMove(t *testing.T) {
 	for _, n := range []int{4, 24, 64} {
 		rs := testRouters(n)
 		before := servingAddrs(newTestGroup(0, rs).Assignment())
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestDoors(t *testing.T) {
+func TestEndpoints(t *testing.T) {
 	ds := []Endpoint{{Pool: PoolTag("one"), Port: 1, State: Loading}, {Pool: 1<<poolTagBits - 1, Port: 65535, State: Draining}, {Port: 80}}
 	b := AppendEndpoints(nil, ds)
 	if got, err := DecodeEndpoints(b); err != nil || !reflect.DeepEqual(got, ds) {
@@ -116,7 +116,7 @@
 	}
 }
 
-func FuzzDoors(f *testing.F) {
+func FuzzEndpoints(f *testing.F) {
 	f.Add(AppendEndpoints(nil, []Endpoint{{Pool: 5, Port: 80, State: Draining}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if ds, err := DecodeEndpoints(b); err == nil && string(AppendEndpoints(nil, ds)) != string(b) {
--- a/internal/pure/tier/tier_test.go
+++ b/internal/pure/tier/tier_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestPartsGoOn(t *testing.T) {
+func TestPartitionsMoveToNextRouter(t *testing.T) {
 	tb := New(4, 0)
 	same := func(what string, want ...int) {
 		t.Helper()
@@ -53,7 +53,7 @@
 }
 
 // An answer between missing ones keeps a router: a lost packet must not move slots.
-func TestSilenceIsInARow(t *testing.T) {
+func TestUnresponsiveAfterConsecutiveMisses(t *testing.T) {
 	tb := New(2, 0)
 	for range 10 {
 		tb.RecordMissedReply(1)
