--- a/internal/pure/admission/admission.go
+++ b/internal/pure/admission/admission.go
@@ -47,7 +47,7 @@
 	maxPendingExchanges   = 16   // exchanges that wait for a reply
 	maxAttemptsPerRequest = 4.0  // upper bound of the attempts per request
 	rateChangeDeviations  = 2.5  // standard deviations of a count beyond which the rate has changed
-	maxRateToCapacity     = 8.0  // times the capacity; a peer's rate per band is capped at it, in case it lies
+	maxRateToCapacity     = 8.0  // times the capacity, a cap on the rate per band that a peer can claim
 	busyFraction          = 0.75 // of the capacity, from which on a router is near overload
 	surgeFactor           = 1.25 // growth of the local rate since the last exchange that triggers one at once
 )
--- a/internal/pure/admission/cases_test.go
+++ b/internal/pure/admission/cases_test.go
@@ -12,21 +12,22 @@
 	"mossproxy.example/mossproxy/internal/pure/admission"
 )
 
-// The bands of three classes whose worths are 10, 1 and 0.1.
+// Bands of three classes with worths 10, 1 and 0.1.
 const (
 	gold = 0
 	read = 6
 	bulk = 13
 )
 
-// baseRate is what a router is asked for in a second where nothing is overloaded.
+// baseRate is the number of requests per second at each router without overload.
 const baseRate = 40.0
 
-// testFleet is a fleet of routers that settle one line, behind which servers can do 1.25 times what is asked for at first.
+// testFleet is a simulated fleet that computes one admission threshold. The servers' capacity is 1.25 times
+// the initial demand.
 type testFleet struct {
 	*fleetnet.Net
 	t            *testing.T
-	demandFactor float64 // mean of what all are asked for, beside each
+	demandFactor float64 // demand relative to baseRate
 }
 
 func newTestFleet(t *testing.T, routers int) *testFleet {
@@ -38,18 +39,18 @@
 	}
 	f.setDemand(1)
 	if _, ok := f.Until(6000, func() bool { return f.Settled() == nil && f.Spent() > 0.999 }); !ok {
-		t.Fatal("no start")
+		t.Fatal("the fleet did not start")
 	}
 	f.For(3000)
 	return f
 }
 
-// demandOf is what a router is asked for, of three worths.
+// demandOf splits a rate into three bands of worth.
 func demandOf(rate float64) [decide.Bands]float64 {
 	return [decide.Bands]float64{gold: 0.2 * rate, read: 0.5 * rate, bulk: 0.3 * rate}
 }
 
-// setDemand has all be asked for so many times as much.
+// setDemand sets the demand at all routers to a multiple of baseRate.
 func (f *testFleet) setDemand(factor float64) {
 	f.demandFactor = factor
 	for _, node := range f.Nodes {
@@ -57,7 +58,8 @@
 	}
 }
 
-// measureAdmitted is the share that lines let pass, in the mean over some time, and of how much two routers differ.
+// measureAdmitted returns the mean admitted share over some time, and the mean share of requests on which
+// two random routers disagree.
 func (f *testFleet) measureAdmitted(ms float64) (admitted, difference float64) {
 	n := 0.0
 	f.Run(f.Now+ms, func() {
@@ -67,52 +69,53 @@
 	return admitted / n, difference / n
 }
 
-// checkAdmitted checks what lines let pass over some time.
+// checkAdmitted checks the admitted share and the disagreement between routers over some time.
 func (f *testFleet) checkAdmitted(when string, ms, want float64) {
 	f.t.Helper()
 	admitted, difference := f.measureAdmitted(ms)
-	f.t.Logf("%s: %.3f pass, %.3f are right, two routers differ about %.3f", when, admitted, want, difference)
+	f.t.Logf("%s: admitted %.3f, want %.3f; two routers differ about %.3f", when, admitted, want, difference)
 	if admitted < 0.88*want || admitted > 1.12*want || difference > 0.06 {
-		f.t.Errorf("%s: %.3f pass, %.3f are right, two routers differ about %.3f", when, admitted, want, difference)
+		f.t.Errorf("%s: admitted %.3f, want %.3f; two routers differ about %.3f", when, admitted, want, difference)
 	}
 }
 
-// Within a second of an overload all routers have one line, which lets pass what servers can do; the highest worth is over it. Without one there is none.
+// Within a second of an overload all routers have the same threshold. It admits what the servers can do and
+// all of the highest worth. Without overload there is no threshold.
 func TestOneThresholdForAll(t *testing.T) {
 	for _, n := range []int{2, 6, maxFleetSize} {
 		for _, times := range []float64{2, 4} {
 			t.Run(fmt.Sprintf("%d routers, %v times", n, times), func(t *testing.T) {
 				f := newTestFleet(t, n)
 				if admitted, _ := f.measureAdmitted(3000); admitted < 0.99 {
-					t.Errorf("in calm %.3f pass", admitted)
+					t.Errorf("without overload %.3f are admitted", admitted)
 				}
 				f.setDemand(times)
 				began := f.Now
 				took, ok := f.Until(2000, func() bool { o, _ := f.Over(); return o < 1.3*1.25/times })
-				t.Logf("a line after %.0f ms", took)
+				t.Logf("threshold after %.0f ms", took)
 				if !ok || took > 1000 {
-					t.Errorf("no line within %.0f ms", took)
+					t.Errorf("no threshold within %.0f ms", took)
 				}
 				f.For(began + 1200 - f.Now)
 				f.checkAdmitted("overload", 5000, 1.25/times)
 				for i, node := range f.Nodes {
 					if l := node.Line.Threshold(f.Now); l.Band == gold {
-						t.Errorf("router %d refuses of the highest worth: %+v", i, l)
+						t.Errorf("router %d sheds requests of the highest worth: %+v", i, l)
 					}
 				}
 				f.setDemand(1)
 				if took, ok := f.Until(3000, func() bool { o, _ := f.Over(); return o > 0.99 }); !ok {
-					t.Error("the line stays")
+					t.Error("the threshold stays")
 				} else {
-					t.Logf("none %.0f ms after", took)
+					t.Logf("no threshold %.0f ms after the overload", took)
 				}
 			})
 		}
 	}
 }
 
-// What comes to one router alone counts for all: one has ten times the mean, of which another has a twentieth; the highest worth comes to a third of the
-// routers alone.
+// Arrivals at a single router count for the whole fleet: one router has ten times the mean demand and
+// another a twentieth, or the highest worth arrives at a third of the routers only.
 func TestUnevenLoadHasOneThreshold(t *testing.T) {
 	t.Run("ten times the mean", func(t *testing.T) {
 		f := newTestFleet(t, 12)
@@ -121,10 +124,11 @@
 		f.For(3000)
 		f.checkAdmitted("uneven", 5000, 12*1.25/(10*2+20+0.1))
 	})
-	t.Run("worths at some", func(t *testing.T) {
+	t.Run("highest worth at some routers", func(t *testing.T) {
 		f := newTestFleet(t, 12)
 		f.setDemand(2)
-		for i, node := range f.Nodes { // 960 are asked for, of which a half is gold: it fits alone
+		// 960 arrive per second, half of them gold, which fits the capacity of 600
+		for i, node := range f.Nodes {
 			node.Asks = [decide.Bands]float64{bulk: 60}
 			if i%3 == 0 {
 				node.Asks = [decide.Bands]float64{gold: 120}
@@ -134,13 +138,14 @@
 		f.checkAdmitted("uneven", 5000, 600.0/960)
 		for i, node := range f.Nodes {
 			if l := node.Line.Threshold(f.Now); l.Band != bulk {
-				t.Errorf("router %d: the line is in band %d, that of the least worth is %d", i, l.Band, bulk)
+				t.Errorf("router %d: the threshold is in band %d, want the lowest band %d", i, l.Band, bulk)
 			}
 		}
 	})
 }
 
-// Messages lost, doubled and out of order, and all of one router late by 2 s, leave one line.
+// Routers agree on a threshold although messages are lost, duplicated and reordered, or those of one router
+// are 2 s late, or reach one other router only.
 func TestThresholdOnBadNetworks(t *testing.T) {
 	for name, link := range map[string]func(f *testFleet, a, b *fleetnet.Node) fleetnet.Link{
 		"a third lost, a third doubled": func(*testFleet, *fleetnet.Node, *fleetnet.Node) fleetnet.Link {
@@ -166,8 +171,8 @@
 	}
 }
 
-// Two thirds of the routers are killed while less than half of what servers can do is asked for, and their clients come to the others: nobody refuses. At
-// more than that the line follows.
+// Two thirds of the routers are killed at less than half of the servers' capacity, and their clients move
+// to the others: nothing is shed. When the demand then exceeds the capacity, the threshold follows.
 func TestRoutersKilledUnderThreshold(t *testing.T) {
 	f := newTestFleet(t, 12)
 	f.setDemand(0.6)
@@ -185,7 +190,7 @@
 	}
 	kill()
 	if admitted, _ := f.measureAdmitted(10e3); admitted < 0.95 {
-		t.Errorf("half of what servers can do is asked for, and %.3f pass", admitted)
+		t.Errorf("at half of the capacity %.3f are admitted", admitted)
 	}
 	for _, node := range f.Nodes {
 		for b := range node.Asks {
@@ -196,7 +201,8 @@
 	f.checkAdmitted("a third of the routers", 5000, 0.5)
 }
 
-// Halves that don't hear each other and reach all servers each let pass what is theirs, and are one line soon after the cut has ended.
+// Two halves that are partitioned from each other but reach all servers each admit their part, and agree on
+// one threshold soon after the partition heals.
 func TestThresholdDuringPartition(t *testing.T) {
 	f := newTestFleet(t, 12)
 	f.setDemand(2.5)
@@ -207,7 +213,7 @@
 	for range 4 {
 		f.For(1000)
 		if admitted, _ := f.measureAdmitted(4000); admitted < 0.4 || admitted > 0.56 {
-			t.Errorf("in halves %.3f pass, 0.5 are right", admitted)
+			t.Errorf("during the partition %.3f are admitted, want 0.5", admitted)
 		}
 	}
 	f.Link = func(_, _ *fleetnet.Node) fleetnet.Link { return fleetnet.Link{Delay: 1} }
@@ -215,7 +221,7 @@
 	f.checkAdmitted("healed", 5000, 0.5)
 }
 
-// A router that claims a thousand times what it is asked for has the line drawn at the highest worth at most: that is what it can do.
+// A router that reports far more demand than it has raises the threshold to the highest worth at most.
 func TestOverreportingPeerRaisesThreshold(t *testing.T) {
 	f := newTestFleet(t, 24)
 	f.setDemand(1)
@@ -227,33 +233,35 @@
 			minimum = min(minimum, node.Line.Stats().AdmittedShare)
 		}
 	}
-	t.Logf("%.3f of what all say that is asked for is over the line", minimum)
-	if minimum < 1.0/40 { // 16 times the room, in the mean of those who met it lately
-		t.Errorf("a liar leaves %.4f of what is asked for over the line", minimum)
+	t.Logf("%.3f of the reported demand is above the threshold", minimum)
+	if minimum < 1.0/40 { // 16 times the capacity, averaged with the routers it recently exchanged with
+		t.Errorf("an overreporting router leaves %.4f of the demand above the threshold", minimum)
 	}
 	f.setDemand(1)
 	if took, ok := f.Until(20e3, func() bool { o, _ := f.Over(); return o > 0.99 }); !ok {
-		t.Error("the line stays")
+		t.Error("the threshold stays")
 	} else {
-		t.Logf("none %.0f ms after it stops", took)
+		t.Logf("no threshold %.0f ms after the overreporting ends", took)
 	}
 }
 
-// Load around what servers can do does not have the line swing: what it lets pass stays between the two.
+// The admitted share does not oscillate when the demand varies around the capacity: it stays between the
+// right values for both demands.
 func TestThresholdDoesNotOscillate(t *testing.T) {
 	f := newTestFleet(t, 12)
 	minimum := 1.0
 	for i := range 20 {
-		f.setDemand([]float64{1.1, 1.45}[i%2]) // 0.88 and 1.16 of it
+		f.setDemand([]float64{1.1, 1.45}[i%2]) // 0.88 and 1.16 of the capacity
 		admitted, _ := f.measureAdmitted(1500)
 		minimum = min(minimum, admitted)
 	}
 	if minimum < 0.8 {
-		t.Errorf("%.3f pass at the least, 0.86 are right", minimum)
+		t.Errorf("minimum admitted share %.3f, want about 0.86", minimum)
 	}
 }
 
-// All routers start anew within a second in the middle of an overload: the line is back as soon as they know of each other.
+// All routers restart within a second during an overload. The threshold is back as soon as they know each
+// other.
 func TestThresholdAfterAllRestart(t *testing.T) {
 	f := newTestFleet(t, 12)
 	f.setDemand(2.5)
@@ -268,7 +276,7 @@
 	f.checkAdmitted("restarted", 5000, 0.5)
 }
 
-// The hash turns alike at all routers, also with one that came later.
+// The hash rotation is the same at all routers, also at one that joined later.
 func TestHashRotationIsCommon(t *testing.T) {
 	f := newTestFleet(t, 6)
 	f.Start(fleetnet.Lending(6))
@@ -278,12 +286,13 @@
 	for i, node := range f.Nodes {
 		apart := node.Line.Threshold(f.Now).Turn - first
 		if apart -= math.Round(apart); math.Abs(apart) > 0.005 {
-			t.Errorf("router %d is %.3f of a turn apart", i, apart)
+			t.Errorf("router %d differs by %.3f of a rotation", i, apart)
 		}
 	}
 }
 
-// Whatever comes, a router's line stays one, and its guess of what is asked for within what is believed.
+// For any message, the threshold stays valid and the estimated demand stays below the limit for reported
+// rates.
 func FuzzReceive(f *testing.F) {
 	f.Add(make([]byte, admission.MaxMessage))
 	f.Add(append([]byte{3, 0, 0, 0, 1}, make([]byte, admission.MaxMessage-5)...))
@@ -295,7 +304,7 @@
 			d.Work[0] += 1
 			d.Passed, d.Sent = d.Passed+1, d.Sent+1
 			m.Tick(now, 1, d, []admission.Peer{{Name: "p"}})
-			m.Receive(now, admission.Peer{Name: "p"}, b) //nolint:errcheck // what is wrong is refused
+			m.Receive(now, admission.Peer{Name: "p"}, b) //nolint:errcheck // invalid messages are rejected with an error
 			if err := m.Threshold(now).Validate(); err != nil {
 				t.Fatal(err)
 			}
@@ -312,7 +321,7 @@
 
 func TestBadMessages(t *testing.T) {
 	m := admission.New(1, 1, discardHost{})
-	for name, b := range map[string][]byte{"nothing": nil, "short": make([]byte, admission.MaxMessage-1), "no kind of ours": make([]byte, admission.MaxMessage),
+	for name, b := range map[string][]byte{"nothing": nil, "short": make([]byte, admission.MaxMessage-1), "unknown kind": make([]byte, admission.MaxMessage),
 		"of another pool": append([]byte{3, 0, 0, 0, 9}, make([]byte, admission.MaxMessage-5)...)} {
 		if err := m.Receive(1000, admission.Peer{Name: "p"}, b); err == nil || !strings.HasPrefix(err.Error(), "admission: message of ") {
 			t.Errorf("%s: %v", name, err)
--- a/internal/pure/admission/draw_test.go
+++ b/internal/pure/admission/draw_test.go
@@ -7,11 +7,13 @@
 	"mossproxy.example/mossproxy/internal/model/fleetnet"
 )
 
-var schedules = flag.Int("schedules", 24, "drawn schedules of faults that are played")
+var schedules = flag.Int("schedules", 24, "number of random fault schedules to run")
 
-// After drawn schedules of partitions, one-way cuts, loss, doubling, crashes, pauses, restarts, renames, replacements and joins, with twice as
-// much and more asked for than servers can do, all routers have one line again, which lets pass what servers can do.
-// go test -run Drawn ./internal/pure/admission -args -schedules 10000 plays more.
+// After random schedules of partitions, one-way cuts, loss, duplication, crashes, pauses, restarts,
+// renames, replacements and joins, at twice the servers' capacity and more, all routers agree on one
+// threshold that admits what the servers can do.
+//
+// More schedules: go test -run Drawn ./internal/pure/admission -args -schedules 10000
 func TestDrawnSchedulesUnderOverload(t *testing.T) {
 	t.Parallel()
 	if err := fleetnet.PlayDrawn(*schedules, true, true); err != nil {
@@ -19,7 +21,8 @@
 	}
 }
 
-// A drawn schedule of before: after all but one had been killed and cut off, two that are joining had a line each.
+// Regression: all routers but one had been killed and cut off, and two that were joining each had a
+// threshold of their own.
 func TestJoiningRoutersHaveOneThreshold(t *testing.T) {
 	t.Parallel()
 	s := fleetnet.Draw(8580)
--- a/internal/pure/admission/race_off_test.go
+++ b/internal/pure/admission/race_off_test.go
@@ -2,5 +2,5 @@
 
 package admission_test
 
-// maxFleetSize routers are in the largest fleet that is played.
+// maxFleetSize is the number of routers in the largest simulated fleet.
 const maxFleetSize = 100
--- a/internal/pure/admission/race_on_test.go
+++ b/internal/pure/admission/race_on_test.go
@@ -2,5 +2,6 @@
 
 package admission_test
 
-// most routers are in the largest fleet that is played: the race detector makes each ten times as slow.
+// maxFleetSize is the number of routers in the largest simulated fleet. The race detector makes each about
+// ten times slower.
 const most = 24
--- a/internal/pure/drain/drain_test.go
+++ b/internal/pure/drain/drain_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// step is one call on a machine, and what holds after it.
+// step is one call on a Machine and the expected state after it.
 type step struct {
 	at         float64
 	do         func(m *Machine, now float64)
@@ -24,7 +24,7 @@
 func TestHistories(t *testing.T) {
 	never := math.Inf(1)
 	for name, steps := range map[string][]step{
-		"emptied, and back": {
+		"drained, and back in service": {
 			{0, noCall, Serving, true, never},
 			{100, takeOut, Redirecting, false, 600},
 			{599, noCall, Redirecting, false, 600},
@@ -32,47 +32,47 @@
 			{9e9, noCall, Draining, false, never},
 			{9e9, putIn, Serving, true, never},
 		},
-		"two people at once": {
+		"taken out of service twice": {
 			{100, takeOut, Redirecting, false, 600},
 			{400, takeOut, Redirecting, false, 600},
 			{600, putIn, Serving, true, never},
 			{601, putIn, Serving, true, never},
 		},
-		"begun, ended and begun within a second": {
+		"out of service, back and out again within a second": {
 			{0, takeOut, Redirecting, false, 500},
 			{300, putIn, Serving, true, never},
 			{700, takeOut, Redirecting, false, 1200},
 			{1199, noCall, Redirecting, false, 1200},
 			{1200, noCall, Draining, false, never},
 		},
-		"told to end while it serves": {
+		"shutdown while serving": {
 			{0, shutDown, Redirecting, true, 500},
 			{500, noCall, Closing, false, never},
 			{600, putIn, Closing, false, never},
 		},
-		"told to end while it empties": {
+		"shutdown while draining": {
 			{0, takeOut, Redirecting, false, 500},
 			{400, shutDown, Redirecting, false, 500},
 			{500, noCall, Draining, false, 900},
 			{900, noCall, Closing, false, never},
 		},
-		"back after it was told to end": {
+		"back in service during shutdown": {
 			{0, takeOut, Redirecting, false, 500},
 			{800, shutDown, Draining, false, 1300},
 			{900, putIn, Redirecting, true, 1300},
 			{1300, noCall, Closing, false, never},
 		},
-		"told to end twice": {
+		"shutdown twice": {
 			{0, shutDown, Redirecting, true, 500},
 			{400, shutDown, Redirecting, true, 500},
 		},
-		"another process follows": {
+		"shutdown with a successor": {
 			{0, successorStarts, Serving, true, never},
 			{10, shutDown, Closing, true, never},
 			{20, successorGone, Closing, true, never},
 			{600, takeOut, Closing, false, 1100},
 		},
-		"the process that follows is gone again": {
+		"successor disappears": {
 			{0, successorStarts, Serving, true, never},
 			{10, successorGone, Serving, true, never},
 			{20, shutDown, Redirecting, true, 520},
@@ -83,7 +83,7 @@
 		for i, s := range steps {
 			s.do(m, s.at)
 			if p, inv, next := m.Phase(s.at), m.ShouldAdvertise(s.at), m.NextChange(s.at); p != s.phase || inv != s.advertises || next != s.next {
-				t.Errorf("%s, step %d: phase %d, invites %v, next %v; want %d, %v, %v", name, i, p, inv, next, s.phase, s.advertises, s.next)
+				t.Errorf("%s, step %d: phase %d, advertises %v, next change %v; want %d, %v, %v", name, i, p, inv, next, s.phase, s.advertises, s.next)
 			}
 		}
 	}
@@ -92,9 +92,9 @@
 func TestPutInServiceReportsServing(t *testing.T) {
 	m := &Machine{Grace: 500}
 	if m.TakeOutOfService(0); !m.PutInService() {
-		t.Error("back, and says that it does not serve")
+		t.Error("PutInService reports not serving without a shutdown")
 	}
 	if m.BeginShutdown(0); m.PutInService() {
-		t.Error("told to end, and says that it serves")
+		t.Error("PutInService reports serving during shutdown")
 	}
 }
--- a/internal/pure/fill/fill_test.go
+++ b/internal/pure/fill/fill_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// A value that was fetched while its key was written is older than that, and not stored.
+// A value fetched while its key was written is stale and not stored.
 func TestNoStoreOverAWrite(t *testing.T) {
-	words := func(w ...string) (out [][]byte) {
-		for _, x := range w {
+	args := func(arg ...string) (out [][]byte) {
+		for _, x := range arg {
 			out = append(out, []byte(x))
 		}
 		return out
@@ -18,12 +18,12 @@
 		during func(*Table)
 		kept   bool
 	}{
-		"nothing":             {func(*Table) {}, true},
-		"a write of the key":  {func(tb *Table) { tb.RecordWrite("k", nil) }, false},
-		"a write of another":  {func(tb *Table) { tb.RecordWrite("other", nil) }, true},
-		"a read of the key":   {func(tb *Table) { tb.ReadStarted("k") }, true},
-		"its second key":      {func(tb *Table) { tb.RecordWrite("a", words("DEL", "a", "k")) }, false},
-		"a read that is over": {func(tb *Table) { tb.ReadFinished(tb.ReadStarted("k")) }, true},
+		"nothing":            {func(*Table) {}, true},
+		"a write of the key": {func(tb *Table) { tb.RecordWrite("k", nil) }, false},
+		"a write of another": {func(tb *Table) { tb.RecordWrite("other", nil) }, true},
+		"a read of the key":  {func(tb *Table) { tb.ReadStarted("k") }, true},
+		"its second key":     {func(tb *Table) { tb.RecordWrite("a", args("DEL", "a", "k")) }, false},
+		"a finished read":    {func(tb *Table) { tb.ReadFinished(tb.ReadStarted("k")) }, true},
 	} {
 		tb := New()
 		r := tb.ReadStarted("k")
@@ -33,11 +33,11 @@
 	}
 	tb := New()
 	tb.RecordWrite("k", nil)
-	if r := tb.ReadStarted("k"); !tb.CanStore(r) { // after the write came: what is fetched now is as new
-		t.Error("a write of before the read keeps its value from being stored")
+	if r := tb.ReadStarted("k"); !tb.CanStore(r) { // the write came first, so a value fetched now is as new
+		t.Error("a write before the read prevents the store")
 	}
 	if tb.CanStore(99) {
-		t.Error("a value for a read that is not open is stored")
+		t.Error("a value for an unknown read is stored")
 	}
 }
 
@@ -58,7 +58,7 @@
 		tb.ReadFinished(r)
 	}
 	if out != maxStoresInFlight {
-		t.Errorf("%d under way", out)
+		t.Errorf("%d stores in flight", out)
 	}
 	for range out {
 		tb.StoreFinished()
@@ -68,7 +68,8 @@
 	}
 }
 
-// Whatever comes in whatever order: nothing is left when all is over, and no value is stored that a write has overtaken.
+// After any history nothing is left once all reads have finished, and no value that a write has overtaken
+// is stored.
 func TestHistories(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/pure/quota/draw_test.go
+++ b/internal/pure/quota/draw_test.go
@@ -7,11 +7,13 @@
 	"mossproxy.example/mossproxy/internal/model/fleetnet"
 )
 
-var schedules = flag.Int("schedules", 30, "drawn schedules of faults that are played")
+var schedules = flag.Int("schedules", 30, "number of random fault schedules to run")
 
-// Over drawn schedules of partitions, one-way cuts, loss, doubling, crashes, pauses, restarts, renames, replacements, joins and changes of
-// work, routers that lend each other their parts never use more than the whole together, and their views settle.
-// go test -run Drawn ./internal/pure/quota -args -schedules 10000 plays more.
+// Under random schedules of partitions, one-way cuts, loss, duplication, crashes, pauses, restarts,
+// renames, replacements, joins and load changes, routers that lease shares to each other never use more
+// than the whole together, and their views converge.
+//
+// More schedules: go test -run Drawn ./internal/pure/quota -args -schedules 10000
 func TestDrawnSchedulesWithLeases(t *testing.T) {
 	t.Parallel()
 	if err := fleetnet.PlayDrawn(*schedules, true, false); err != nil {
--- a/internal/pure/shares/shares_test.go
+++ b/internal/pure/shares/shares_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Parties take all they can get, in any order: the next one to come finds something. Once those over their part have given back, all
-// hold alike, and as much is free as the rule promises.
+// Parties take all they can, in any order, and the next one still finds some free. Once parties over their
+// limit have released, all hold the same and the promised amount is free.
 func TestGreedyPartiesLeaveCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		total := rapid.Int64Range(10, 2000).Draw(rt, "total")
@@ -20,7 +20,7 @@
 		for p.Take(name(first), 1, 0) {
 		}
 		if free := total - p.Used(); free > 1 && !p.CanTake("new", 1, 0) {
-			rt.Fatalf("nothing for a new one, of %d free", free)
+			rt.Fatalf("a new party cannot take any of %d free", free)
 		}
 		for range 4 * total {
 			for i := range k {
@@ -30,56 +30,57 @@
 			}
 		}
 		if free, least := float64(total-p.Used()), float64(total)/(1+float64(k)*multiple)-1; free < least {
-			rt.Fatalf("%v of %v left by %d at %v: %v promised", free, total, k, multiple, least)
+			rt.Fatalf("%v of %v free with %d parties at multiple %v, want at least %v", free, total, k, multiple, least)
 		}
 		for i := range k {
 			if a, b := p.Held(name(i)), p.Held(name(0)); float64(max(a-b, b-a)) > multiple+1 {
-				rt.Fatalf("%d and %d held, at %v", a, b, multiple)
+				rt.Fatalf("unequal holdings %d and %d at multiple %v", a, b, multiple)
 			}
 		}
 	})
 }
 
-// Whatever is taken, added and given back: the sum is that of the parties, nobody holds less than nothing, and who holds nothing leaves
-// no record.
+// After any sequence of takes, adds and releases the total is the sum over the parties, no party holds less
+// than 0, and a party that holds nothing has no record.
 func TestAccounting(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := New(100, 2)
-		have := map[string]int64{}
+		want := map[string]int64{}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			party, n := rapid.SampledFrom([]string{"a", "b", ""}).Draw(rt, "who"), rapid.Int64Range(-40, 40).Draw(rt, "n")
-			most := rapid.Int64Range(0, 30).Draw(rt, "most")
-			fits := p.CanTake(party, n, most)
+			limit := rapid.Int64Range(0, 30).Draw(rt, "most")
+			canTake := p.CanTake(party, n, limit)
 			switch {
 			case rapid.Bool().Draw(rt, "add"):
 				p.Add(party, n)
-				have[party] = max(0, have[party]+n)
-			case p.Take(party, n, most) != fits:
-				rt.Fatal("Take and Fits differ")
-			case fits:
-				have[party] = max(0, have[party]+n)
+				want[party] = max(0, want[party]+n)
+			case p.Take(party, n, limit) != canTake:
+				rt.Fatal("Take and CanTake differ")
+			case canTake:
+				want[party] = max(0, want[party]+n)
 			}
-			sum, some := int64(0), 0
-			for w, h := range have {
+			sum, holders := int64(0), 0
+			for w, h := range want {
 				if sum += h; h > 0 {
-					some++
+					holders++
 				}
 				if p.Held(w) != h || p.OverLimit(w, 1<<40) != (h > 0 && float64(h) > 2*float64(p.Total()-p.Used())) || p.OverLimit(w, 5) && h <= 5 && float64(h) <= 2*float64(p.Total()-p.Used()) {
-					rt.Fatalf("%q holds %d, not %d", w, p.Held(w), h)
+					rt.Fatalf("%q holds %d, want %d", w, p.Held(w), h)
 				}
 			}
-			if p.Used() != sum || p.Parties() != some {
-				rt.Fatalf("%d used by %d, not %d by %d", p.Used(), p.Parties(), sum, some)
+			if p.Used() != sum || p.Parties() != holders {
+				rt.Fatalf("%d used by %d parties, want %d by %d", p.Used(), p.Parties(), sum, holders)
 			}
 		}
 	})
 }
 
-// Who gives way: strangers ahead of those that are known; a known party to itself, and to others only while it holds more than its part and
-// more than they; of several the one that weighs most. A flood, of strangers or of a tenant, drives out nobody who holds little.
+// Unidentified clients are chosen first; an identified party for its own requests, and for others only if
+// it holds more than its share and more than the requester; of several the one with the greatest weight. A
+// flood, by unidentified clients or by a tenant, evicts no party that holds little.
 func TestChooseVictim(t *testing.T) {
 	held := map[string]int64{"flood": 60, "big": 30, "small": 4, Unidentified: 6}
-	made := func(without ...string) (*Pool, []string) {
+	newPool := func(without ...string) (*Pool, []string) {
 		p := New(100, 8)
 		var idle []string
 		for party, n := range held {
@@ -93,22 +94,22 @@
 	for name, x := range map[string]struct {
 		to      string
 		without []string
-		idle    []string // nil = all
+		idle    []string // nil means all parties
 		want    string
 		ok      bool
 	}{
-		"a stranger, and the heaviest gives way":          {to: Unidentified, want: "flood", ok: true},
-		"strangers weigh eight times":                     {to: Unidentified, without: []string{"flood"}, want: Unidentified, ok: true},
-		"the small one is spared":                         {to: Unidentified, idle: []string{"small"}},
-		"a small one to itself":                           {to: "small", idle: []string{"small"}, want: "small", ok: true},
-		"a flood drives out nobody":                       {to: "flood", idle: []string{"big", "small"}},
-		"but has its own":                                 {to: "flood", idle: []string{"flood", "big"}, want: "flood", ok: true},
-		"a new one takes from who has most":               {to: "new", idle: []string{"big", "flood", "small"}, want: "flood", ok: true},
-		"and from the next where that one is never idle":  {to: "new", idle: []string{"big", "small"}, want: "big", ok: true},
-		"nobody is idle":                                  {to: "new", idle: []string{}},
-		"a bigger one does not take from a smaller, over": {to: "flood", idle: []string{"big"}},
+		"unidentified requester, heaviest is victim":  {to: Unidentified, want: "flood", ok: true},
+		"unidentified clients weigh eight times":      {to: Unidentified, without: []string{"flood"}, want: Unidentified, ok: true},
+		"a small party is spared":                     {to: Unidentified, idle: []string{"small"}},
+		"a small party evicts itself":                 {to: "small", idle: []string{"small"}, want: "small", ok: true},
+		"a flood evicts no smaller party":             {to: "flood", idle: []string{"big", "small"}},
+		"a flood evicts itself":                       {to: "flood", idle: []string{"flood", "big"}, want: "flood", ok: true},
+		"a new party takes from the largest":          {to: "new", idle: []string{"big", "flood", "small"}, want: "flood", ok: true},
+		"from the next if that is not idle":           {to: "new", idle: []string{"big", "small"}, want: "big", ok: true},
+		"no party is idle":                            {to: "new", idle: []string{}},
+		"a larger party takes nothing from a smaller": {to: "flood", idle: []string{"big"}},
 	} {
-		p, idle := made(x.without...)
+		p, idle := newPool(x.without...)
 		if x.idle != nil {
 			idle = x.idle
 		}
@@ -125,16 +126,16 @@
 		idle := rapid.SliceOfDistinct(rapid.SampledFrom(names), rapid.ID[string]).Draw(rt, "idle")
 		to := rapid.SampledFrom(append(names, "new")).Draw(rt, "to")
 		party, ok := p.ChooseVictim(to, idle)
-		turned := slices.Clone(idle)
-		slices.Reverse(turned)
-		if again, _ := p.ChooseVictim(to, turned); again != party {
-			rt.Fatalf("%q, and %q in another order", party, again)
+		reversed := slices.Clone(idle)
+		slices.Reverse(reversed)
+		if again, _ := p.ChooseVictim(to, reversed); again != party {
+			rt.Fatalf("victim %q, and %q in another order", party, again)
 		}
 		if ok && (!slices.Contains(idle, party) || p.Held(party) == 0) {
-			rt.Fatalf("%q has nothing to give", party)
+			rt.Fatalf("victim %q has nothing to release", party)
 		}
 		if ok && party != Unidentified && party != to && (p.Held(party)*int64(p.Parties()) <= p.Total() || to != Unidentified && p.Held(party) <= p.Held(to)) {
-			rt.Fatalf("%q holds %d and gives way to %q", party, p.Held(party), to)
+			rt.Fatalf("%q holds %d and is a victim for %q", party, p.Held(party), to)
 		}
 	})
 }
--- a/internal/pure/tier/group.go
+++ b/internal/pure/tier/group.go
@@ -68,7 +68,7 @@
 // knows the reason to refuse requests with.
 func (g *Group) Assignment() Assignment {
 	routers := append(slices.Clone(g.peers), g.self)
-	slices.SortFunc(routers, func(assignment, b Router) int { return cmp.Compare(assignment.Name, b.Name) })
+	slices.SortFunc(routers, func(a, b Router) int { return cmp.Compare(a.Name, b.Name) })
 	assignment := Assignment{Self: slices.Index(routers, g.self), Version: g.version}
 	for _, r := range routers {
 		assignment.Routers = append(assignment.Routers, r.Addr)
--- a/internal/pure/tier/group_test.go
+++ b/internal/pure/tier/group_test.go
@@ -21,7 +21,7 @@
 	return g
 }
 
-// servingAddrs is the address that serves, by home.
+// servingAddrs returns the address of the serving router by partition.
 func servingAddrs(s Assignment) (out []string) {
 	for _, server := range s.ServedBy {
 		out = append(out, s.Routers[server])
@@ -29,7 +29,8 @@
 	return out
 }
 
-// Routers that know the same say the same, in whatever order they heard it, and none has more than 5/4 of an equal part.
+// Routers with the same view compute the same assignment, regardless of order, and none has more than 5/4
+// of an equal share.
 func TestGroupsAgreeAndAreEven(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 7, 24, 64, 300} {
 		rs := testRouters(n)
@@ -40,7 +41,7 @@
 		}
 		for _, r := range rs {
 			if c := counts[r.Addr]; c > (5*PartitionCount+4*n-1)/(4*n) || n <= 64 && c == 0 {
-				t.Errorf("%d routers: %s has %d homes", n, r.Name, c)
+				t.Errorf("%d routers: %s has %d partitions", n, r.Name, c)
 			}
 		}
 		rand.New(rand.NewPCG(1, 1)).Shuffle(n, func(i, j int) { rs[i], rs[j] = rs[j], rs[i] })
@@ -50,15 +51,15 @@
 	}
 }
 
-// One that comes or goes moves its own part, and not much more.
+// A router that joins or leaves moves little more than its own partitions.
 func TestFewPartitionsMove(t *testing.T) {
 	for _, n := range []int{4, 24, 64} {
 		rs := testRouters(n)
 		before := servingAddrs(newTestGroup(0, rs).Assignment())
 		worst, sum := 0, 0
-		for gone := 1; gone < n; gone++ {
+		for removed := 1; removed < n; removed++ {
 			moved := 0
-			for partition, a := range servingAddrs(newTestGroup(0, slices.Delete(slices.Clone(rs), gone, gone+1)).Assignment()) {
+			for partition, a := range servingAddrs(newTestGroup(0, slices.Delete(slices.Clone(rs), removed, removed+1)).Assignment()) {
 				if a != before[partition] {
 					moved++
 				}
@@ -66,7 +67,7 @@
 			worst, sum = max(worst, moved), sum+moved
 		}
 		if mean := sum / (n - 1); worst > 4*PartitionCount/n || mean > 3*PartitionCount/n {
-			t.Errorf("%d routers: one that goes moves %d of %d homes, %d in the mean; %d were its own", n, worst, PartitionCount, mean, PartitionCount/n)
+			t.Errorf("%d routers: one that leaves moves up to %d of %d partitions, mean %d; its own were %d", n, worst, PartitionCount, mean, PartitionCount/n)
 		}
 	}
 }
@@ -74,32 +75,32 @@
 func TestGroupDrainsAndLoads(t *testing.T) {
 	rs := testRouters(3)
 	g := newTestGroup(0, rs)
-	own := g.Assignment()
+	initial := g.Assignment()
 	if g.SetPeers(rs) || !g.SetOwnState(Draining) || g.SetOwnState(Draining) {
-		t.Error("news is told once")
+		t.Error("a change is not reported exactly once")
 	}
 	s := g.Assignment()
 	if slices.Contains(s.ServedBy, s.Self) {
-		t.Error("it serves while it drains")
+		t.Error("the router serves while it drains")
 	}
 	for partition := range s.ServedBy {
-		if s.HandsOver[partition] != (own.ServedBy[partition] == own.Self) {
-			t.Fatalf("home %d is handed on: %v", partition, s.HandsOver[partition])
+		if s.HandsOver[partition] != (initial.ServedBy[partition] == initial.Self) {
+			t.Fatalf("partition %d is handed over: %v", partition, s.HandsOver[partition])
 		}
 	}
 	rs[1].State, rs[2].State = Loading, Draining
 	if v := s.Version; !g.SetPeers(rs) || g.Assignment().Version <= v {
-		t.Error("states are no news")
+		t.Error("a change of states is not reported")
 	}
 	if s = g.Assignment(); !slices.Contains(s.ServedBy, s.Self) {
-		t.Error("nobody serves, and not all keep a part")
+		t.Error("no router serves, and this one has no partition")
 	}
 	g.SetOwnState(Serving)
 	if s = g.Assignment(); slices.ContainsFunc(s.ServedBy, func(server int) bool { return server != s.Self }) {
-		t.Error("the only one that serves does not have all")
+		t.Error("the only serving router does not have all partitions")
 	}
 	if g.SetPeers(nil); len(g.Assignment().Routers) != 1 {
-		t.Error("one that is alone knows others")
+		t.Error("a router without peers knows others")
 	}
 }
 
@@ -109,7 +110,7 @@
 	if got, err := DecodeEndpoints(b); err != nil || !reflect.DeepEqual(got, ds) {
 		t.Errorf("%+v, %v; want %+v", got, err, ds)
 	}
-	for name, b := range map[string][]byte{"cut": b[:5], "too many": append(b, 0, 0, 0, 80), "no port": {1, 2, 0, 0}, "no state": {0xff, 2, 0, 80}} {
+	for name, b := range map[string][]byte{"cut": b[:5], "too many": append(b, 0, 0, 0, 80), "no port": {1, 2, 0, 0}, "invalid state": {0xff, 2, 0, 80}} {
 		if got, err := DecodeEndpoints(b); err == nil {
 			t.Errorf("%s: %+v", name, got)
 		}
@@ -120,7 +121,7 @@
 	f.Add(AppendEndpoints(nil, []Endpoint{{Pool: 5, Port: 80, State: Draining}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if ds, err := DecodeEndpoints(b); err == nil && string(AppendEndpoints(nil, ds)) != string(b) {
-			t.Errorf("%x comes back as %x", b, AppendEndpoints(nil, ds))
+			t.Errorf("%x is encoded again as %x", b, AppendEndpoints(nil, ds))
 		}
 	})
 }
