--- a/internal/pure/admission/cases_test.go
+++ b/internal/pure/admission/cases_test.go
@@ -304,7 +304,7 @@
 			d.Work[0] += 1
 			d.Passed, d.Sent = d.Passed+1, d.Sent+1
 			m.Tick(now, 1, d, []admission.Peer{{Name: "p"}})
-			m.Receive(now, admission.Peer{Name: "p"}, b) //nolint:errcheck // invalid messages are rejected with an error
+			m.Receive(now, admission.Peer{Name: "p"}, b) //nolint:errcheck // invalid messages are rejected
 			if err := m.Threshold(now).Validate(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/pure/admission/race_on_test.go
+++ b/internal/pure/admission/race_on_test.go
@@ -4,4 +4,4 @@
 
 // maxFleetSize is the number of routers in the largest simulated fleet. The race detector makes each about
 // ten times slower.
-const most = 24
+const maxFleetSize = 24
