--- a/decide/api.go
+++ b/decide/api.go
@@ -83,7 +83,7 @@
 const (
 	Ready State = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Entry is one server on the list.
@@ -104,19 +104,19 @@
 const (
 	Changes    ListKind = iota // changed entries only
 	Full                       // the whole list
-	Remembered                 // the whole list as this router last held it
-	Refused                    // the call for a list failed or the subscription broke
+	Restored                   // the whole list as this router last held it
+	ListFailed                 // the call for a list failed or the subscription broke
 )
 
-// Standing is where a request stands with its tenant's limits, which somebody else counts.
-type Standing int
+// QuotaStatus is where a request stands with its tenant's limits, which somebody else counts.
+type QuotaStatus int
 
 // The standings, the best first.
 const (
-	Within   Standing = iota // the tenant always gets this, or nobody counts
-	Borrowed                 // others leave it
-	Over                     // nobody leaves it: the first to be refused
-	Beyond                   // it is not to be served, whatever is free
+	QuotaGuaranteed QuotaStatus = iota // the tenant always gets this, or nobody counts
+	QuotaLeased                        // others leave it
+	QuotaExceeded                      // nobody leaves it: the first to be refused
+	QuotaDenied                        // it is not to be served, whatever is free
 )
 
 // Request is one request of a client. The Balancer owes it exactly one final answer.
@@ -134,7 +134,7 @@
 	Owners []uint32 // the servers that may serve it, its key's home first; nil = any
 	Stores bool     // no client's: it stores what a fetch of its key has brought, and comes before that one's Outcome
 
-	Standing Standing
+	Standing QuotaStatus
 	Again    float64 // ms after which it would stand better; 0 = not known
 }
 
@@ -152,7 +152,7 @@
 	Canceled
 	Ignored
 	Miss
-	Spoilt // an answer that can't be used: the attempt has run, and the server is at work
+	InvalidAnswer // an answer that can't be used: the attempt has run, and the server is at work
 )
 
 // NeverRan reports whether the status proves that the attempt did not run.
@@ -160,8 +160,8 @@
 	return s == QueueFull || s == ConnectError || s == Ignored || s == Miss
 }
 
-// tells reports whether the status says something of the server, rather than of the router's own doings.
-func (s Status) tells() bool { return s != Canceled && s != Ignored }
+// concernsServer reports whether the status says something of the server, rather than of the router's own doings.
+func (s Status) concernsServer() bool { return s != Canceled && s != Ignored }
 
 // Load is a server's report of its load; a figure below 0 or not finite is absent.
 type Load struct{ QPS, EPS, Util, Inflight, Latency float64 }
@@ -171,15 +171,15 @@
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID      uint32
-	Attempt int
-	Server  uint32
-	Status  Status
-	Latency float64
-	Final   bool // the request has its final answer
-	Note    int  // 1 hit, 2 fetched or miss, 3 miss while another fetch of the key is out, 4 the origin has none
-	Load    Load
-	Owners  []uint32 // the server sent it on: who may serve it from now on; nil = as before
+	ID          uint32
+	Attempt     int
+	Server      uint32
+	Status      Status
+	Latency     float64
+	Final       bool // the request has its final answer
+	CacheResult int  // 1 hit, 2 fetched or miss, 3 miss while another fetch of the key is out, 4 the origin has none
+	Load        Load
+	Owners      []uint32 // the server sent it on: who may serve it from now on; nil = as before
 }
 
 // Host carries out the actions of a Balancer. Attempts of a request are numbered from 0 in the order of Send.
@@ -191,8 +191,8 @@
 	Probe(server uint32)
 	Close(server uint32)               // closes the idle connections to a server
 	Timer(after float64, token uint64) // calls Balancer.Timer with the token
-	Watch()                            // asks for changes of the list from now on
-	Tell(data []byte)                  // sends at most 256 bytes to every peer
+	WatchList()                        // asks for changes of the list from now on
+	Broadcast(data []byte)             // sends at most 256 bytes to every peer
 	Log(text string)
 }
 
@@ -266,28 +266,28 @@
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
-	b.begin(now)
+	b.advance(now)
 	b.cfg = cfg
-	b.setUp()
+	b.setUpClasses()
 	return nil
 }
 
-// setUp makes the records of classes and tenants; tenants that stay keep what they have used.
-func (b *Balancer) setUp() {
-	used := b.used
-	b.classes, b.quota, b.used, b.maxWorth = map[string]*Class{}, map[string]float64{}, map[string]*rate{}, 0
+// setUpClasses makes the records of classes and tenants; tenants that stay keep what they have used.
+func (b *Balancer) setUpClasses() {
+	used := b.tenantUse
+	b.classes, b.quotas, b.tenantUse, b.maxWorth = map[string]*Class{}, map[string]float64{}, map[string]*decayingSum{}, 0
 	for i, c := range b.cfg.Classes {
 		b.classes[c.Name], b.maxWorth = &b.cfg.Classes[i], max(b.maxWorth, c.Worth)
 	}
 	for _, t := range b.cfg.Tenants {
-		if b.quota[t.Name], b.used[t.Name] = t.Quota, used[t.Name]; b.used[t.Name] == nil {
-			b.used[t.Name] = &rate{}
+		if b.quotas[t.Name], b.tenantUse[t.Name] = t.Quota, used[t.Name]; b.tenantUse[t.Name] == nil {
+			b.tenantUse[t.Name] = &decayingSum{}
 		}
 	}
 }
 
-// Peer takes a message of another router. Routers tell each other nothing yet.
-func (b *Balancer) Peer(now float64, _ int, _ []byte) { b.begin(now) }
+// PeerMessage takes a message of another router. Routers tell each other nothing yet.
+func (b *Balancer) PeerMessage(now float64, _ int, _ []byte) { b.advance(now) }
 
 // New returns a Balancer for the settings, or an error that names the setting that is missing or impossible.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
@@ -295,106 +295,106 @@
 		return nil, err
 	}
 	parts := float64(cfg.Routers)
-	b := &Balancer{cfg: cfg, tier: Tier{cfg.Routers, parts, math.Inf(1), parts}, processes: 1, parts: parts, host: host, rng: rand.New(rand.NewPCG(seed, 1)),
-		began: -1, spare: 10, fetches: firstFetches(parts), bear: 0.2, keep: cfg.ConnIdle,
-		portion: 1 / float64(cfg.Routers),
-		turn:    int(seed % 4096), watchAt: math.Inf(1), servers: map[uint32]*server{}, zones: map[string]*zone{}, keys: map[uint64]*flow{},
-		reqs: map[uint32]*request{}}
-	b.setUp()
+	b := &Balancer{cfg: cfg, tier: Tier{cfg.Routers, parts, math.Inf(1), parts}, processes: 1, shares: parts, host: host, rng: rand.New(rand.NewPCG(seed, 1)),
+		startedAt: -1, retryBudget: 10, fetchLimit: initialFetchLimit(parts), waitShare: 0.2, connKeep: cfg.ConnIdle,
+		trafficShare: 1 / float64(cfg.Routers),
+		nextProbe:    int(seed % 4096), watchAt: math.Inf(1), servers: map[uint32]*server{}, zones: map[string]*zone{}, keys: map[uint64]*keyTraffic{},
+		requests: map[uint32]*request{}}
+	b.setUpClasses()
 	return b, nil
 }
 
-func (b *Balancer) begin(now float64) {
-	if b.now = now; b.began < 0 {
-		b.began, b.solvedAt = now, now
-		b.host.Timer(tick, tickToken)
+func (b *Balancer) advance(now float64) {
+	if b.now = now; b.startedAt < 0 {
+		b.startedAt, b.solvedAt = now, now
+		b.host.Timer(housekeepInterval, tickToken)
 	}
 	if now > b.tier.Until {
-		b.resize()
+		b.applyShares()
 	}
 }
 
-// Fleet counts the cache servers on the list, and those of them that requests are kept from now: they drain, or are taken for sick.
-func (b *Balancer) Fleet() (known, avoided int) {
-	for _, s := range b.order {
+// ServerCounts counts the cache servers on the list, and those of them that requests are kept from now: they drain, or are taken for sick.
+func (b *Balancer) ServerCounts() (known, avoided int) {
+	for _, s := range b.serverList {
 		if s.ejected || s.State != Ready {
 			avoided++
 		}
 	}
-	return len(b.order), avoided
+	return len(b.serverList), avoided
 }
 
-// Portion is the part of all traffic that this router is taken to have, 0 to 1.
-func (b *Balancer) Portion() float64 { return b.portion }
+// TrafficShare is the part of all traffic that this router is taken to have, 0 to 1.
+func (b *Balancer) TrafficShare() float64 { return b.trafficShare }
 
-// Gone tells that the client has left.
-func (b *Balancer) Gone(now float64, id uint32) {
-	b.begin(now)
-	if r := b.reqs[id]; r != nil && !r.closed {
-		b.close(r)
-		b.pump()
+// ClientGone tells that the client has left.
+func (b *Balancer) ClientGone(now float64, id uint32) {
+	b.advance(now)
+	if r := b.requests[id]; r != nil && !r.finished {
+		b.closeRequest(r)
+		b.dispatchHeld()
 	}
 }
 
-// Started tells that a stream has begun: the attempt belongs to the client, and nothing is left to decide.
-func (b *Balancer) Started(now float64, id uint32) {
-	b.begin(now)
-	if r := b.reqs[id]; r != nil {
-		r.until, r.aim = math.Inf(1), math.Inf(-1)
+// StreamStarted tells that a stream has begun: the attempt belongs to the client, and nothing is left to decide.
+func (b *Balancer) StreamStarted(now float64, id uint32) {
+	b.advance(now)
+	if r := b.requests[id]; r != nil {
+		r.deadline, r.aimAt = math.Inf(1), math.Inf(-1)
 	}
 }
 
 // Timer takes a timer that came due.
 func (b *Balancer) Timer(now float64, token uint64) {
-	b.begin(now)
+	b.advance(now)
 	if token == tickToken {
 		b.housekeep()
-	} else if r := b.reqs[uint32(token>>8)]; r != nil && !r.closed {
+	} else if r := b.requests[uint32(token>>8)]; r != nil && !r.finished {
 		if i := int(token & 255); i > 0 {
-			b.stalled(r, i-1)
-		} else if r.held > 0 && r.out == 0 { // waited too long
-			b.end(r)
+			b.handleStall(r, i-1)
+		} else if r.waitingSince > 0 && r.inFlight == 0 { // waited too long
+			b.endRequest(r)
 		}
-		b.pump()
+		b.dispatchHeld()
 	}
 }
 
 // Request takes a request of a client.
 func (b *Balancer) Request(now float64, q Request) {
-	b.begin(now)
+	b.advance(now)
 	c := b.classes[q.Class]
 	if c == nil {
 		b.host.Fail(q.ID)
 		return
 	}
-	r := &request{Request: q, class: c, until: now + q.Left, worth: c.Worth, work: b.workOf(q.Hint), key: b.flow(q)}
-	r.aim = now + min(q.Left, c.Aim+c.Stretch*q.Hint)
-	b.reqs[q.ID] = r
-	b.arrive(r)
+	r := &request{Request: q, class: c, deadline: now + q.Left, worth: c.Worth, work: b.relativeWork(q.Hint), key: b.trafficOf(q)}
+	r.aimAt = now + min(q.Left, c.Aim+c.Stretch*q.Hint)
+	b.requests[q.ID] = r
+	b.handleArrival(r)
 }
 
 // Outcome takes the end of an attempt.
 func (b *Balancer) Outcome(now float64, o Outcome) {
-	b.begin(now)
-	s, r := b.servers[o.Server], b.reqs[o.ID]
+	b.advance(now)
+	s, r := b.servers[o.Server], b.requests[o.ID]
 	if s != nil {
-		b.learn(s, o.Load)
+		b.recordLoad(s, o.Load)
 	}
-	if a := r.settle(o.Attempt, o.Status); a != nil {
-		b.ended(r, a, o)
+	if a := r.recordOutcome(o.Attempt, o.Status); a != nil {
+		b.handleOutcome(r, a, o)
 	}
 }
 
-// Probed takes the result of a probe.
-func (b *Balancer) Probed(now float64, id uint32, st Status, l Load) {
-	b.begin(now)
+// ProbeResult takes the result of a probe.
+func (b *Balancer) ProbeResult(now float64, id uint32, st Status, l Load) {
+	b.advance(now)
 	s := b.servers[id]
 	if s == nil {
 		return
 	}
-	b.learn(s, l)
+	b.recordLoad(s, l)
 	if st != OK && st != QueueFull {
-		s.strikes++
+		s.consecutiveFailures++
 		b.eject(s, true)
 	}
 }
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -10,9 +10,9 @@
 	cfg := testConfig()
 	cfg.Routers, cfg.Cold, cfg.ColdFrom, cfg.FallMult, cfg.FallFor = routers, 8000, 0.3, 2.5, 3000
 	var sent []float64 // times
-	tier := routersOf(t, cfg, 36)
+	tier := newRouters(t, cfg, 36)
 	for _, b := range tier {
-		b.survey()
+		b.updateMedians()
 		fresh := fleet(4)[3]
 		fresh.Started = 1e5 + 100
 		b.Servers(1e5+200, Changes, []Entry{fresh})
@@ -20,8 +20,8 @@
 	id := fleet(4)[3].ID
 	for now := 1e5 + 200; now < 1e5+seconds*1000; now += step {
 		for _, b := range tier {
-			if s := b.servers[id]; func() bool { b.now = now; return b.afford(s, 1, 1) }() {
-				s.budget.v--
+			if s := b.servers[id]; func() bool { b.now = now; return b.budgetAllows(s, 1, 1) }() {
+				s.sendBudget.value--
 				sent = append(sent, now)
 			}
 		}
@@ -44,7 +44,7 @@
 		}
 		b := tier[0]
 		b.now = from
-		if capacity = 36 * b.warmth(b.servers[id]) * cfg.FallFor / 1000; float64(n) > cfg.FallMult*capacity {
+		if capacity = 36 * b.warmFraction(b.servers[id]) * cfg.FallFor / 1000; float64(n) > cfg.FallMult*capacity {
 			t.Fatalf("%d requests in the window from %v, of %.0f that the server can do", n, from-1e5, capacity)
 		}
 	}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -12,8 +12,8 @@
 
 // fakeHost records the actions of a Balancer.
 type fakeHost struct {
-	acts    []string
-	sends   []sent
+	logs    []string
+	sends   []sentAttempt
 	refused map[uint32]int
 	failed  map[uint32]int
 	cancels []string
@@ -24,7 +24,7 @@
 	onSend  func(id uint32)
 }
 
-type sent struct{ id, server uint32 }
+type sentAttempt struct{ id, server uint32 }
 
 type timer struct {
 	after float64
@@ -37,7 +37,7 @@
 	if h.onSend != nil {
 		h.onSend(id)
 	}
-	h.sends = append(h.sends, sent{id, server})
+	h.sends = append(h.sends, sentAttempt{id, server})
 }
 func (h *fakeHost) Cancel(id uint32, a int)     { h.cancels = append(h.cancels, fmt.Sprint(id, "/", a)) }
 func (h *fakeHost) Refuse(id uint32, _ float64) { h.refused[id]++ }
@@ -47,11 +47,11 @@
 func (h *fakeHost) Timer(after float64, token uint64) {
 	h.timers = append(h.timers, timer{after, token})
 }
-func (h *fakeHost) Watch()          { h.watches++ }
-func (h *fakeHost) Tell([]byte)     {}
-func (h *fakeHost) Log(text string) { h.acts = append(h.acts, text) }
+func (h *fakeHost) WatchList()       { h.watches++ }
+func (h *fakeHost) Broadcast([]byte) {}
+func (h *fakeHost) Log(text string)  { h.logs = append(h.logs, text) }
 
-func (h *fakeHost) last() sent { return h.sends[len(h.sends)-1] }
+func (h *fakeHost) last() sentAttempt { return h.sends[len(h.sends)-1] }
 
 // answers is the number of final answers that a request got from the Balancer itself.
 func (h *fakeHost) answers(id uint32) int { return h.refused[id] + h.failed[id] }
@@ -73,7 +73,7 @@
 func fleet(n int) []Entry {
 	var es []Entry
 	for i := range n {
-		es = append(es, Entry{ID: uint32(mix(uint64(i + 1))), Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
+		es = append(es, Entry{ID: uint32(mix64(uint64(i + 1))), Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
 	}
 	return es
 }
@@ -85,13 +85,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Servers(100000, Remembered, es)
+	b.Servers(100000, Restored, es)
 	return b, h
 }
 
-// read is a request for a key that has time and worth to spare.
-func read(b *Balancer, k *flow) *request {
-	return &request{class: &b.cfg.Classes[0], key: k, work: 1, worth: 1, until: b.now + 600, aim: b.now + 300}
+// newRead is a request for a key that has time and worth to spare.
+func newRead(b *Balancer, k *keyTraffic) *request {
+	return &request{class: &b.cfg.Classes[0], key: k, work: 1, worth: 1, deadline: b.now + 600, aimAt: b.now + 300}
 }
 
 func ask(b *Balancer, now float64, id uint32, class string, key uint64) {
@@ -142,12 +142,12 @@
 	}{{1, 0.3}, {1, 0.9}, {2, 0.5}, {7, 0.8}, {20, 0.95}} {
 		mu := 10.0
 		a := c.rho * float64(c.m)
-		got, _, _ := delay(a*mu, c.m, mu, 2) // exponential service: X² = 2·X̄²
+		got, _, _ := waitingRequests(a*mu, c.m, mu, 2) // exponential service: X² = 2·X̄²
 		want := erlangC(c.m, a) * c.rho / (1 - c.rho)
 		if math.Abs(got-want) > 1e-9*(1+want) {
 			t.Errorf("m=%d rho=%v: %v requests waiting, want %v", c.m, c.rho, got, want)
 		}
-		half, _, _ := delay(a*mu, c.m, mu, 1) // fixed service waits half as long
+		half, _, _ := waitingRequests(a*mu, c.m, mu, 1) // fixed service waits half as long
 		if math.Abs(half-want/2) > 1e-9*(1+want) {
 			t.Errorf("m=%d rho=%v: fixed service %v, want %v", c.m, c.rho, half, want/2)
 		}
@@ -160,9 +160,9 @@
 			mu, c2 := 8.0, 1.7
 			lam := rho * float64(m) * mu
 			e := 1e-4 * lam
-			_, d, h := delay(lam, m, mu, c2)
-			f1, d1, _ := delay(lam-e, m, mu, c2)
-			f2, d2, _ := delay(lam+e, m, mu, c2)
+			_, d, h := waitingRequests(lam, m, mu, c2)
+			f1, d1, _ := waitingRequests(lam-e, m, mu, c2)
+			f2, d2, _ := waitingRequests(lam+e, m, mu, c2)
 			if n := (f2 - f1) / (2 * e); math.Abs(n-d) > 1e-4*math.Abs(d)+1e-12 {
 				t.Errorf("m=%d rho=%v: FDL %v, numerically %v", m, rho, d, n)
 			}
@@ -177,7 +177,7 @@
 	for _, m := range []int{1, 3, 256} {
 		was := -1.0
 		for lam := 0.0; lam < 3*float64(m); lam += 0.01 * float64(m) {
-			f, d, h := delay(lam, m, 1, 2)
+			f, d, h := waitingRequests(lam, m, 1, 2)
 			if f < was || math.IsNaN(f+d+h) || math.IsInf(f+d+h, 0) || d < 0 {
 				t.Fatalf("m=%d lam=%v: f=%v d=%v h=%v after %v", m, lam, f, d, h, was)
 			}
@@ -188,17 +188,17 @@
 
 // ---- Solver ----
 
-func models(ns ...int) []*server {
+func modelServers(ns ...int) []*server {
 	var v []*server
 	for i, n := range ns {
-		v = append(v, &server{Entry: Entry{ID: uint32(i + 1)}, n: n, mu: 10})
+		v = append(v, &server{Entry: Entry{ID: uint32(i + 1)}, channels: n, serviceRate: 10})
 	}
 	return v
 }
 
-func cost(v []*server, x []float64, c2 float64) (f float64) {
+func totalWaiting(v []*server, x []float64, c2 float64) (f float64) {
 	for j, s := range v {
-		w, _, _ := delay(s.load+x[j], s.n, s.mu, c2)
+		w, _, _ := waitingRequests(s.modelLoad+x[j], s.channels, s.serviceRate, c2)
 		f += w
 	}
 	return f
@@ -214,12 +214,12 @@
 		{[]int{3, 3, 1}, []float64{29, 0, 0}, 20}, {[]int{1, 1, 1}, []float64{0, 0, 0}, 28.5},
 	} {
 		b := &Balancer{}
-		v := models(c.n...)
+		v := modelServers(c.n...)
 		for j, l := range c.load {
-			v[j].load = l
+			v[j].modelLoad = l
 		}
 		x := []float64{c.total, 0, 0}
-		b.balance(v, x)
+		b.balanceFlow(v, x)
 		if sum := x[0] + x[1] + x[2]; math.Abs(sum-c.total) > 1e-6 {
 			t.Fatalf("%v: rates add up to %v", c, sum)
 		}
@@ -231,10 +231,10 @@
 				for k := range y {
 					y[k] *= c.total / grid
 				}
-				best = min(best, cost(v, y, b.x.ratio()))
+				best = min(best, totalWaiting(v, y, b.latencies.momentRatio()))
 			}
 		}
-		if got := cost(v, x, b.x.ratio()); got > best*1.02+1e-6 {
+		if got := totalWaiting(v, x, b.latencies.momentRatio()); got > best*1.02+1e-6 {
 			t.Errorf("%v: F %v at %v, brute force %v", c, got, x, best)
 		}
 	}
@@ -242,13 +242,13 @@
 
 func TestBalanceEqualisesFDL(t *testing.T) {
 	b := &Balancer{}
-	v := models(2, 3, 5)
+	v := modelServers(2, 3, 5)
 	x := []float64{80, 0, 0}
-	b.balance(v, x)
+	b.balanceFlow(v, x)
 	var d [3]float64
 	for j, s := range v {
-		_, d[j], _ = delay(x[j], s.n, s.mu, b.x.ratio())
-		if x[j] >= float64(s.n)*s.mu {
+		_, d[j], _ = waitingRequests(x[j], s.channels, s.serviceRate, b.latencies.momentRatio())
+		if x[j] >= float64(s.channels)*s.serviceRate {
 			t.Errorf("server %d is sent %v, over its capacity", j, x[j])
 		}
 	}
@@ -265,20 +265,20 @@
 		total, fetch float64 // rate, and latency of a fetch
 		want         int
 	}{{1, 1, 1}, {28, 10, 2}, {55, 10, 3}, {28, 1e6, 1}} {
-		k := &flow{}
-		v := models(3, 3, 3, 3)
-		b.scale, b.olat.v = 1, c.fetch
-		b.split(k, v, c.total)
-		if len(k.v) != c.want && (c.want == 1 || len(k.v) < c.want) {
-			t.Errorf("total %v, fetch %v: %d servers, want %d", c.total, c.fetch, len(k.v), c.want)
+		k := &keyTraffic{}
+		v := modelServers(3, 3, 3, 3)
+		b.loadScale, b.fetchLatency.value = 1, c.fetch
+		b.splitFlow(k, v, c.total)
+		if len(k.splitServers) != c.want && (c.want == 1 || len(k.splitServers) < c.want) {
+			t.Errorf("total %v, fetch %v: %d servers, want %d", c.total, c.fetch, len(k.splitServers), c.want)
 		}
 		sum, load := 0.0, 0.0
-		for j, p := range k.p {
+		for j, p := range k.splitShares {
 			sum += p
-			load += k.v[j].load
+			load += k.splitServers[j].modelLoad
 		}
-		if k.v[0].ID != 1 || math.Abs(sum-1) > 1e-9 || math.Abs(load-c.total) > 1e-6 {
-			t.Errorf("total %v: home %d, shares add up to %v, load to %v", c.total, k.v[0].ID, sum, load)
+		if k.splitServers[0].ID != 1 || math.Abs(sum-1) > 1e-9 || math.Abs(load-c.total) > 1e-6 {
+			t.Errorf("total %v: home %d, shares add up to %v, load to %v", c.total, k.splitServers[0].ID, sum, load)
 		}
 	}
 }
@@ -289,12 +289,12 @@
 	es := fleet(10)
 	b1, _ := start(t, testConfig(), es[:8])
 	b1.Servers(100100, Changes, es[8:])
-	b1.Servers(100200, Changes, []Entry{{ID: es[2].ID, State: Gone}})
+	b1.Servers(100200, Changes, []Entry{{ID: es[2].ID, State: Removed}})
 	rest := append(append([]Entry{}, es[3:]...), es[:2]...)
 	b2, _ := start(t, testConfig(), rest)
 	for key := range uint64(500) {
-		l1, l2 := b1.list(&flow{id: key}), b2.list(&flow{id: key})
-		if len(l1) != listLen || len(l2) != listLen {
+		l1, l2 := b1.hashListOf(&keyTraffic{id: key}), b2.hashListOf(&keyTraffic{id: key})
+		if len(l1) != maxCandidates || len(l2) != maxCandidates {
 			t.Fatalf("key %d: lists of %d and %d", key, len(l1), len(l2))
 		}
 		for i := range l1 {
@@ -316,7 +316,7 @@
 		b, _ := start(t, testConfig(), es)
 		m := map[uint64]uint32{}
 		for key := range uint64(4000) {
-			m[key] = b.list(&flow{id: key})[0].ID
+			m[key] = b.hashListOf(&keyTraffic{id: key})[0].ID
 		}
 		return m
 	}
@@ -346,14 +346,14 @@
 
 func TestHealthDoesNotMoveTheHash(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(8))
-	k := &flow{id: 42}
-	home := b.list(k)[0]
+	k := &keyTraffic{id: 42}
+	home := b.hashListOf(k)[0]
 	home.ejected = true
 	b.solve()
-	if b.list(k)[0] != home {
+	if b.hashListOf(k)[0] != home {
 		t.Error("an ejected server lost its place")
 	}
-	if c := b.candidates(k); c[0] != b.list(k)[1] {
+	if c := b.candidates(k); c[0] != b.hashListOf(k)[1] {
 		t.Error("the second does not stand in for an ejected first")
 	}
 }
@@ -362,12 +362,12 @@
 
 func TestPicksMatchShares(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
-	k := b.flow(Request{Key: 5, HasKey: true})
-	l := b.list(k)
-	k.v, k.p = []*server{l[0], l[2]}, []float64{0.7, 0.3}
+	k := b.trafficOf(Request{Key: 5, HasKey: true})
+	l := b.hashListOf(k)
+	k.splitServers, k.splitShares = []*server{l[0], l[2]}, []float64{0.7, 0.3}
 	n := map[*server]int{}
 	for range 10000 {
-		n[b.pick(read(b, k))]++
+		n[b.pickServer(newRead(b, k))]++
 	}
 	if math.Abs(float64(n[l[0]])/10000-0.7) > 0.02 || n[l[0]]+n[l[2]] != 10000 {
 		t.Errorf("shares 0.7 and 0.3 were picked %d and %d times of 10000", n[l[0]], n[l[2]])
@@ -377,20 +377,20 @@
 // Groups of cold keys were split by shares, which changed with every solve: keys moved, and each move was a miss.
 func TestColdKeyStaysHomeWhateverTheSolverFinds(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
-	for _, s := range b.order {
-		s.cap.see(b.now, 40, 1)
+	for _, s := range b.serverList {
+		s.capacity.update(b.now, 40, 1)
 	}
 	for key := range uint64(300) {
-		b.flow(Request{Key: key, HasKey: true}).rate.add(b.now, keyTau, 1)
+		b.trafficOf(Request{Key: key, HasKey: true}).rate.add(b.now, keyRateTau, 1)
 	}
 	for round := range 5 {
-		for i, s := range b.order {
-			s.qps = float64(30 * ((i + round) % 2)) // load that others send, now here, now there
+		for i, s := range b.serverList {
+			s.reportedRate = float64(30 * ((i + round) % 2)) // load that others send, now here, now there
 		}
 		b.solve()
 		for key := range uint64(300) {
-			k := b.flow(Request{Key: key, HasKey: true})
-			if s := b.pick(read(b, k)); s != b.list(k)[0] {
+			k := b.trafficOf(Request{Key: key, HasKey: true})
+			if s := b.pickServer(newRead(b, k)); s != b.hashListOf(k)[0] {
 				t.Fatalf("round %d: cold key %d left its home", round, key)
 			}
 		}
@@ -399,20 +399,20 @@
 
 // ---- Bursts ----
 
-// fill leaves a server with so much outstanding that a further request would be late.
-func fill(b *Balancer, s *server) {
-	s.cap.see(b.now, 10, 1)
-	s.lat.see(b.now, 100, 1)
-	s.out = 30
+// fillQueue leaves a server with so much outstanding that a further request would be late.
+func fillQueue(b *Balancer, s *server) {
+	s.capacity.update(b.now, 10, 1)
+	s.latency.update(b.now, 100, 1)
+	s.inFlight = 30
 }
 
 func TestFullHomeOffersTheRequestAlongTheList(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	k := b.flow(Request{Key: 5, HasKey: true})
-	l := b.list(k)
-	fill(b, l[0])
+	k := b.trafficOf(Request{Key: 5, HasKey: true})
+	l := b.hashListOf(k)
+	fillQueue(b, l[0])
 	b.solve()
-	k.v, k.p = l[:1], []float64{1}
+	k.splitServers, k.splitShares = l[:1], []float64{1}
 	ask(b, 100001, 1, "read", 5)
 	if len(h.sends) != 1 || h.last().server != l[1].ID {
 		t.Errorf("sends %v, want one to the second of the list", h.sends)
@@ -422,23 +422,23 @@
 // Each request that went along its list was a miss there; with a slow origin the misses held up all others.
 func TestSlowOriginKeepsKeysFromSpreading(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	b.olat = level{v: 400, floor: 80, at: b.now}
-	k := b.flow(Request{Key: 5, HasKey: true})
-	l := b.list(k)
-	fill(b, l[0])
+	b.fetchLatency = movingAverage{value: 400, floor: 80, updated: b.now}
+	k := b.trafficOf(Request{Key: 5, HasKey: true})
+	l := b.hashListOf(k)
+	fillQueue(b, l[0])
 	ask(b, 100001, 1, "read", 5)
-	k.storeAt = l[2]
+	k.storedOn = l[2]
 	ask(b, 100002, 2, "read", 5)
-	if h.refused[1] != 1 || len(h.sends) != 1 || h.last() != (sent{2, l[2].ID}) {
+	if h.refused[1] != 1 || len(h.sends) != 1 || h.last() != (sentAttempt{2, l[2].ID}) {
 		t.Errorf("refused %v, sends %v: want a refusal, then a send to where the key is", h.refused, h.sends)
 	}
 }
 
 func TestFullFleetRefusesEarlyTheLeastWorthFirst(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	for _, s := range b.order {
-		fill(b, s)
-		s.out = 1 // a wait of 100 ms
+	for _, s := range b.serverList {
+		fillQueue(b, s)
+		s.inFlight = 1 // a wait of 100 ms
 	}
 	ask(b, 100001, 1, "read", 5)
 	ask(b, 100001, 2, "dear", 6)
@@ -448,7 +448,7 @@
 }
 
 // Servers that choke answer late although their wait looks short: less must be sent to them than to a quick fleet.
-func TestLateAnswersLowerTheWaitThatIsBorne(t *testing.T) {
+func TestLateAnswersLowerToleratedWait(t *testing.T) {
 	for _, c := range []struct {
 		took      float64
 		low, high float64
@@ -459,11 +459,11 @@
 			if ask(b, now, i+1, "read", uint64(i)); len(h.sends) == 0 || h.last().id != i+1 {
 				continue // refused
 			}
-			o := Outcome{ID: i + 1, Server: h.last().server, Latency: c.took, Note: 1, Final: true, Load: NoLoad}
+			o := Outcome{ID: i + 1, Server: h.last().server, Latency: c.took, CacheResult: 1, Final: true, Load: NoLoad}
 			b.Outcome(now+c.took, o)
 		}
-		if b.bear < c.low || b.bear > c.high {
-			t.Errorf("answers after %v ms: %v of the aim is borne, want %v to %v", c.took, b.bear, c.low, c.high)
+		if b.waitShare < c.low || b.waitShare > c.high {
+			t.Errorf("answers after %v ms: %v of the aim is borne, want %v to %v", c.took, b.waitShare, c.low, c.high)
 		}
 	}
 }
@@ -475,20 +475,20 @@
 		now, hint := 100001+500*float64(i), 1.0+9*float64(i%2)
 		b.Request(now, Request{ID: i + 1, Class: "dear", Key: 1, HasKey: true, Left: 600, Hint: hint})
 		took := 50 + 10*hint
-		b.Outcome(now+took, Outcome{ID: i + 1, Server: h.last().server, Latency: took, Note: 1, Final: true, Load: NoLoad})
+		b.Outcome(now+took, Outcome{ID: i + 1, Server: h.last().server, Latency: took, CacheResult: 1, Final: true, Load: NoLoad})
 	}
-	if v := b.order[0].lat.v; v < 80 || v > 160 { // the mean is 105 ms, at a mean work of 1
+	if v := b.serverList[0].latency.value; v < 80 || v > 160 { // the mean is 105 ms, at a mean work of 1
 		t.Errorf("%v ms a unit of work, want about 105", v)
 	}
 }
 
 // A zone was lost, the others were refused for a moment, and then for good: no answer could correct what was seen.
-func TestWaitSeenFades(t *testing.T) {
+func TestObservedWaitDecays(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	for _, s := range b.order {
-		s.cap.see(b.now, 10, 1)
-		s.lat.see(b.now, 100, 1)
-		s.lat.v, s.qps = 2000, 20 // others hold 40 requests
+	for _, s := range b.serverList {
+		s.capacity.update(b.now, 10, 1)
+		s.latency.update(b.now, 100, 1)
+		s.latency.value, s.reportedRate = 2000, 20 // others hold 40 requests
 	}
 	ask(b, 100001, 1, "read", 5)
 	ask(b, 110001, 2, "read", 5)
@@ -498,14 +498,14 @@
 }
 
 // At 90% utilisation almost every home looks full, and copies made for that pushed each other out of the caches.
-func TestCopiesPayAtRealRates(t *testing.T) {
-	b := &Balancer{scale: 3}
-	b.olat.v = 50
-	k := &flow{}
-	v := models(3, 3)
-	b.split(k, v, 28) // 28 of 30 when scaled, 9 in fact
-	if len(k.v) != 1 {
-		t.Errorf("%d servers for a key that one serves with ease", len(k.v))
+func TestSplitComparesGainAtUnscaledRates(t *testing.T) {
+	b := &Balancer{loadScale: 3}
+	b.fetchLatency.value = 50
+	k := &keyTraffic{}
+	v := modelServers(3, 3)
+	b.splitFlow(k, v, 28) // 28 of 30 when scaled, 9 in fact
+	if len(k.splitServers) != 1 {
+		t.Errorf("%d servers for a key that one serves with ease", len(k.splitServers))
 	}
 }
 
@@ -515,7 +515,7 @@
 	cfg := testConfig()
 	cfg.Routers = 300
 	b, h := start(t, cfg, fleet(40))
-	hot := b.flow(Request{Key: 1, HasKey: true})
+	hot := b.trafficOf(Request{Key: 1, HasKey: true})
 	for i := range uint32(100) { // 2.5 a second, the key once in 20
 		now, key := 100010+400*float64(i), uint64(i)
 		if i%20 == 0 {
@@ -525,20 +525,20 @@
 		if len(h.sends) > 0 && h.last().id == i+1 {
 			b.Outcome(now+50, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 50, Final: true, Load: NoLoad})
 		}
-		for _, s := range b.order {
-			s.cap.v, s.qps = 40, 15
+		for _, s := range b.serverList {
+			s.capacity.value, s.reportedRate = 40, 15
 		}
-		b.list(hot)[0].qps = 22
+		b.hashListOf(hot)[0].reportedRate = 22
 		b.Timer(now+100, tickToken)
 	}
 	b.solve()
-	if len(hot.v) < 2 || hot.p[0] < 0.1 || hot.p[0] > 0.9 {
-		t.Errorf("the key is at %d servers with shares %v", len(hot.v), hot.p)
+	if len(hot.splitServers) < 2 || hot.splitShares[0] < 0.1 || hot.splitShares[0] > 0.9 {
+		t.Errorf("the key is at %d servers with shares %v", len(hot.splitServers), hot.splitShares)
 	}
 }
 
 // A key that jammed its home was met so seldom by each router that it went there again and again, and timed out.
-func TestStallTellsOfAHotKeyWhereServersAreSeldomAsked(t *testing.T) {
+func TestStallRaisesKeyRateWhenTrafficIsSparse(t *testing.T) {
 	for _, c := range []struct {
 		before int // requests in the second before
 		hot    bool
@@ -551,11 +551,11 @@
 			b.Outcome(b.now, Outcome{ID: 100 + i, Server: h.last().server, Latency: 5, Final: true, Load: NoLoad})
 		}
 		ask(b, 101010, 1, "read", 9)
-		k := b.reqs[1].key
-		b.servers[h.last().server].reply = 0
+		k := b.requests[1].key
+		b.servers[h.last().server].lastReply = 0
 		b.Timer(101200, 1<<8|1)
-		if hot := k.rate.v >= hotSeen; hot != c.hot {
-			t.Errorf("%d requests a second: %v arrivals after a stall", c.before, k.rate.v)
+		if hot := k.rate.value >= minHotArrivals; hot != c.hot {
+			t.Errorf("%d requests a second: %v arrivals after a stall", c.before, k.rate.value)
 		}
 	}
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -16,8 +16,8 @@
 func (printer) Probe(server uint32)               { fmt.Println("probe", server) }
 func (printer) Close(server uint32)               { fmt.Println("close", server) }
 func (printer) Timer(float64, uint64)             {}
-func (printer) Watch()                            { fmt.Println("watch") }
-func (printer) Tell([]byte)                       {}
+func (printer) WatchList()                        { fmt.Println("watch") }
+func (printer) Broadcast([]byte)                  {}
 func (printer) Log(text string)                   { fmt.Println(text) }
 
 func Example() {
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// experienced is a Balancer that has served for ten seconds: one server fails all, one has started anew, a key is hot.
-func experienced(t *testing.T) *Balancer {
+// newExperienced is a Balancer that has served for ten seconds: one server fails all, one has started anew, a key is hot.
+func newExperienced(t *testing.T) *Balancer {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "t", Quota: 100}}
@@ -37,13 +37,13 @@
 }
 
 // What one process has learned, the next one knows: who is out, what is cold, who is how quick, which keys are hot.
-func TestNextProcessKnowsWhatWasLearned(t *testing.T) {
-	old := experienced(t)
+func TestNextProcessImportsLearnedState(t *testing.T) {
+	old := newExperienced(t)
 	es := make([]Entry, 0, 6)
-	for _, s := range old.order {
+	for _, s := range old.serverList {
 		es = append(es, s.Entry)
 	}
-	text, err := json.Marshal(old.Learned(old.now))
+	text, err := json.Marshal(old.ExportLearned(old.now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,37 +55,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Servers(old.now+50, Remembered, es)
-	if err := b.Learn(old.now+50, l); err != nil {
+	b.Servers(old.now+50, Restored, es)
+	if err := b.ImportLearned(old.now+50, l); err != nil {
 		t.Fatal(err)
 	}
-	if got := b.Learned(b.now); !reflect.DeepEqual(got.Servers, l.Servers) || len(got.Keys) != len(l.Keys) || got.Mean != l.Mean || got.Used["t"] != l.Used["t"] {
+	if got := b.ExportLearned(b.now); !reflect.DeepEqual(got.Servers, l.Servers) || len(got.Keys) != len(l.Keys) || got.LatencyMean != l.LatencyMean || got.TenantUse["t"] != l.TenantUse["t"] {
 		t.Errorf("learned %+v, then %+v", l.Servers, got.Servers)
 	}
-	known, avoided := b.Fleet()
-	if oldKnown, oldAvoided := old.Fleet(); known != oldKnown || avoided != oldAvoided || avoided == 0 {
+	known, avoided := b.ServerCounts()
+	if oldKnown, oldAvoided := old.ServerCounts(); known != oldKnown || avoided != oldAvoided || avoided == 0 {
 		t.Errorf("%d of %d servers are avoided, by the old one %d of %d", avoided, known, oldAvoided, oldKnown)
 	}
-	if s, o := b.servers[fleet(6)[1].ID], old.servers[fleet(6)[1].ID]; s.fresh != o.fresh || b.warmth(s) > 0.5 {
-		t.Errorf("a cold server is taken for %v warm", b.warmth(s))
+	if s, o := b.servers[fleet(6)[1].ID], old.servers[fleet(6)[1].ID]; s.coldSince != o.coldSince || b.warmFraction(s) > 0.5 {
+		t.Errorf("a cold server is taken for %v warm", b.warmFraction(s))
 	}
 	for i := range uint32(50) { // and nothing goes to the one that is out
 		ask(b, b.now+1, 10000+i, "read", uint64(i))
 	}
 	for _, s := range b.host.(*fakeHost).sends {
-		if s.server == fleet(6)[0].ID && b.now < b.servers[s.server].trial {
+		if s.server == fleet(6)[0].ID && b.now < b.servers[s.server].trialAt {
 			t.Error("a request to a server that was out")
 		}
 	}
 }
 
 // A server that has started anew since is another process: nothing that was learned of the one before counts.
-func TestLearnedOfAnotherProcessIsPassedOver(t *testing.T) {
-	old := experienced(t)
+func TestLearnedStateOfEarlierStartIsIgnored(t *testing.T) {
+	old := newExperienced(t)
 	es := fleet(6)
 	es[0].Started = old.now - 10
 	b, _ := start(t, old.cfg, es)
-	if err := b.Learn(old.now, old.Learned(old.now)); err != nil {
+	if err := b.ImportLearned(old.now, old.ExportLearned(old.now)); err != nil {
 		t.Fatal(err)
 	}
 	if b.servers[es[0].ID].ejected {
@@ -93,77 +93,77 @@
 	}
 }
 
-func TestImpossibleLessonsAreRefusedWhole(t *testing.T) {
-	old := experienced(t)
+func TestInvalidLearnedStateIsRejectedWhole(t *testing.T) {
+	old := newExperienced(t)
 	for name, spoil := range map[string]func(l *Learned){
 		"version 9":          func(l *Learned) { l.Version = 9 },
-		"the start":          func(l *Learned) { l.Began = old.now + 1e6 },
-		"fetches":            func(l *Learned) { l.Fetches = math.Inf(1) },
-		"the router":         func(l *Learned) { l.Jam.V = math.NaN() },
-		"server":             func(l *Learned) { l.Servers[2].Accept = 1.5 },
-		"tenant t":           func(l *Learned) { l.Used["t"] = Rate{V: -1} },
-		"key":                func(l *Learned) { l.Keys[0].Rate.At = old.now + 1e9 },
-		"4097 servers":       func(l *Learned) { l.Servers = make([]LearnedServer, maxLearned+1) },
-		"impossible value":   func(l *Learned) { l.Servers[0].Budget.V = math.Inf(-1) },
-		"impossible value -": func(l *Learned) { l.Servers[0].Strikes = -1 },
+		"the start":          func(l *Learned) { l.StartedAt = old.now + 1e6 },
+		"fetches":            func(l *Learned) { l.FetchLimit = math.Inf(1) },
+		"the router":         func(l *Learned) { l.FleetLatency.Value = math.NaN() },
+		"server":             func(l *Learned) { l.Servers[2].AcceptShare = 1.5 },
+		"tenant t":           func(l *Learned) { l.TenantUse["t"] = DecayingSum{Value: -1} },
+		"key":                func(l *Learned) { l.Keys[0].Rate.Updated = old.now + 1e9 },
+		"4097 servers":       func(l *Learned) { l.Servers = make([]LearnedServer, maxLearnedServers+1) },
+		"impossible value":   func(l *Learned) { l.Servers[0].SendBudget.Value = math.Inf(-1) },
+		"impossible value -": func(l *Learned) { l.Servers[0].ConsecutiveFailures = -1 },
 	} {
 		b, _ := start(t, old.cfg, fleet(6))
-		before := b.Learned(old.now)
-		l := old.Learned(old.now)
+		before := b.ExportLearned(old.now)
+		l := old.ExportLearned(old.now)
 		spoil(&l)
-		if err := b.Learn(old.now, l); err == nil || !strings.Contains(err.Error(), name) {
+		if err := b.ImportLearned(old.now, l); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if !reflect.DeepEqual(b.Learned(old.now), before) {
+		if !reflect.DeepEqual(b.ExportLearned(old.now), before) {
 			t.Errorf("%s: some of it was taken", name)
 		}
 	}
 }
 
 // Two processes of a router have one router's part of a cold server's budget and of the origin, before, while and after both live.
-func TestTwoProcessesShareOneRoutersPart(t *testing.T) {
-	old := experienced(t)
+func TestTwoProcessesSplitOneRoutersShare(t *testing.T) {
+	old := newExperienced(t)
 	cold := old.servers[fleet(6)[1].ID]
-	old.begin(cold.fresh + 2000)
-	old.afford(cold, 1, 1)
-	alone, fetches := cold.budget.v, old.fetches
-	old.Share(old.now, 2)
+	old.advance(cold.coldSince + 2000)
+	old.budgetAllows(cold, 1, 1)
+	alone, fetches := cold.sendBudget.value, old.fetchLimit
+	old.SetProcesses(old.now, 2)
 	b, _ := start(t, old.cfg, fleet(6))
 	b.tier = old.tier // as its configuration says
-	b.Share(old.now, 2)
+	b.SetProcesses(old.now, 2)
 	es := make([]Entry, 0, 6)
-	for _, s := range old.order {
+	for _, s := range old.serverList {
 		es = append(es, s.Entry)
 	}
 	b.Servers(old.now, Full, es)
-	if err := b.Learn(old.now, old.Learned(old.now)); err != nil {
+	if err := b.ImportLearned(old.now, old.ExportLearned(old.now)); err != nil {
 		t.Fatal(err)
 	}
 	next := b.servers[cold.ID]
-	if sum := cold.budget.v + next.budget.v; math.Abs(sum-alone) > 1e-9 {
+	if sum := cold.sendBudget.value + next.sendBudget.value; math.Abs(sum-alone) > 1e-9 {
 		t.Errorf("both have %v of a cold server's budget, one had %v", sum, alone)
 	}
-	if sum := old.fetches + b.fetches; math.Abs(sum-fetches) > 1e-9 {
+	if sum := old.fetchLimit + b.fetchLimit; math.Abs(sum-fetches) > 1e-9 {
 		t.Errorf("both may have %v fetches out, one had %v", sum, fetches)
 	}
 	later := old.now + 100
 	fill := func(x *Balancer, s *server) float64 {
 		x.now = later
-		was := s.budget.v
-		x.afford(s, 1, 1)
-		return s.budget.v - was
+		was := s.sendBudget.value
+		x.budgetAllows(s, 1, 1)
+		return s.sendBudget.value - was
 	}
 	both := fill(old, cold) + fill(b, next)
-	b.Share(later, 1) // the old one is gone
-	single := experienced(t)
+	b.SetProcesses(later, 1) // the old one is gone
+	single := newExperienced(t)
 	s := single.servers[cold.ID]
-	s.budget = rate{0, later - 100}
+	s.sendBudget = decayingSum{0, later - 100}
 	single.now = later
-	single.afford(s, 1, 1)
-	if both > s.budget.v*1.01 {
-		t.Errorf("both gain %v of a cold server's budget in 100 ms, one alone %v", both, s.budget.v)
+	single.budgetAllows(s, 1, 1)
+	if both > s.sendBudget.value*1.01 {
+		t.Errorf("both gain %v of a cold server's budget in 100 ms, one alone %v", both, s.sendBudget.value)
 	}
-	if math.Abs(b.fetches-fetches) > 1e-9 || b.cfg.Routers != b.tier.Routers {
-		t.Errorf("alone again: %v fetches of %v, %d routers of %d", b.fetches, fetches, b.cfg.Routers, b.tier.Routers)
+	if math.Abs(b.fetchLimit-fetches) > 1e-9 || b.cfg.Routers != b.tier.Routers {
+		t.Errorf("alone again: %v fetches of %v, %d routers of %d", b.fetchLimit, fetches, b.cfg.Routers, b.tier.Routers)
 	}
 }
--- a/decide/lists_test.go
+++ b/decide/lists_test.go
@@ -4,19 +4,19 @@
 	"testing"
 )
 
-// asker is a queue of calls for a list, as one discovery for a whole tier has it: it takes calls in turn, works for each as
+// listService is a queue of calls for a list, as one discovery for a whole tier has it: it takes calls in turn, works for each as
 // long, also for those that have waited for too long and get nothing, and turns away what comes to a queue of twice that wait.
-type asker struct {
-	free, work, wait float64
+type listService struct {
+	freeAt, workTime, maxWait float64
 }
 
 // call says when a call that comes at a time is answered, and whether with a list.
-func (a *asker) call(now float64) (at float64, ok bool) {
-	if a.free = max(a.free, now); a.free+a.work-now > 2*a.wait {
+func (a *listService) call(now float64) (at float64, ok bool) {
+	if a.freeAt = max(a.freeAt, now); a.freeAt+a.workTime-now > 2*a.maxWait {
 		return now + 30, false
 	}
-	a.free += a.work
-	return min(a.free, now+a.wait), a.free <= now+a.wait
+	a.freeAt += a.workTime
+	return min(a.freeAt, now+a.maxWait), a.freeAt <= now+a.maxWait
 }
 
 // Eighty routers that start together asked one discovery at once, and each that had failed a second later: its queue stayed longer
@@ -40,15 +40,15 @@
 			t.Fatal(err)
 		}
 		bs[i] = b
-		b.Servers(1e5, Remembered, fleet(3))
+		b.Servers(1e5, Restored, fleet(3))
 	}
-	d := &asker{work: 120, wait: 2000}
+	d := &listService{workTime: 120, maxWait: 2000}
 	early, calls := 0, 0
 	for now := 1e5 + 100; now < 1e5+30000; now += 100 {
 		for i, b := range bs {
 			if o := out[i]; o != nil && now >= o.at {
 				if out[i] = nil; !o.ok {
-					b.Servers(now, Refused, nil)
+					b.Servers(now, ListFailed, nil)
 				} else if b.Servers(now, Changes, nil); got[i] == 0 {
 					got[i] = now
 				}
@@ -85,11 +85,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if b.Servers(1e5, Remembered, fleet(3)); b.watchAt > 1e5+cfg.MustAsk*0.8 {
+		if b.Servers(1e5, Restored, fleet(3)); b.watchAt > 1e5+cfg.MustAsk*0.8 {
 			t.Fatalf("first call after %v ms", b.watchAt-1e5)
 		}
 		for range 6 {
-			if b.Servers(1e5, Refused, nil); b.watchAt <= 1e5+500 || b.watchAt > 1e5+3*cfg.MustAsk {
+			if b.Servers(1e5, ListFailed, nil); b.watchAt <= 1e5+500 || b.watchAt > 1e5+3*cfg.MustAsk {
 				t.Fatalf("next call after %v ms", b.watchAt-1e5)
 			}
 		}
@@ -108,7 +108,7 @@
 	b, _ := start(t, cfg, es)
 	homes, keys := map[float64]int{}, 30000
 	for i := range keys {
-		homes[b.list(&flow{id: uint64(i)})[0].Size]++
+		homes[b.hashListOf(&keyTraffic{id: uint64(i)})[0].Size]++
 	}
 	for size, n := range homes {
 		want := size / 3.2 * float64(keys)
--- a/decide/owners_test.go
+++ b/decide/owners_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// alone is a Balancer over servers that alone hold what there is, of which each request names its owners.
-func alone(t *testing.T, n int) (*Balancer, *fakeHost, []uint32) {
+// newStandalone is a Balancer over servers that alone hold what there is, of which each request names its owners.
+func newStandalone(t *testing.T, n int) (*Balancer, *fakeHost, []uint32) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Alone, cfg.Copies = true, false
@@ -20,13 +20,13 @@
 	return b, h, ids
 }
 
-func askOf(b *Balancer, now float64, id uint32, class string, write bool, owners ...uint32) {
+func askOwners(b *Balancer, now float64, id uint32, class string, write bool, owners ...uint32) {
 	b.Request(now, Request{ID: id, Class: class, Key: 42, HasKey: true, Left: 600, Write: write, Owners: owners})
 }
 
 // A request goes to its owners only: writes to the primary, reads of a loaded key to its replicas too, and to no other.
 func TestOnlyOwnersServe(t *testing.T) {
-	b, h, ids := alone(t, 6)
+	b, h, ids := newStandalone(t, 6)
 	owners := ids[3:5]
 	now := 100000.0
 	at := map[uint32]int{}
@@ -35,9 +35,9 @@
 		write := i%4 == 0
 		n := len(h.sends)
 		if id := uint32(i + 1); write {
-			askOf(b, now, id, "once", true, owners[0])
+			askOwners(b, now, id, "once", true, owners[0])
 		} else {
-			askOf(b, now, id, "read", false, owners...)
+			askOwners(b, now, id, "read", false, owners...)
 		}
 		if len(h.sends) == n {
 			continue // refused: the owners are jammed
@@ -59,10 +59,10 @@
 
 // A request that is sent on goes to its new owner at once, whatever is in hand for retries; the way ends with the
 // attempts, and never comes back to a server that sent it on.
-func TestSentOn(t *testing.T) {
-	b, h, ids := alone(t, 6)
-	b.spare = 0
-	askOf(b, 100001, 1, "once", true, ids[0])
+func TestRedirect(t *testing.T) {
+	b, h, ids := newStandalone(t, 6)
+	b.retryBudget = 0
+	askOwners(b, 100001, 1, "once", true, ids[0])
 	for i := range 3 {
 		if s := h.last(); len(h.sends) != i+1 || s.server != ids[i] {
 			t.Fatalf("attempt %d: sends %v", i, h.sends)
@@ -73,7 +73,7 @@
 	if len(h.sends) != 4 || h.refused[1] != 1 || h.failed[1] != 0 {
 		t.Errorf("sends %v, refused %v, failed %v", h.sends, h.refused, h.failed)
 	}
-	askOf(b, 100010, 2, "once", true, ids[0])
+	askOwners(b, 100010, 2, "once", true, ids[0])
 	b.Outcome(100011, Outcome{ID: 2, Attempt: 0, Server: ids[0], Status: Ignored, Load: NoLoad, Owners: ids[1:2]})
 	b.Outcome(100012, Outcome{ID: 2, Attempt: 1, Server: ids[1], Status: Ignored, Load: NoLoad, Owners: ids[0:1]}) // back
 	if n := len(h.sends); n != 6 || h.refused[2] != 1 {
@@ -82,10 +82,10 @@
 }
 
 // An attempt that may have run rules out every other, wherever a later answer sends the request on.
-func TestSentOnAfterItMayHaveRun(t *testing.T) {
-	for _, st := range []Status{TimedOut, Reset, Failed, Spoilt, Canceled} {
-		b, h, ids := alone(t, 6)
-		askOf(b, 100001, 1, "once", true, ids[0])
+func TestRedirectAfterAttemptMayHaveRun(t *testing.T) {
+	for _, st := range []Status{TimedOut, Reset, Failed, InvalidAnswer, Canceled} {
+		b, h, ids := newStandalone(t, 6)
+		askOwners(b, 100001, 1, "once", true, ids[0])
 		b.Outcome(100100, Outcome{ID: 1, Attempt: 0, Server: ids[0], Status: st, Load: NoLoad, Owners: ids[1:2]})
 		if len(h.sends) != 1 || h.failed[1] != 1 || h.refused[1] != 0 {
 			t.Errorf("%v: sends %v, failed %v, refused %v", st, h.sends, h.failed, h.refused)
@@ -95,8 +95,8 @@
 
 // Nobody owns the key, or the owner is on no list: refused at once, which is harmless.
 func TestNoOwner(t *testing.T) {
-	b, h, _ := alone(t, 3)
-	askOf(b, 100001, 1, "once", true, math.MaxUint32)
+	b, h, _ := newStandalone(t, 3)
+	askOwners(b, 100001, 1, "once", true, math.MaxUint32)
 	b.Request(100002, Request{ID: 2, Class: "read", Key: 7, HasKey: true, Left: 600, Owners: []uint32{}})
 	b.Request(100003, Request{ID: 3, Class: "once", Key: 42, HasKey: true, Left: 600, Write: true, Owners: []uint32{}})
 	if len(h.sends) != 0 || h.refused[1] != 1 || h.refused[2] != 1 || h.refused[3] != 1 {
@@ -106,19 +106,19 @@
 
 // Writes that name the primary alone don't make a key's owners change between them and reads.
 func TestWritesKeepTheOwners(t *testing.T) {
-	b, _, ids := alone(t, 6)
-	askOf(b, 100001, 1, "read", false, ids[:3]...)
+	b, _, ids := newStandalone(t, 6)
+	askOwners(b, 100001, 1, "read", false, ids[:3]...)
 	k := b.keys[42]
-	list := &k.list[0]
-	askOf(b, 100002, 2, "once", true, ids[0])
-	askOf(b, 100003, 3, "read", false, ids[:3]...)
-	if &k.list[0] != list || len(k.list) != 3 {
+	list := &k.hashList[0]
+	askOwners(b, 100002, 2, "once", true, ids[0])
+	askOwners(b, 100003, 3, "read", false, ids[:3]...)
+	if &k.hashList[0] != list || len(k.hashList) != 3 {
 		t.Error("the key's list was made anew")
 	}
-	askOf(b, 100004, 4, "once", true, ids[4]) // a failover
-	askOf(b, 100005, 5, "read", false, ids[4], ids[1])
-	if len(k.list) != 2 || k.list[0].ID != ids[4] {
-		t.Errorf("after the failover: %v", k.list)
+	askOwners(b, 100004, 4, "once", true, ids[4]) // a failover
+	askOwners(b, 100005, 5, "read", false, ids[4], ids[1])
+	if len(k.hashList) != 2 || k.hashList[0].ID != ids[4] {
+		t.Errorf("after the failover: %v", k.hashList)
 	}
 }
 
@@ -133,8 +133,8 @@
 	}
 }
 
-// asideOf is a Balancer over servers with an origin behind them, which each request names its owners among.
-func asideOf(t *testing.T) (*Balancer, *fakeHost, []uint32, uint32) {
+// newAside is a Balancer over servers with an origin behind them, which each request names its owners among.
+func newAside(t *testing.T) (*Balancer, *fakeHost, []uint32, uint32) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind, cfg.Copies = true, "db", false
@@ -144,13 +144,13 @@
 }
 
 // A write whose servers are named is theirs, not the origin's; one that names none is the origin's, as ever.
-func TestWritesOfOwnersPassTheOrigin(t *testing.T) {
-	b, h, ids, origin := asideOf(t)
-	askOf(b, 100001, 1, "once", true, ids[1])
+func TestWritesWithOwnersBypassOrigin(t *testing.T) {
+	b, h, ids, origin := newAside(t)
+	askOwners(b, 100001, 1, "once", true, ids[1])
 	if len(h.sends) != 1 || h.last().server != ids[1] {
 		t.Errorf("sends %v", h.sends)
 	}
-	askOf(b, 100002, 2, "once", true)
+	askOwners(b, 100002, 2, "once", true)
 	if len(h.sends) != 2 || h.last().server != origin {
 		t.Errorf("without owners: sends %v", h.sends)
 	}
@@ -160,11 +160,11 @@
 // lets the next one fetch.
 func TestWaitersWaitForTheStore(t *testing.T) {
 	for _, stored := range []Status{OK, TimedOut, ConnectError} {
-		b, h, ids, origin := asideOf(t)
-		askOf(b, 100001, 1, "read", false, ids[0])
-		b.Outcome(100002, Outcome{ID: 1, Server: ids[0], Status: Miss, Note: 2, Latency: 1, Load: NoLoad})
-		askOf(b, 100003, 2, "read", false, ids[0])
-		askOf(b, 100003, 3, "read", false, ids[0])
+		b, h, ids, origin := newAside(t)
+		askOwners(b, 100001, 1, "read", false, ids[0])
+		b.Outcome(100002, Outcome{ID: 1, Server: ids[0], Status: Miss, CacheResult: 2, Latency: 1, Load: NoLoad})
+		askOwners(b, 100003, 2, "read", false, ids[0])
+		askOwners(b, 100003, 3, "read", false, ids[0])
 		if n := len(h.sends); n != 2 || h.last().server != origin {
 			t.Fatalf("sends %v: one fetch", h.sends)
 		}
@@ -176,7 +176,7 @@
 		if len(h.sends) != 3 {
 			t.Fatalf("sends %v: the store is not back", h.sends)
 		}
-		b.spare = 0 // a store is never the one that is tried again here
+		b.retryBudget = 0 // a store is never the one that is tried again here
 		b.Outcome(100012, Outcome{ID: 9, Server: ids[0], Status: stored, Latency: 2, Final: stored == OK, Load: NoLoad})
 		after := h.sends[3:]
 		switch {
@@ -189,23 +189,23 @@
 }
 
 // A store pays for no further attempts, and counts for no tenant.
-func TestStoresPayForNothing(t *testing.T) {
-	b, _, ids, _ := asideOf(t)
-	b.spare = 0
+func TestStoresAddNoRetryBudget(t *testing.T) {
+	b, _, ids, _ := newAside(t)
+	b.retryBudget = 0
 	for id := range uint32(20) {
 		b.Request(100001, Request{ID: id + 1, Class: "once", Tenant: "t", Key: uint64(id), HasKey: true, Left: 250, Write: true, Owners: ids[:1], Stores: true})
 	}
-	if b.spare != 0 || b.arrivals.v != 0 {
-		t.Errorf("%v spare, %v arrivals", b.spare, b.arrivals.v)
+	if b.retryBudget != 0 || b.arrivals.value != 0 {
+		t.Errorf("%v spare, %v arrivals", b.retryBudget, b.arrivals.value)
 	}
 }
 
 // Readers of what the origin has not don't wait for each other, for a second from when it said so.
-func TestNoneThere(t *testing.T) {
-	b, h, ids, origin := asideOf(t)
+func TestKeyAbsentAtOrigin(t *testing.T) {
+	b, h, ids, origin := newAside(t)
 	miss := func(now float64, id uint32) {
-		askOf(b, now, id, "read", false, ids[0])
-		b.Outcome(now, Outcome{ID: id, Server: ids[0], Status: Miss, Note: 2, Latency: 1, Load: NoLoad})
+		askOwners(b, now, id, "read", false, ids[0])
+		b.Outcome(now, Outcome{ID: id, Server: ids[0], Status: Miss, CacheResult: 2, Latency: 1, Load: NoLoad})
 	}
 	fetches := func() (n int) {
 		for _, s := range h.sends {
@@ -220,7 +220,7 @@
 	if fetches() != 1 {
 		t.Fatalf("sends %v: one fetch", h.sends)
 	}
-	b.Outcome(100010, Outcome{ID: 1, Attempt: 1, Server: origin, Status: OK, Note: 4, Latency: 8, Final: true, Load: NoLoad})
+	b.Outcome(100010, Outcome{ID: 1, Attempt: 1, Server: origin, Status: OK, CacheResult: 4, Latency: 8, Final: true, Load: NoLoad})
 	miss(100020, 3)
 	miss(100021, 4)
 	if n := fetches(); n != 4 {
--- a/decide/queue_test.go
+++ b/decide/queue_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// tierOf is one router of a tier of 300, over 60 servers that report a utilisation, after as many light and heavy reads that were answered
+// newSparseRouter is one router of a tier of 300, over 60 servers that report a utilisation, after as many light and heavy reads that were answered
 // without any wait. Each server is asked every few seconds.
-func tierOf(t *testing.T, util float64, reads int) (*Balancer, *fakeHost, float64) {
+func newSparseRouter(t *testing.T, util float64, reads int) (*Balancer, *fakeHost, float64) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Routers, cfg.Aside, cfg.OriginKind = 300, true, "origin"
@@ -19,7 +19,7 @@
 		b.Request(now, Request{ID: id, Class: "dear", Key: uint64(id), HasKey: true, Left: 600, Hint: hint})
 		for _, s := range h.sends {
 			latency := 40 + hint
-			b.Outcome(now+latency, Outcome{ID: s.id, Server: s.server, Status: OK, Note: 1, Latency: latency,
+			b.Outcome(now+latency, Outcome{ID: s.id, Server: s.server, Status: OK, CacheResult: 1, Latency: latency,
 				Load: Load{QPS: 20 + float64(id%7)/100, Util: util, EPS: -1, Inflight: -1, Latency: -1}})
 		}
 		h.sends = nil
@@ -28,8 +28,8 @@
 	return b, h, now
 }
 
-// refusals is how many of as many reads are refused at their arrival.
-func refusals(b *Balancer, h *fakeHost, now float64, reads int) (refused int) {
+// countRefused is how many of as many reads are refused at their arrival.
+func countRefused(b *Balancer, h *fakeHost, now float64, reads int) (refused int) {
 	before := len(h.refused)
 	for i := range uint32(reads) {
 		b.Request(now, Request{ID: 1e6 + i, Class: "read", Key: uint64(7000 + i), HasKey: true, Left: 600, Hint: 50})
@@ -39,12 +39,12 @@
 
 // A light read's latency for each unit of its work says little of a queue: most of it is no work. Weighed like any other it made every third
 // request look as if it would wait for several hundred ms, with no queue anywhere.
-func TestLightReadsAreNoSignOfAQueue(t *testing.T) {
-	b, h, now := tierOf(t, 0.3, 200)
-	if guess := b.jam.v - b.jam.floor; guess > 80 { // 256 before
+func TestLightReadsAreNotTakenForAQueue(t *testing.T) {
+	b, h, now := newSparseRouter(t, 0.3, 200)
+	if guess := b.fleetLatency.value - b.fleetLatency.floor; guess > 80 { // 256 before
 		t.Errorf("a guessed wait of %.0f ms, where nothing waits", guess)
 	}
-	if n := refusals(b, h, now+1, 30); n > 0 {
+	if n := countRefused(b, h, now+1, 30); n > 0 {
 		t.Errorf("%d of 30 refused", n)
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -12,7 +12,7 @@
 
 // TestEveryOutcomeAndEffect drives one request of each effect through each outcome and checks what may follow.
 func TestEveryOutcomeAndEffect(t *testing.T) {
-	all := []Status{Failed, QueueFull, TimedOut, ConnectError, Reset, Canceled, Ignored, Spoilt}
+	all := []Status{Failed, QueueFull, TimedOut, ConnectError, Reset, Canceled, Ignored, InvalidAnswer}
 	for _, class := range []string{"read", "keyed", "zoned", "once"} {
 		for _, st := range all {
 			t.Run(fmt.Sprint(class, "/", st), func(t *testing.T) {
@@ -38,7 +38,7 @@
 						t.Error("no further attempt though one is allowed")
 					}
 				}
-				if again && (h.last().server == first.server) != (st == Spoilt) { // spoilt: the others lack the key
+				if again && (h.last().server == first.server) != (st == InvalidAnswer) { // spoilt: the others lack the key
 					t.Error("sent again to the server that just failed, or a spoilt answer's to another")
 				}
 			})
@@ -81,25 +81,25 @@
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	s := h.last().server
-	ok := Outcome{ID: 1, Server: s, Status: OK, Latency: 40, Final: true, Note: 1, Load: NoLoad}
+	ok := Outcome{ID: 1, Server: s, Status: OK, Latency: 40, Final: true, CacheResult: 1, Load: NoLoad}
 	b.Outcome(100050, ok)
 	b.Outcome(100051, ok)
 	b.Outcome(100052, Outcome{ID: 77, Attempt: 3, Server: 5, Status: Failed, Load: NoLoad})
 	b.Outcome(100053, Outcome{ID: 1, Attempt: -1, Server: s, Status: Failed, Load: NoLoad})
-	b.Gone(100054, 1)
-	b.Gone(100055, 78)
-	b.Started(100056, 79)
+	b.ClientGone(100054, 1)
+	b.ClientGone(100055, 78)
+	b.StreamStarted(100056, 79)
 	b.Timer(100057, 80<<8|1)
-	b.Probed(100058, 81, OK, NoLoad)
-	if len(h.sends) != 1 || h.answers(1) != 0 || b.servers[s].out != 0 || len(b.reqs) != 0 {
-		t.Errorf("sends %v, answers %d, out %d, held %d", h.sends, h.answers(1), b.servers[s].out, len(b.reqs))
+	b.ProbeResult(100058, 81, OK, NoLoad)
+	if len(h.sends) != 1 || h.answers(1) != 0 || b.servers[s].inFlight != 0 || len(b.requests) != 0 {
+		t.Errorf("sends %v, answers %d, out %d, held %d", h.sends, h.answers(1), b.servers[s].inFlight, len(b.requests))
 	}
 }
 
 func TestNothingNewToDrainingOrGone(t *testing.T) {
 	es := fleet(4)
 	b, h := start(t, testConfig(), es)
-	es[0].State, es[1].State = Draining, Gone
+	es[0].State, es[1].State = Draining, Removed
 	b.Servers(100005, Changes, es[:2])
 	for i := range uint32(300) {
 		now := 100010 + float64(i)
@@ -140,11 +140,11 @@
 // origin stops there is nothing else. A search with the model found eight such days.
 func TestColdServerIsSparedByEveryRouterAlike(t *testing.T) {
 	for name, told := range map[string]float64{"reports as they are": 1, "reports amid cheap misses": 5} {
-		t.Run(name, func(t *testing.T) { spared(t, told) })
+		t.Run(name, func(t *testing.T) { checkColdServerBudget(t, told) })
 	}
 }
 
-func spared(t *testing.T, told float64) {
+func checkColdServerBudget(t *testing.T, told float64) {
 	es := fleet(3)
 	cfg := testConfig()
 	es[0].Started = 99500
@@ -153,9 +153,9 @@
 		cfg.Me = r
 		b, h := start(t, cfg, es)
 		for _, e := range es {
-			b.servers[e.ID].cap.see(b.now, capacity, 1)
+			b.servers[e.ID].capacity.update(b.now, capacity, 1)
 			for range 20 {
-				b.servers[e.ID].cap.see(b.now, told*capacity, 0.2)
+				b.servers[e.ID].capacity.update(b.now, told*capacity, 0.2)
 			}
 		}
 		b.solve()
@@ -239,7 +239,7 @@
 			legs = kept
 			for ; seen < len(h.sends); seen++ {
 				s := h.sends[seen]
-				st := []Status{OK, OK, Failed, QueueFull, TimedOut, ConnectError, Reset, Miss, Spoilt}[rng.IntN(9)]
+				st := []Status{OK, OK, Failed, QueueFull, TimedOut, ConnectError, Reset, Miss, InvalidAnswer}[rng.IntN(9)]
 				legs = append(legs, leg{now + 300*rng.Float64(),
 					Outcome{ID: s.id, Attempt: tries[s.id], Server: s.server, Status: st, Latency: 20, Load: NoLoad}})
 				tries[s.id]++
@@ -254,8 +254,8 @@
 				t.Fatalf("seed %d: request %d has %d answers", seed, id, n)
 			}
 		}
-		if len(b.reqs) != 0 || len(b.held) != 0 {
-			t.Errorf("seed %d: %d requests and %d held are not forgotten", seed, len(b.reqs), len(b.held))
+		if len(b.requests) != 0 || len(b.waiting) != 0 {
+			t.Errorf("seed %d: %d requests and %d held are not forgotten", seed, len(b.requests), len(b.waiting))
 		}
 	}
 }
@@ -268,7 +268,7 @@
 	for i, l := range []Load{NoLoad, {}, {QPS: 5}, {Util: 5}, {QPS: inf, Util: 0.5}, {QPS: 5, Util: inf - inf},
 		{QPS: 1e8, Util: 1e-9}, {QPS: 1e-9, Util: 1e8}, {QPS: -3, Util: 0.5}} {
 		for j, e := range fleet(4) {
-			b.Probed(100010+float64(i), e.ID, OK, Load{l.QPS + float64(j), l.EPS, l.Util, l.Inflight, l.Latency})
+			b.ProbeResult(100010+float64(i), e.ID, OK, Load{l.QPS + float64(j), l.EPS, l.Util, l.Inflight, l.Latency})
 		}
 		for r := range uint32(40) {
 			id := uint32(i)*100 + r
@@ -276,13 +276,13 @@
 			b.Outcome(100010+float64(i), Outcome{ID: id, Server: h.last().server, Status: OK, Latency: 10, Final: true, Load: l})
 		}
 		b.solve()
-		for _, s := range b.order {
-			if s.n < 1 || s.n > 256 || s.load < 0 || s.load != s.load || s.load > 1e12 {
-				t.Errorf("report %v: n %d, load %v", l, s.n, s.load)
+		for _, s := range b.serverList {
+			if s.channels < 1 || s.channels > 256 || s.modelLoad < 0 || s.modelLoad != s.modelLoad || s.modelLoad > 1e12 {
+				t.Errorf("report %v: n %d, load %v", l, s.channels, s.modelLoad)
 			}
 		}
 		for _, k := range b.keyList {
-			for _, p := range k.p {
+			for _, p := range k.splitShares {
 				if p != p || p < 0 || p > 1+1e-9 {
 					t.Errorf("report %v: share %v", l, p)
 				}
@@ -321,39 +321,39 @@
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
 	b, _ := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
-	was := b.fetches
+	was := b.fetchLimit
 	for i := range 20 {
 		b.now += 1000
-		r := &request{class: &Class{Aim: 300}, key: &flow{}}
-		b.fetched(r, OK, 100)
-		b.fetched(r, TimedOut, 40)
+		r := &request{class: &Class{Aim: 300}, key: &keyTraffic{}}
+		b.adjustFetchLimit(r, OK, 100)
+		b.adjustFetchLimit(r, TimedOut, 40)
 		if i == 0 {
-			was = b.fetches
+			was = b.fetchLimit
 		}
 	}
-	if b.fetches < was {
-		t.Errorf("bound fell from %v to %v", was, b.fetches)
+	if b.fetchLimit < was {
+		t.Errorf("bound fell from %v to %v", was, b.fetchLimit)
 	}
 	for range 12 {
 		b.now += 1000
-		b.fetched(&request{class: &Class{Aim: 300}, key: &flow{}}, TimedOut, 900)
+		b.adjustFetchLimit(&request{class: &Class{Aim: 300}, key: &keyTraffic{}}, TimedOut, 900)
 	}
-	if b.fetches > was/2 {
-		t.Errorf("bound %v though every fetch is slow", b.fetches)
+	if b.fetchLimit > was/2 {
+		t.Errorf("bound %v though every fetch is slow", b.fetchLimit)
 	}
 }
 
 // In an overload that lasted, the floor rose to what was normal by then, and writes came back 100 ms late all day.
 func TestRisenFloorDoesNotExcuseUselessFetches(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(2))
-	was := b.fetches
-	r := &request{class: &Class{Aim: 300}, key: &flow{}}
+	was := b.fetchLimit
+	r := &request{class: &Class{Aim: 300}, key: &keyTraffic{}}
 	for range 200 {
 		b.now += 100
-		b.fetched(r, OK, 290)
+		b.adjustFetchLimit(r, OK, 290)
 	}
-	if b.fetches > was/2 {
-		t.Errorf("bound %v: fetches of 290 ms for an aim of 300 were taken for quick", b.fetches)
+	if b.fetchLimit > was/2 {
+		t.Errorf("bound %v: fetches of 290 ms for an aim of 300 were taken for quick", b.fetchLimit)
 	}
 }
 
@@ -364,10 +364,10 @@
 	ask(b, 100010, 1, "read", 5)
 	home := h.last().server
 	ask(b, 100011, 2, "read", 5)
-	b.Outcome(100020, Outcome{ID: 1, Server: home, Status: Miss, Latency: 9, Note: 2, Load: NoLoad})
-	b.Outcome(100021, Outcome{ID: 2, Server: home, Status: Miss, Latency: 9, Note: 2, Load: NoLoad})
+	b.Outcome(100020, Outcome{ID: 1, Server: home, Status: Miss, Latency: 9, CacheResult: 2, Load: NoLoad})
+	b.Outcome(100021, Outcome{ID: 2, Server: home, Status: Miss, Latency: 9, CacheResult: 2, Load: NoLoad})
 	ask(b, 100022, 3, "read", 5)
-	if len(h.sends) != 3 || h.last() != (sent{1, 77}) {
+	if len(h.sends) != 3 || h.last() != (sentAttempt{1, 77}) {
 		t.Fatalf("sends %v, want two at the home and one fetch", h.sends)
 	}
 	b.Outcome(100060, Outcome{ID: 1, Attempt: 1, Server: 77, Status: OK, Latency: 40, Final: true, Load: NoLoad})
@@ -383,29 +383,29 @@
 		now, was := 100010+300*float64(i), len(h.sends)
 		ask(b, now, i+1, "read", uint64(i))
 		if len(h.sends) > was {
-			b.Outcome(now+20, Outcome{ID: i + 1, Server: h.last().server, Status: Failed, Latency: 20, Note: 2, Load: NoLoad})
+			b.Outcome(now+20, Outcome{ID: i + 1, Server: h.last().server, Status: Failed, Latency: 20, CacheResult: 2, Load: NoLoad})
 		}
 		if len(h.sends) > was+1 {
 			t.Fatalf("request %d was sent again", i+1)
 		}
 	}
-	if n := len(h.sends); n < 6 || n > 20 || b.fetches > 0.5 || ejected(b.order) > 0 {
-		t.Errorf("%d sends for 40 requests, bound %v, %d ejected", n, b.fetches, ejected(b.order))
+	if n := len(h.sends); n < 6 || n > 20 || b.fetchLimit > 0.5 || countEjected(b.serverList) > 0 {
+		t.Errorf("%d sends for 40 requests, bound %v, %d ejected", n, b.fetchLimit, countEjected(b.serverList))
 	}
 	n := len(h.sends)
 	for i := range uint32(40) {
 		ask(b, 120000, 100+i, "once", uint64(100+i))
 	}
 	if out := len(h.sends) - n; out != 1 {
-		t.Errorf("%d out at a bound of %v", out, b.fetches)
+		t.Errorf("%d out at a bound of %v", out, b.fetchLimit)
 	}
 	for i := range uint32(60) { // answers bring the bound back
-		if r := b.reqs[h.last().id]; r != nil && r.out > 0 {
-			b.Outcome(120020+20*float64(i), Outcome{ID: r.ID, Server: h.last().server, Latency: 20, Note: 2, Final: true, Load: NoLoad})
+		if r := b.requests[h.last().id]; r != nil && r.inFlight > 0 {
+			b.Outcome(120020+20*float64(i), Outcome{ID: r.ID, Server: h.last().server, Latency: 20, CacheResult: 2, Final: true, Load: NoLoad})
 		}
 	}
-	if b.fetches < 2 {
-		t.Errorf("bound %v after the origin came back", b.fetches)
+	if b.fetchLimit < 2 {
+		t.Errorf("bound %v after the origin came back", b.fetchLimit)
 	}
 }
 
@@ -413,12 +413,12 @@
 func TestKeyWhoseFetchFailedTakesAPlace(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
-	b.Outcome(100041, Outcome{ID: 1, Server: h.last().server, Latency: 40, Note: 2, Final: true, Load: NoLoad})
-	if ask(b, 101000, 2, "read", 5); b.reqs[2].asks {
+	b.Outcome(100041, Outcome{ID: 1, Server: h.last().server, Latency: 40, CacheResult: 2, Final: true, Load: NoLoad})
+	if ask(b, 101000, 2, "read", 5); b.requests[2].mayFetch {
 		t.Error("a key stored a second ago was taken for a miss")
 	}
-	b.Outcome(101200, Outcome{ID: 2, Server: h.last().server, Status: Failed, Latency: 200, Note: 2, Load: NoLoad})
-	if ask(b, 102000, 3, "read", 5); !b.reqs[3].asks {
+	b.Outcome(101200, Outcome{ID: 2, Server: h.last().server, Status: Failed, Latency: 200, CacheResult: 2, Load: NoLoad})
+	if ask(b, 102000, 3, "read", 5); !b.requests[3].mayFetch {
 		t.Error("a key whose fetch failed was taken for stored")
 	}
 }
@@ -426,9 +426,9 @@
 // An overload raised the floor of servers that then idled: refused for it, no request could correct what was seen.
 func TestFloorSeenFades(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	for _, s := range b.order {
-		s.cap.see(b.now, 100, 1)
-		s.lat.see(b.now, 250, 1)
+	for _, s := range b.serverList {
+		s.capacity.update(b.now, 100, 1)
+		s.latency.update(b.now, 250, 1)
 	}
 	ask(b, 100001, 1, "read", 5)
 	ask(b, 112001, 2, "read", 6)
@@ -442,7 +442,7 @@
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
 	b, h := start(t, cfg, append(fleet(6), Entry{ID: 77, Kind: "origin"}))
-	b.x.see(100)
+	b.latencies.update(100)
 	for i := range uint32(600) {
 		ask(b, 100001, i+1, "dear", uint64(i))
 	}
@@ -456,16 +456,16 @@
 // Requests that waited for fetches timed out, healthy servers were ejected for it, and their keys became misses.
 func TestTimeOutWhileOthersAreAnsweredIsNoSign(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
-	s := b.order[0]
+	s := b.serverList[0]
 	for range 20 {
-		s.reply = b.now
-		b.observe(s, TimedOut, b.now-400)
+		s.lastReply = b.now
+		b.observeHealth(s, TimedOut, b.now-400)
 	}
-	if s.accept < 1 || s.ejected {
-		t.Errorf("accept %.2f, ejected %v: a server that answers others was blamed", s.accept, s.ejected)
+	if s.acceptShare < 1 || s.ejected {
+		t.Errorf("accept %.2f, ejected %v: a server that answers others was blamed", s.acceptShare, s.ejected)
 	}
 	for range 20 {
-		b.observe(s, TimedOut, b.now+1)
+		b.observeHealth(s, TimedOut, b.now+1)
 	}
 	if !s.ejected {
 		t.Error("a silent server is still in use")
@@ -477,15 +477,15 @@
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
 	s := b.servers[h.last().server]
-	was, x := s.lat, b.x
-	b.Outcome(100301, Outcome{ID: 1, Server: s.ID, Status: OK, Latency: 300, Note: 2, Final: true, Load: NoLoad})
-	if s.lat != was || b.x != x {
-		t.Errorf("latency %v, moments %v: changed by a fetch", s.lat, b.x)
+	was, x := s.latency, b.latencies
+	b.Outcome(100301, Outcome{ID: 1, Server: s.ID, Status: OK, Latency: 300, CacheResult: 2, Final: true, Load: NoLoad})
+	if s.latency != was || b.latencies != x {
+		t.Errorf("latency %v, moments %v: changed by a fetch", s.latency, b.latencies)
 	}
 	ask(b, 100302, 2, "read", 5)
-	b.Outcome(100342, Outcome{ID: 2, Server: s.ID, Status: OK, Latency: 40, Note: 1, Final: true, Load: NoLoad})
-	if s.lat.v != 40 || b.x.mean != 40 {
-		t.Errorf("latency %v, mean %v after a hit of 40 ms", s.lat.v, b.x.mean)
+	b.Outcome(100342, Outcome{ID: 2, Server: s.ID, Status: OK, Latency: 40, CacheResult: 1, Final: true, Load: NoLoad})
+	if s.latency.value != 40 || b.latencies.mean != 40 {
+		t.Errorf("latency %v, mean %v after a hit of 40 ms", s.latency.value, b.latencies.mean)
 	}
 }
 
@@ -502,12 +502,12 @@
 	if h.watches != 1 {
 		t.Fatalf("%d calls after the start, want 1", h.watches)
 	}
-	b.Servers(100350, Refused, nil)
+	b.Servers(100350, ListFailed, nil)
 	tickTo(100400, 102000)
 	if h.watches != 2 {
 		t.Fatalf("%d calls after a refusal, want 2", h.watches)
 	}
-	if len(b.order) != 3 {
+	if len(b.serverList) != 3 {
 		t.Error("a refusal lost the list")
 	}
 	b.Servers(102050, Changes, nil)
@@ -519,36 +519,36 @@
 
 func TestSilentServerIsEjectedAndTakenBackSlowly(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
-	s := b.order[0]
-	for range maxStrike {
-		b.observe(s, TimedOut, b.now+1)
+	s := b.serverList[0]
+	for range maxConsecutiveFailures {
+		b.observeHealth(s, TimedOut, b.now+1)
 	}
-	if !s.ejected || b.usable(s, read(b, b.flow(Request{Key: 1, HasKey: true}))) {
+	if !s.ejected || b.usable(s, newRead(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
 		t.Fatal("three signs of silence did not take it out")
 	}
-	for _, o := range b.order[1:3] {
+	for _, o := range b.serverList[1:3] {
 		o.ejected = true
 	}
-	o := b.order[3]
-	for range 2 * maxStrike {
-		b.observe(o, TimedOut, b.now+1)
+	o := b.serverList[3]
+	for range 2 * maxConsecutiveFailures {
+		b.observeHealth(o, TimedOut, b.now+1)
 	}
 	if o.ejected {
 		t.Error("silence of half the fleet was not taken for our own trouble")
 	}
-	b.now = s.trial + 1
-	if !b.usable(s, read(b, b.flow(Request{Key: 1, HasKey: true}))) {
+	b.now = s.trialAt + 1
+	if !b.usable(s, newRead(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
 		t.Fatal("no trial after the pause")
 	}
-	for _, o := range b.order {
-		o.cap.see(b.now, 100, 1)
+	for _, o := range b.serverList {
+		o.capacity.update(b.now, 100, 1)
 	}
-	b.x.see(100)
-	b.observe(s, OK, b.now)
-	if b.model(); s.ejected || s.n > 6 || b.order[5].n != 10 {
-		t.Errorf("ejected %v, %d channels where others have %d: want it back with about half", s.ejected, s.n, b.order[5].n)
+	b.latencies.update(100)
+	b.observeHealth(s, OK, b.now)
+	if b.buildModel(); s.ejected || s.channels > 6 || b.serverList[5].channels != 10 {
+		t.Errorf("ejected %v, %d channels where others have %d: want it back with about half", s.ejected, s.channels, b.serverList[5].channels)
 	}
-	if b.observe(s, Failed, b.now); !s.ejected {
+	if b.observeHealth(s, Failed, b.now); !s.ejected {
 		t.Error("one failure after the return did not take it out again")
 	}
 }
@@ -585,19 +585,19 @@
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
 	b, _ := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
-	b.fetches, b.olat, b.origin.out = 40, level{v: 80, floor: 80, at: b.now}, 12
-	r := &request{class: &Class{Aim: 300}, key: &flow{}}
+	b.fetchLimit, b.fetchLatency, b.origin.inFlight = 40, movingAverage{value: 80, floor: 80, updated: b.now}, 12
+	r := &request{class: &Class{Aim: 300}, key: &keyTraffic{}}
 	for range 20 { // 160 ms are less than 2.5 times the floor, but over half of the aim
 		b.now += 10
-		b.fetched(r, OK, 160)
+		b.adjustFetchLimit(r, OK, 160)
 	}
-	if b.fetches >= 12 {
-		t.Errorf("a bound of %v with 12 out, half of the aim late", b.fetches)
+	if b.fetchLimit >= 12 {
+		t.Errorf("a bound of %v with 12 out, half of the aim late", b.fetchLimit)
 	}
-	b.fetches, b.olat, b.origin.out = 40, level{v: 80, floor: 80, at: b.now}, 2
+	b.fetchLimit, b.fetchLatency, b.origin.inFlight = 40, movingAverage{value: 80, floor: 80, updated: b.now}, 2
 	b.now += 1000
-	if b.fetched(r, Reset, 400); b.fetches < 30 { // a lost answer tells of no queue
-		t.Errorf("a bound of %v after one reset", b.fetches)
+	if b.adjustFetchLimit(r, Reset, 400); b.fetchLimit < 30 { // a lost answer tells of no queue
+		t.Errorf("a bound of %v after one reset", b.fetchLimit)
 	}
 }
 
@@ -607,23 +607,23 @@
 		cfg := testConfig()
 		cfg.Aside, cfg.OriginKind, cfg.Routers = true, "origin", routers
 		b, h := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
-		r := &request{class: &Class{Aim: 300}, key: &flow{}}
-		b.fetched(r, OK, 30)
+		r := &request{class: &Class{Aim: 300}, key: &keyTraffic{}}
+		b.adjustFetchLimit(r, OK, 30)
 		for range 60 {
 			b.now += 1000
-			b.fetched(r, TimedOut, 900)
+			b.adjustFetchLimit(r, TimedOut, 900)
 		}
-		if all := b.fetches * float64(routers); all > 10 {
+		if all := b.fetchLimit * float64(routers); all > 10 {
 			t.Errorf("%d routers: a bound of %v in all though every fetch is late", routers, all)
 		}
-		b.fetches, b.olat = 0.1, level{v: 100, floor: 100}
+		b.fetchLimit, b.fetchLatency = 0.1, movingAverage{value: 100, floor: 100}
 		n := len(h.sends)
 		for i := range uint32(100) { // in 10 s
 			b.now += 100
 			b.Request(b.now, Request{ID: i + 1, Class: "once", Key: uint64(i), HasKey: true, Write: true, Left: 600})
-			if r := b.reqs[h.last().id]; r != nil && r.out > 0 {
+			if r := b.requests[h.last().id]; r != nil && r.inFlight > 0 {
 				b.Outcome(b.now, Outcome{ID: r.ID, Server: 77, Status: OK, Latency: 100, Final: true, Load: NoLoad})
-				b.fetches = 0.1
+				b.fetchLimit = 0.1
 			}
 		}
 		if sent := len(h.sends) - n; routers == 300 && (sent < 8 || sent > 20) { // of a few, an answer lifts it over one
@@ -645,14 +645,14 @@
 		t.Fatalf("closed %v though no connect failed", h.closes)
 	}
 	for range 5 { // dead ones of a list that is old, which never answer
-		b.observe(b.order[5], ConnectError, b.now)
+		b.observeHealth(b.serverList[5], ConnectError, b.now)
 	}
-	if b.keep != cfg.ConnIdle {
-		t.Errorf("kept for %v after a dead server refused, want %v", b.keep, cfg.ConnIdle)
+	if b.connKeep != cfg.ConnIdle {
+		t.Errorf("kept for %v after a dead server refused, want %v", b.connKeep, cfg.ConnIdle)
 	}
-	for _, s := range b.order[:5] { // full ones refuse and answer
-		b.observe(s, ConnectError, b.now)
-		b.observe(s, OK, b.now)
+	for _, s := range b.serverList[:5] { // full ones refuse and answer
+		b.observeHealth(s, ConnectError, b.now)
+		b.observeHealth(s, OK, b.now)
 	}
 	b.Timer(105100, tickToken)
 	b.Timer(105200, tickToken)
@@ -660,10 +660,10 @@
 		t.Errorf("closed %v, want once the server used last 5 s ago, %d", h.closes, first)
 	}
 	for range 1000 {
-		b.observe(b.order[0], OK, b.now)
+		b.observeHealth(b.serverList[0], OK, b.now)
 	}
-	if b.keep != cfg.ConnIdle {
-		t.Errorf("kept for %v after a thousand answers, want %v", b.keep, cfg.ConnIdle)
+	if b.connKeep != cfg.ConnIdle {
+		t.Errorf("kept for %v after a thousand answers, want %v", b.connKeep, cfg.ConnIdle)
 	}
 }
 
@@ -684,10 +684,10 @@
 			}
 			b.Outcome(now+took, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: took, Final: true, Load: NoLoad})
 		}
-		s := b.order[0]
-		s.out, s.lat = 0, level{v: 40, floor: 40, at: b.now}
-		s.cap.v = 100
-		return b.waitAt(s)
+		s := b.serverList[0]
+		s.inFlight, s.latency = 0, movingAverage{value: 40, floor: 40, updated: b.now}
+		s.capacity.value = 100
+		return b.expectedWait(s)
 	}
 	if few, many := wait(8), wait(400); few < 50 || many > 20 {
 		t.Errorf("wait %v where each server is seldom asked, %v where often: want a long and a short one", few, many)
@@ -706,7 +706,7 @@
 		for i := range uint32(40 * uint32(perSecond)) {
 			now := b.now + rng.ExpFloat64()*1000/float64(perSecond)
 			b.Request(now, Request{ID: i + 1, Class: "read", Tenant: "x", Key: uint64(i), HasKey: true, Left: 600})
-			if r := b.reqs[i+1]; r != nil && r.worth < 1 {
+			if r := b.requests[i+1]; r != nil && r.worth < 1 {
 				over++
 			}
 			b.Outcome(now, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 1, Final: true, Load: NoLoad})
@@ -722,22 +722,22 @@
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	s := b.servers[h.last().server]
-	s.qps = 40
-	b.Outcome(100050, Outcome{ID: 1, Server: s.ID, Status: OK, Latency: 40, Final: true, Note: 1, Load: NoLoad})
-	idle := b.waitAt(s)
+	s.reportedRate = 40
+	b.Outcome(100050, Outcome{ID: 1, Server: s.ID, Status: OK, Latency: 40, Final: true, CacheResult: 1, Load: NoLoad})
+	idle := b.expectedWait(s)
 	for i := range uint32(5) {
 		id := i + 2
 		ask(b, 100060, id, "read", 9)
 		b.Outcome(100060+300, Outcome{ID: id, Server: s.ID, Status: TimedOut, Latency: 300, Load: NoLoad})
 	}
-	if jammed := b.waitAt(s); jammed < idle+10 {
+	if jammed := b.expectedWait(s); jammed < idle+10 {
 		t.Errorf("wait %v after five time-outs, %v before", jammed, idle)
 	}
-	was := s.lat.v
+	was := s.latency.value
 	ask(b, 100400, 10, "read", 9)
 	b.Outcome(100405, Outcome{ID: 10, Server: s.ID, Status: TimedOut, Latency: 5, Load: NoLoad})
-	if s.lat.v < was {
-		t.Errorf("a time-out of 5 ms lowered the latency from %v to %v", was, s.lat.v)
+	if s.latency.value < was {
+		t.Errorf("a time-out of 5 ms lowered the latency from %v to %v", was, s.latency.value)
 	}
 }
 
@@ -755,7 +755,7 @@
 		case !sent:
 			refused++
 		case i < 20:
-			b.Outcome(now+40, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 40, Final: true, Note: 1, Load: NoLoad})
+			b.Outcome(now+40, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 40, Final: true, CacheResult: 1, Load: NoLoad})
 		default:
 			b.Outcome(now+600, Outcome{ID: i + 1, Server: h.last().server, Status: TimedOut, Latency: 600, Load: NoLoad})
 		}
@@ -771,15 +771,15 @@
 	cfg.Aside, cfg.OriginKind = true, "origin"
 	b, h := start(t, cfg, append(fleet(60), Entry{ID: 77, Kind: "origin"}))
 	ask(b, 100010, 1, "read", 1)
-	b.Outcome(100050, Outcome{ID: 1, Server: h.last().server, Status: OK, Latency: 40, Final: true, Note: 1, Load: NoLoad})
-	was := b.waitAt(b.order[0])
+	b.Outcome(100050, Outcome{ID: 1, Server: h.last().server, Status: OK, Latency: 40, Final: true, CacheResult: 1, Load: NoLoad})
+	was := b.expectedWait(b.serverList[0])
 	for i := range uint32(8) {
 		id, now := i+2, 101010+float64(300*i)
 		ask(b, now, id, "read", uint64(id))
-		b.servers[h.last().server].reply = 0
+		b.servers[h.last().server].lastReply = 0
 		b.Timer(now+200, uint64(id)<<8|1)
 	}
-	if wait := b.waitAt(b.order[0]); wait < was+30 {
+	if wait := b.expectedWait(b.serverList[0]); wait < was+30 {
 		t.Errorf("wait %v after eight stalls, %v before", wait, was)
 	}
 }
@@ -787,12 +787,12 @@
 // With all servers refusing and ejected, a busy router tried them as a last resort for each request, and each refused.
 func TestLastResortIsTakenToBeAsJammedAsTheFleet(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
-	s := b.order[0]
-	b.arrivals.add(b.now, keyTau, 2000)
-	b.jam = level{v: 400, floor: 40, at: b.now}
-	well := b.waitAt(s)
+	s := b.serverList[0]
+	b.arrivals.add(b.now, keyRateTau, 2000)
+	b.fleetLatency = movingAverage{value: 400, floor: 40, updated: b.now}
+	well := b.expectedWait(s)
 	s.ejected = true
-	if sick := b.waitAt(s); sick < 300 || well > 100 {
+	if sick := b.expectedWait(s); sick < 300 || well > 100 {
 		t.Errorf("wait %v at an ejected server, %v at another of a busy router", sick, well)
 	}
 }
@@ -801,16 +801,16 @@
 // sooner. One that spoils everything goes out all the same.
 func TestSpoiltAnswersAreNoSignOfADeadServer(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	keep := b.keep
+	keep := b.connKeep
 	for id := uint32(1); id <= 8; id++ {
 		now := 100000 + float64(id)*100
 		ask(b, now, id, "read", 9)
-		b.Outcome(now+10, Outcome{ID: id, Server: h.last().server, Status: Spoilt, Latency: 10, Load: NoLoad})
-		if s := b.servers[h.sends[0].server]; id == 1 && (s.ejected || s.strikes > 0 || b.keep != keep) {
-			t.Fatalf("after %d: ejected %v, strikes %d, connections kept for %v", id, s.ejected, s.strikes, b.keep)
+		b.Outcome(now+10, Outcome{ID: id, Server: h.last().server, Status: InvalidAnswer, Latency: 10, Load: NoLoad})
+		if s := b.servers[h.sends[0].server]; id == 1 && (s.ejected || s.consecutiveFailures > 0 || b.connKeep != keep) {
+			t.Fatalf("after %d: ejected %v, strikes %d, connections kept for %v", id, s.ejected, s.consecutiveFailures, b.connKeep)
 		}
 		for a := 1; h.answers(id) == 0; a++ {
-			b.Outcome(now+20, Outcome{ID: id, Attempt: a, Server: h.last().server, Status: Spoilt, Latency: 10, Load: NoLoad})
+			b.Outcome(now+20, Outcome{ID: id, Attempt: a, Server: h.last().server, Status: InvalidAnswer, Latency: 10, Load: NoLoad})
 		}
 	}
 	if s := b.servers[h.sends[0].server]; !s.ejected {
@@ -823,16 +823,16 @@
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
 	b, h := start(t, cfg, append(fleet(3), Entry{ID: 99, Kind: "origin"}))
-	fetches := b.fetches
+	fetches := b.fetchLimit
 	ask(b, 100010, 1, "read", 9)
 	home := h.last().server
 	b.Outcome(100020, Outcome{ID: 1, Server: home, Status: Miss, Latency: 10, Load: NoLoad})
 	if h.last().server != 99 {
 		t.Fatal("no fetch")
 	}
-	b.Outcome(100060, Outcome{ID: 1, Attempt: 1, Server: 99, Status: Spoilt, Latency: 40, Load: NoLoad})
-	if len(h.sends) != 3 || h.last().server != home || b.fetches < fetches || b.keys[9].fetch != nil {
-		t.Errorf("sends %v, bound on fetches %v", h.sends, b.fetches)
+	b.Outcome(100060, Outcome{ID: 1, Attempt: 1, Server: 99, Status: InvalidAnswer, Latency: 40, Load: NoLoad})
+	if len(h.sends) != 3 || h.last().server != home || b.fetchLimit < fetches || b.keys[9].fetch != nil {
+		t.Errorf("sends %v, bound on fetches %v", h.sends, b.fetchLimit)
 	}
 }
 
@@ -842,11 +842,11 @@
 	ask(b, 100010, 1, "read", 9)
 	home := b.servers[h.last().server]
 	b.Outcome(100015, Outcome{ID: 1, Server: home.ID, Status: OK, Latency: 5, Final: true, Load: NoLoad})
-	b.observe(home, Reset, 100020)
+	b.observeHealth(home, Reset, 100020)
 	if home.ejected { // a reset is one connection's end
 		t.Fatal("out after a reset")
 	}
-	b.observe(home, Reset, 100020)
+	b.observeHealth(home, Reset, 100020)
 	if !home.ejected {
 		t.Fatal("two resets do not take a server out")
 	}
@@ -857,7 +857,7 @@
 		s := h.last()
 		if s.server == home.ID && !tried {
 			tried = true
-			if now < home.trial {
+			if now < home.trialAt {
 				t.Errorf("tried before it was due")
 			}
 		}
@@ -875,12 +875,12 @@
 	rng := rand.New(rand.NewPCG(5, 5))
 	out := 0
 	for range 3000 {
-		for _, s := range b.order {
+		for _, s := range b.serverList {
 			st := OK
 			if rng.Float64() < 0.12 {
 				st = Reset
 			}
-			if b.observe(s, st, b.now); s.ejected {
+			if b.observeHealth(s, st, b.now); s.ejected {
 				out++
 			}
 		}
@@ -894,14 +894,14 @@
 		atLeast int
 		within  int
 	}{{"every second", func(i int) bool { return i%2 == 0 }, 3, 40}, {"dead", func(int) bool { return true }, 4, 10}} {
-		s := b.order[4]
+		s := b.serverList[4]
 		n := 0
-		for s.doubt, s.ejected = 0, false; !s.ejected && n < 1000; n++ {
+		for s.suspicion, s.ejected = 0, false; !s.ejected && n < 1000; n++ {
 			st := OK
 			if c.fails(n) {
 				st = Reset
 			}
-			b.observe(s, st, b.now)
+			b.observeHealth(s, st, b.now)
 		}
 		if n < c.atLeast || n > c.within {
 			t.Errorf("%s: out after %d outcomes, want %d to %d", c.name, n, c.atLeast, c.within)
@@ -912,24 +912,24 @@
 // What was out when a server was put out comes back failed and late: it was no trial, and the first pause stays short.
 func TestOldAttemptsAreNoFailedTrials(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
-	s := b.order[2]
+	s := b.serverList[2]
 	for range 2 {
-		b.observe(s, Reset, b.now)
+		b.observeHealth(s, Reset, b.now)
 	}
 	if !s.ejected {
 		t.Fatal("two resets do not take a server out of a quiet fleet")
 	}
-	trial := s.trial
+	trial := s.trialAt
 	for range 10 {
-		b.observe(s, Reset, b.now)
+		b.observeHealth(s, Reset, b.now)
 		b.eject(s, true)
 	}
-	if s.trial != trial || s.overdue != trial {
-		t.Errorf("trial due at %.0f (%.0f), at %.0f (%.0f) after what was sent before", trial, trial, s.trial, s.overdue)
+	if s.trialAt != trial || s.trialOverdue != trial {
+		t.Errorf("trial due at %.0f (%.0f), at %.0f (%.0f) after what was sent before", trial, trial, s.trialAt, s.trialOverdue)
 	}
 	b.now = trial + 1
-	if b.observe(s, Reset, b.now); s.trial <= trial+minPause {
-		t.Errorf("a failed trial is followed by another after %.0f ms", s.trial-trial)
+	if b.observeHealth(s, Reset, b.now); s.trialAt <= trial+minEjectionPause {
+		t.Errorf("a failed trial is followed by another after %.0f ms", s.trialAt-trial)
 	}
 }
 
@@ -953,8 +953,8 @@
 		if s == first {
 			continue
 		}
-		if s.lat.v > 30 {
-			t.Errorf("latency of a unit of work %.0f ms, want some 10", s.lat.v)
+		if s.latency.value > 30 {
+			t.Errorf("latency of a unit of work %.0f ms, want some 10", s.latency.value)
 		}
 		return
 	}
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// atSize is a Balancer of 1,000 servers and 10,000 tenants that has seen 100,000 keys, each often enough to be hot.
-func atSize(tb testing.TB) (*Balancer, *fakeHost, float64) {
+// newLarge is a Balancer of 1,000 servers and 10,000 tenants that has seen 100,000 keys, each often enough to be hot.
+func newLarge(tb testing.TB) (*Balancer, *fakeHost, float64) {
 	tb.Helper()
 	cfg := testConfig()
 	cfg.Alone, cfg.Copies = true, false
@@ -28,17 +28,17 @@
 	b.Servers(now, Full, es)
 	for i := range 300000 {
 		now += 0.002
-		askAt(b, h, now, uint32(i+1), uint64(i%100000), i)
+		serveOne(b, h, now, uint32(i+1), uint64(i%100000), i)
 	}
 	return b, h, now
 }
 
-// askAt makes one request and has it answered.
-func askAt(b *Balancer, h *fakeHost, now float64, id uint32, key uint64, n int) {
+// serveOne makes one request and has it answered.
+func serveOne(b *Balancer, h *fakeHost, now float64, id uint32, key uint64, n int) {
 	h.sends = h.sends[:0]
-	b.Request(now, Request{ID: id, Class: "read", Tenant: fmt.Sprint("tenant", n%10000), Key: mix(key), HasKey: true, Left: 600})
+	b.Request(now, Request{ID: id, Class: "read", Tenant: fmt.Sprint("tenant", n%10000), Key: mix64(key), HasKey: true, Left: 600})
 	if len(h.sends) == 1 {
-		b.Outcome(now+0.001, Outcome{ID: id, Server: h.sends[0].server, Status: OK, Latency: 2, Final: true, Note: 1, Load: Load{500, 0, 0.4, 3, 2}})
+		b.Outcome(now+0.001, Outcome{ID: id, Server: h.sends[0].server, Status: OK, Latency: 2, Final: true, CacheResult: 1, Load: Load{500, 0, 0.4, 3, 2}})
 	}
 	h.timers = h.timers[:0]
 }
@@ -49,7 +49,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	b, h, now := atSize(t)
+	b, h, now := newLarge(t)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 128<<20 {
@@ -70,22 +70,22 @@
 // BenchmarkAtSize gives the time of a request and its answer, and of a housekeeping in which all is solved anew: that stands
 // in the way of requests.
 func BenchmarkAtSize(b *testing.B) {
-	m, h, now := atSize(b)
+	m, h, now := newLarge(b)
 	b.Run("request", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
 			now += 0.002
-			askAt(m, h, now, uint32(1000000+i), uint64(i%100000), i)
+			serveOne(m, h, now, uint32(1000000+i), uint64(i%100000), i)
 		}
 	})
 	b.Run("solve", func(b *testing.B) {
 		var most time.Duration
 		for b.Loop() {
-			now += solveEvery
+			now += solveInterval
 			began := time.Now()
 			m.Timer(now, tickToken)
 			most = max(most, time.Since(began))
 			for i := range 1000 { // else the keys fade
-				askAt(m, h, now, uint32(2000000+i), uint64(i), i)
+				serveOne(m, h, now, uint32(2000000+i), uint64(i), i)
 			}
 		}
 		b.ReportMetric(float64(most.Microseconds())/1000, "most-ms")
@@ -94,14 +94,14 @@
 
 // In overload thousands wait for a place at the origin. What each event costs must not grow with their square, nor the count
 // of those that ask drift: it is that of the requests themselves.
-func TestManyThatWait(t *testing.T) {
+func TestManyWaitingRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.Copies = false
 	b, h := start(t, cfg, fleet(6))
 	now := 100000.0
 	count := func() (n int) {
-		for _, r := range b.reqs {
-			if r.asks && !r.closed {
+		for _, r := range b.requests {
+			if r.mayFetch && !r.finished {
 				n++
 			}
 		}
@@ -111,22 +111,22 @@
 	for i := range 20000 {
 		now += 0.02
 		id := uint32(i + 1)
-		b.Request(now, Request{ID: id, Class: "read", Key: mix(uint64(i)), HasKey: true, Left: 600})
+		b.Request(now, Request{ID: id, Class: "read", Key: mix64(uint64(i)), HasKey: true, Left: 600})
 		switch i % 50 {
 		case 7:
-			b.Gone(now, id-3)
+			b.ClientGone(now, id-3)
 		case 11: // one that is out comes back, whichever that is
 			s := h.sends[len(h.sends)-1]
-			b.Outcome(now, Outcome{ID: s.id, Server: s.server, Status: []Status{OK, TimedOut, Failed}[i%3], Latency: 1, Note: 2, Load: NoLoad})
+			b.Outcome(now, Outcome{ID: s.id, Server: s.server, Status: []Status{OK, TimedOut, Failed}[i%3], Latency: 1, CacheResult: 2, Load: NoLoad})
 		}
 		if i%500 == 0 {
-			if n := count(); n != b.asking {
-				t.Fatalf("event %d: %d ask, %d are counted", i, n, b.asking)
+			if n := count(); n != b.mayFetchCount {
+				t.Fatalf("event %d: %d ask, %d are counted", i, n, b.mayFetchCount)
 			}
 		}
 	}
-	if len(b.held) < 5000 {
-		t.Errorf("%d wait: the test shows nothing", len(b.held))
+	if len(b.waiting) < 5000 {
+		t.Errorf("%d wait: the test shows nothing", len(b.waiting))
 	}
 	if took := time.Since(began); took > 20*time.Second { // it was minutes
 		t.Errorf("%v for 20,000 requests", took)
--- a/decide/state.go
+++ b/decide/state.go
@@ -15,96 +15,96 @@
 
 // Balancer decides for one router.
 type Balancer struct {
-	cfg        Config
-	tier       Tier    // what is known of the routers that share
-	told       bool    // routers tell each other who there is
-	line       Line    // what they serve while they can't serve all,
-	lineAt     float64 // and when that was told
-	demand     Demand  // but for its room
-	room       float64 // what all servers may be given a second by all routers
-	idle       rate    // work that this router's part of that has left over
-	processes  int     // of this router that decide at once
-	parts      float64 // this process has one of so many equal parts of what all share
-	host       Host
-	rng        *rand.Rand
-	now, began float64
-	classes    map[string]*Class
-	quota      map[string]float64
-	used       map[string]*rate // by tenant
-	maxWorth   float64
-	servers    map[uint32]*server
-	order      []*server // cache servers on the list, by id
-	origin     *server   // never a candidate
-	zones      map[string]*zone
-	asking     int       // requests that are not closed and ask it by way of a server
-	stored     bool      // a key was, since requests that wait were looked at last
-	table      []*server // buckets of the memento-hash; nil = removed
-	epoch      int       // of the table
-	keys       map[uint64]*flow
-	keyList    []*flow
-	reqs       map[uint32]*request
-	held       []*request
-	arrivals   rate
-	hint       float64 // mean hint
-	x          moments // served latencies, ms
-	solvedAt   float64
-	scale      float64 // of rates to the utilisation that is solved for
-	dirty      bool    // something calls for a solve
-	spare      float64 // further attempts in hand
-	probes     float64 // and probes,
-	turn       int     // and whose turn it is to be probed
-	jam        level   // latency of a unit of work, over all servers
-	keep       float64 // how long idle connections are kept
-	bear       float64 // least share of the aim that is borne as wait
-	lateAt     float64 // when an answer was late last
-	fetches    float64 // bound on outstanding fetches; under 1, they pause between two
-	cutAt      float64 // when it was last cut,
-	asked      rate    // fetches sent
-	olat       level   // latency of fetches
-	usual      float64 // share of attempts that fail at the median server
-	lost       float64 // share of overtaken attempts whose answers are lost
-	median     float64 // capacity for a unit of size, of the servers that reported one
-	least      float64 // and that of what they reported at their least, lately
-	sized      bool    // whether sizes are told
-	portion    float64 // own part of all traffic, as far as reports tell
-	watchAt    float64 // when to ask for the list again,
-	refusals   int     // and the calls that have failed in a row
+	cfg            Config
+	tier           Tier               // what is known of the routers that share
+	tierKnown      bool               // routers tell each other who there is
+	admission      AdmissionThreshold // what they serve while they can't serve all,
+	admissionAt    float64            // and when that was told
+	demand         Demand             // but for its room
+	totalCapacity  float64            // what all servers may be given a second by all routers
+	idleBudget     decayingSum        // work that this router's part of that has left over
+	processes      int                // of this router that decide at once
+	shares         float64            // this process has one of so many equal parts of what all share
+	host           Host
+	rng            *rand.Rand
+	now, startedAt float64
+	classes        map[string]*Class
+	quotas         map[string]float64
+	tenantUse      map[string]*decayingSum // by tenant
+	maxWorth       float64
+	servers        map[uint32]*server
+	serverList     []*server // cache servers on the list, by id
+	origin         *server   // never a candidate
+	zones          map[string]*zone
+	mayFetchCount  int       // requests that are not closed and ask it by way of a server
+	keyStored      bool      // a key was, since requests that wait were looked at last
+	hashTable      []*server // buckets of the memento-hash; nil = removed
+	tableEpoch     int       // of the table
+	keys           map[uint64]*keyTraffic
+	keyList        []*keyTraffic
+	requests       map[uint32]*request
+	waiting        []*request
+	arrivals       decayingSum
+	meanHint       float64 // mean hint
+	latencies      moments // served latencies, ms
+	solvedAt       float64
+	loadScale      float64       // of rates to the utilisation that is solved for
+	solveNeeded    bool          // something calls for a solve
+	retryBudget    float64       // further attempts in hand
+	probeBudget    float64       // and probes,
+	nextProbe      int           // and whose turn it is to be probed
+	fleetLatency   movingAverage // latency of a unit of work, over all servers
+	connKeep       float64       // how long idle connections are kept
+	waitShare      float64       // least share of the aim that is borne as wait
+	lastLate       float64       // when an answer was late last
+	fetchLimit     float64       // bound on outstanding fetches; under 1, they pause between two
+	limitCutAt     float64       // when it was last cut,
+	fetchesSent    decayingSum   // fetches sent
+	fetchLatency   movingAverage // latency of fetches
+	usualFailures  float64       // share of attempts that fail at the median server
+	lostShare      float64       // share of overtaken attempts whose answers are lost
+	medianCapacity float64       // capacity for a unit of size, of the servers that reported one
+	medianFloor    float64       // and that of what they reported at their least, lately
+	sizesKnown     bool          // whether sizes are told
+	trafficShare   float64       // own part of all traffic, as far as reports tell
+	watchAt        float64       // when to ask for the list again,
+	listFailures   int           // and the calls that have failed in a row
 }
 
 // perSecond reads a rate, corrected for a memory that has not filled yet.
-func (b *Balancer) perSecond(r *rate, tau float64) float64 {
-	return r.add(b.now, tau, 0) * 1000 / tau / (1 - math.Exp((b.began-b.now-1)/tau))
+func (b *Balancer) perSecond(r *decayingSum, tau float64) float64 {
+	return r.add(b.now, tau, 0) * 1000 / tau / (1 - math.Exp((b.startedAt-b.now-1)/tau))
 }
 
 // server is what a router knows of a server.
 type server struct {
 	Entry
-	listed       bool
-	out          int     // own attempts outstanding,
-	sentAt       float64 // when the last was sent,
-	held         bool    // and whether a connection may be open since
-	refused      bool    // a connection was, and nothing has been answered since
-	accept       float64 // share of attempts accepted, lately
-	doubt        float64 // how much its failures speak for a sickness of its own,
-	fails        float64 // and their share, over thirty outcomes
-	strikes      int     // signs of silence since the last reply
-	reply        float64 // time of the last reply
-	passed       float64 // when the latest of those that it has answered was sent
-	ejected      bool
-	lost         bool    // was, with its whole zone
-	trial, pause float64 // ejected: when a trial is due, and the pause before it
-	overdue      float64 // and when it is, if no queue has brought one
-	probed       float64 // time of the last probe
-	fresh        float64 // start of the cold phase
-	budget       rate    // hard send budget while cold
-	sent         rate    // own work sent
-	last         Load
-	qps, heard   float64 // reported, a second, and when
-	cap          level   // capacity, requests a second; 0 = not reported
-	lat          level   // latency of a unit of work
-	n            int     // the model's channels,
-	mu, load     float64 // their rate, and the load set on the server so far,
-	hot          float64 // and what others are thought to send there of the keys solved singly
+	listed                   bool
+	inFlight                 int     // own attempts outstanding,
+	lastSent                 float64 // when the last was sent,
+	connOpen                 bool    // and whether a connection may be open since
+	connRefused              bool    // a connection was, and nothing has been answered since
+	acceptShare              float64 // share of attempts accepted, lately
+	suspicion                float64 // how much its failures speak for a sickness of its own,
+	failShare                float64 // and their share, over thirty outcomes
+	consecutiveFailures      int     // signs of silence since the last reply
+	lastReply                float64 // time of the last reply
+	answeredSentAt           float64 // when the latest of those that it has answered was sent
+	ejected                  bool
+	zoneLost                 bool        // was, with its whole zone
+	trialAt, trialPause      float64     // ejected: when a trial is due, and the pause before it
+	trialOverdue             float64     // and when it is, if no queue has brought one
+	probedAt                 float64     // time of the last probe
+	coldSince                float64     // start of the cold phase
+	sendBudget               decayingSum // hard send budget while cold
+	sentWork                 decayingSum // own work sent
+	lastLoad                 Load
+	reportedRate, reportedAt float64       // reported, a second, and when
+	capacity                 movingAverage // capacity, requests a second; 0 = not reported
+	latency                  movingAverage // latency of a unit of work
+	channels                 int           // the model's channels,
+	serviceRate, modelLoad   float64       // their rate, and the load set on the server so far,
+	othersHotLoad            float64       // and what others are thought to send there of the keys solved singly
 }
 
 // maxZones bounds the records of zones.
@@ -112,8 +112,8 @@
 
 // zone is what a router knows of the servers of a zone together.
 type zone struct {
-	reply  float64   // time of the last reply of any of them
-	silent []*server // of which nothing has come since, each once, as many as make a zone lost
+	lastReply    float64   // time of the last reply of any of them
+	unresponsive []*server // of which nothing has come since, each once, as many as make a zone lost
 }
 
 // zoneOf is the record of a server's zone.
@@ -129,18 +129,18 @@
 	return z
 }
 
-// othersReply says whether a server of another zone has answered since.
-func (b *Balancer) othersReply(z *zone, since float64) bool {
+// otherZoneReplied says whether a server of another zone has answered since.
+func (b *Balancer) otherZoneReplied(z *zone, since float64) bool {
 	for _, o := range b.zones {
-		if o != z && o.reply > since {
+		if o != z && o.lastReply > since {
 			return true
 		}
 	}
 	return false
 }
 
-// group names those that drop repeats together with the server.
-func (s *server) group(scope string) string {
+// dedupGroup names those that drop repeats together with the server.
+func (s *server) dedupGroup(scope string) string {
 	switch scope {
 	case "zone":
 		return s.Zone
@@ -150,83 +150,83 @@
 	return ""
 }
 
-// flow is the traffic of a key.
-type flow struct {
-	id      uint64
-	rate    rate
-	work    float64   // mean work of a request
-	epoch   int       // of the hash table that list comes from
-	owners  []uint32  // that may serve it; nil = any
-	list    []*server // memento-hash list
-	v       []*server // solved servers
-	p       []float64 // and their shares
-	fetch   *request  // asks the origin for the key, or stores what that has brought
-	absent  float64   // when the origin last had none; 0 = never
-	stored  float64   // when a fetch last came back,
-	storeAt *server   // and where its answer was stored
+// trafficOf is the traffic of a key.
+type keyTraffic struct {
+	id           uint64
+	rate         decayingSum
+	meanWork     float64   // mean work of a request
+	tableEpoch   int       // of the hash table that list comes from
+	owners       []uint32  // that may serve it; nil = any
+	hashList     []*server // memento-hash list
+	splitServers []*server // solved servers
+	splitShares  []float64 // and their shares
+	fetch        *request  // asks the origin for the key, or stores what that has brought
+	absentAt     float64   // when the origin last had none; 0 = never
+	storedAt     float64   // when a fetch last came back,
+	storedOn     *server   // and where its answer was stored
 }
 
-// channels is λ_i/μ_i but for the memory of the rate, which is the same for all keys.
-func (k *flow) channels() float64 { return k.rate.v * k.work }
+// offeredLoad is λ_i/μ_i but for the memory of the rate, which is the same for all keys.
+func (k *keyTraffic) offeredLoad() float64 { return k.rate.value * k.meanWork }
 
 type attempt struct {
-	s         *server
-	at        float64
-	over, ran bool // has its outcome; may have run
-	passed    bool // was past its patience when later ones had been answered
+	server           *server
+	sentAt           float64
+	done, mayHaveRun bool // has its outcome; may have run
+	wasOvertaken     bool // was past its patience when later ones had been answered
 }
 
 // request is a request of a client until its answer is given and its attempts are back.
 type request struct {
 	Request
-	class       *Class
-	key         *flow
-	until, aim  float64 // when the client leaves, and when the answer loses its worth
-	work, worth float64
-	tries       []attempt
-	out         int     // attempts outstanding
-	missed      *server // where the key was missing
-	held        float64 // since when it waits for the origin or for another's fetch; 0 = it doesn't
-	asks        bool    // its attempt is likely to ask the origin by way of the server
-	closed      bool    // has its final answer
+	class           *Class
+	key             *keyTraffic
+	deadline, aimAt float64 // when the client leaves, and when the answer loses its worth
+	work, worth     float64
+	attempts        []attempt
+	inFlight        int     // attempts outstanding
+	missedOn        *server // where the key was missing
+	waitingSince    float64 // since when it waits for the origin or for another's fetch; 0 = it doesn't
+	mayFetch        bool    // its attempt is likely to ask the origin by way of the server
+	finished        bool    // has its final answer
 }
 
-func (r *request) tried(s *server) bool {
-	return slices.ContainsFunc(r.tries, func(a attempt) bool { return a.s == s })
+func (r *request) triedOn(s *server) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// settle books the outcome of an attempt and returns it, or nil if it is not outstanding.
-func (r *request) settle(i int, st Status) *attempt {
-	if r == nil || i < 0 || i >= len(r.tries) || r.tries[i].over {
+// recordOutcome books the outcome of an attempt and returns it, or nil if it is not outstanding.
+func (r *request) recordOutcome(i int, st Status) *attempt {
+	if r == nil || i < 0 || i >= len(r.attempts) || r.attempts[i].done {
 		return nil
 	}
-	a := &r.tries[i]
-	a.over, a.ran = true, !st.NeverRan()
-	r.out--
-	a.s.out--
+	a := &r.attempts[i]
+	a.done, a.mayHaveRun = true, !st.NeverRan()
+	r.inFlight--
+	a.server.inFlight--
 	return a
 }
 
-// apply brings a list update into the records and returns the servers that started anew.
-func (b *Balancer) apply(kind ListKind, entries []Entry) (started []*server) {
+// applyList brings a list update into the records and returns the servers that started anew.
+func (b *Balancer) applyList(kind ListKind, entries []Entry) (started []*server) {
 	for _, s := range b.servers {
 		s.listed = s.listed && kind == Changes
 	}
 	for _, e := range entries {
 		s := b.servers[e.ID]
 		if s == nil {
-			s = &server{accept: 1, reply: b.now, fresh: math.Inf(-1), probed: math.Inf(-1), heard: math.Inf(-1)}
+			s = &server{acceptShare: 1, lastReply: b.now, coldSince: math.Inf(-1), probedAt: math.Inf(-1), reportedAt: math.Inf(-1)}
 			b.servers[e.ID] = s
 		}
 		if e.Started > 0 && e.Started != s.Started {
 			started = append(started, s)
 		}
-		s.Entry, s.listed = e, e.State != Gone
+		s.Entry, s.listed = e, e.State != Removed
 		if b.cfg.SizesVary {
 			s.Size = 0 // a load figure, which says nothing of the machine
 		}
 	}
-	b.order, b.origin = b.order[:0], nil
+	b.serverList, b.origin = b.serverList[:0], nil
 	for id, s := range b.servers {
 		switch {
 		case b.cfg.Aside && s.Kind == b.cfg.OriginKind:
@@ -234,138 +234,138 @@
 				b.origin = s
 			}
 		case s.listed:
-			b.order = append(b.order, s)
-		case s.out == 0:
+			b.serverList = append(b.serverList, s)
+		case s.inFlight == 0:
 			delete(b.servers, id)
 		}
 	}
-	slices.SortFunc(b.order, func(p, q *server) int { return cmp.Compare(p.ID, q.ID) })
+	slices.SortFunc(b.serverList, func(p, q *server) int { return cmp.Compare(p.ID, q.ID) })
 	return started
 }
 
 // buildTable fills the buckets of the memento-hash. A bucket that no listed server claims counts as removed:
 // the table follows from ids alone, not from an order of changes, and few keys move.
 func (b *Balancer) buildTable() {
-	b.epoch++
-	b.table = make([]*server, 1<<tableBits)
-	for _, s := range b.order {
-		for i := range b.claimsOf(s) {
-			slot := mix(uint64(s.ID)<<8|uint64(i)) >> (64 - tableBits)
-			if o := b.table[slot]; o == nil || mix(slot^uint64(s.ID)<<16) < mix(slot^uint64(o.ID)<<16) {
-				b.table[slot] = s
+	b.tableEpoch++
+	b.hashTable = make([]*server, 1<<tableBits)
+	for _, s := range b.serverList {
+		for i := range b.bucketClaims(s) {
+			slot := mix64(uint64(s.ID)<<8|uint64(i)) >> (64 - tableBits)
+			if o := b.hashTable[slot]; o == nil || mix64(slot^uint64(s.ID)<<16) < mix64(slot^uint64(o.ID)<<16) {
+				b.hashTable[slot] = s
 			}
 		}
 	}
 }
 
-// claimsOf is how many buckets a server claims. By weight they grow with it, and a change of one weight moves only the
+// bucketClaims is how many buckets a server claims. By weight they grow with it, and a change of one weight moves only the
 // keys of the buckets that come or go.
-func (b *Balancer) claimsOf(s *server) int {
-	if !b.cfg.Weighted || !figure(s.Size) {
-		return claims
+func (b *Balancer) bucketClaims(s *server) int {
+	if !b.cfg.Weighted || !validFigure(s.Size) {
+		return bucketsPerServer
 	}
-	return int(min(maxClaims, max(1, math.Round(claims*s.Size))))
+	return int(min(maxBucketsPerServer, max(1, math.Round(bucketsPerServer*s.Size))))
 }
 
-// list gives the first distinct servers of a key. Keys of a removed bucket are drawn again over the table.
-func (b *Balancer) list(k *flow) []*server {
-	if k.epoch != b.epoch {
-		k.list, k.epoch, k.v = b.listed(k.owners), b.epoch, nil
+// hashListOf gives the first distinct servers of a key. Keys of a removed bucket are drawn again over the table.
+func (b *Balancer) hashListOf(k *keyTraffic) []*server {
+	if k.tableEpoch != b.tableEpoch {
+		k.hashList, k.tableEpoch, k.splitServers = b.listedServers(k.owners), b.tableEpoch, nil
 		if k.owners != nil {
-			return k.list
+			return k.hashList
 		}
-		for h, i := mix(k.id), 0; len(k.list) < min(listLen, len(b.order)) && i < 4<<tableBits; i++ {
-			if s := b.table[h>>(64-tableBits)]; s != nil && !slices.Contains(k.list, s) {
-				k.list = append(k.list, s)
+		for h, i := mix64(k.id), 0; len(k.hashList) < min(maxCandidates, len(b.serverList)) && i < 4<<tableBits; i++ {
+			if s := b.hashTable[h>>(64-tableBits)]; s != nil && !slices.Contains(k.hashList, s) {
+				k.hashList = append(k.hashList, s)
 			}
-			h = mix(h)
+			h = mix64(h)
 		}
 	}
-	return k.list
+	return k.hashList
 }
 
-// listed are the servers of these ids that are on the list, at most as many as a key's list has.
-func (b *Balancer) listed(ids []uint32) (list []*server) {
+// listedServers are the servers of these ids that are on the list, at most as many as a key's list has.
+func (b *Balancer) listedServers(ids []uint32) (list []*server) {
 	for _, id := range ids {
-		if s := b.servers[id]; s != nil && s.listed && len(list) < listLen {
+		if s := b.servers[id]; s != nil && s.listed && len(list) < maxCandidates {
 			list = append(list, s)
 		}
 	}
 	return list
 }
 
-// may says whether a server may serve the request at all.
-func (r *request) may(s *server) bool { return r.Owners == nil || slices.Contains(r.Owners, s.ID) }
+// canUse says whether a server may serve the request at all.
+func (r *request) canUse(s *server) bool { return r.Owners == nil || slices.Contains(r.Owners, s.ID) }
 
-// rate counts with exponential forgetting: its value over the memory is a rate.
-type rate struct{ v, at float64 }
+// restore counts with exponential forgetting: its value over the memory is a rate.
+type decayingSum struct{ value, updated float64 }
 
-func (r *rate) add(now, tau, x float64) float64 {
-	if now > r.at {
-		r.v *= math.Exp((r.at - now) / tau)
-		r.at = now
+func (r *decayingSum) add(now, tau, x float64) float64 {
+	if now > r.updated {
+		r.value *= math.Exp((r.updated - now) / tau)
+		r.updated = now
 	}
-	r.v += x
-	return r.v
+	r.value += x
+	return r.value
 }
 
-// level follows a noisy figure, with a floor that rises slowly.
-type level struct{ v, floor, at float64 }
+// restore follows a noisy figure, with a floor that rises slowly.
+type movingAverage struct{ value, floor, updated float64 }
 
-func (l *level) see(now, x, k float64) {
-	if l.v == 0 {
-		l.v, l.floor = x, x
+func (l *movingAverage) update(now, x, k float64) {
+	if l.value == 0 {
+		l.value, l.floor = x, x
 	}
-	if l.v += k * (x - l.v); l.v > l.floor {
-		l.floor += (l.v - l.floor) * min(now-l.at, 2000) / 60000
+	if l.value += k * (x - l.value); l.value > l.floor {
+		l.floor += (l.value - l.floor) * min(now-l.updated, 2000) / 60000
 	} else {
-		l.floor += 0.2 * (l.v - l.floor)
+		l.floor += 0.2 * (l.value - l.floor)
 	}
-	l.at = now
+	l.updated = now
 }
 
-// mix is the finaliser of SplitMix64.
-func mix(x uint64) uint64 {
+// mix64 is the finaliser of SplitMix64.
+func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// survey brings the median capacity for a unit of size up to date, and returns the mean rate of the servers that
+// updateMedians brings the median capacity for a unit of size up to date, and returns the mean rate of the servers that
 // reported one, 0 where none did. Where sizes are missing all count alike.
-func (b *Balancer) survey() (mean float64) {
-	b.median, b.least, b.sized = 0, 0, !slices.ContainsFunc(b.order, func(s *server) bool { return !figure(s.Size) || s.Size == 0 })
-	xs, low, n := make([]float64, 0, len(b.order)), make([]float64, 0, len(b.order)), 0.0
-	for _, s := range b.order {
-		if s.qps > 0 {
-			mean, n = mean+s.qps, n+1
+func (b *Balancer) updateMedians() (mean float64) {
+	b.medianCapacity, b.medianFloor, b.sizesKnown = 0, 0, !slices.ContainsFunc(b.serverList, func(s *server) bool { return !validFigure(s.Size) || s.Size == 0 })
+	xs, low, n := make([]float64, 0, len(b.serverList)), make([]float64, 0, len(b.serverList)), 0.0
+	for _, s := range b.serverList {
+		if s.reportedRate > 0 {
+			mean, n = mean+s.reportedRate, n+1
 		}
-		if s.cap.v > 0 {
-			xs, low = append(xs, s.cap.v/s.unit(b.sized)), append(low, min(s.cap.v, s.cap.floor)/s.unit(b.sized))
+		if s.capacity.value > 0 {
+			xs, low = append(xs, s.capacity.value/s.sizeUnit(b.sizesKnown)), append(low, min(s.capacity.value, s.capacity.floor)/s.sizeUnit(b.sizesKnown))
 		}
 	}
 	if len(xs) > 0 {
 		slices.Sort(xs)
 		slices.Sort(low)
-		b.median, b.least = xs[len(xs)/2], low[len(low)/2]
+		b.medianCapacity, b.medianFloor = xs[len(xs)/2], low[len(low)/2]
 	}
 	return mean / max(1, n)
 }
 
-// typical is the capacity that the median gives a server of the size of s; def where there is none.
-func (b *Balancer) typical(s *server, def float64) float64 {
-	if b.median == 0 {
+// typicalCapacity is the capacity that the median gives a server of the size of s; def where there is none.
+func (b *Balancer) typicalCapacity(s *server, def float64) float64 {
+	if b.medianCapacity == 0 {
 		return def
 	}
-	return b.median * s.unit(b.sized)
+	return b.medianCapacity * s.sizeUnit(b.sizesKnown)
 }
 
-// usualFails is the share of attempts that fail at the median server: a few sick ones leave it where it is.
-func usualFails(servers []*server) float64 {
+// medianFailShare is the share of attempts that fail at the median server: a few sick ones leave it where it is.
+func medianFailShare(servers []*server) float64 {
 	fails := make([]float64, 0, len(servers))
 	for _, s := range servers {
-		fails = append(fails, s.fails)
+		fails = append(fails, s.failShare)
 	}
 	if slices.Sort(fails); len(fails) == 0 {
 		return 0
@@ -373,56 +373,56 @@
 	return fails[(len(fails)-1)/2]
 }
 
-// weigh adds an outcome to the evidence for a server that fails every second attempt, against one that fails no
+// updateSuspicion adds an outcome to the evidence for a server that fails every second attempt, against one that fails no
 // more than is usual: Page's test (CUSUM), the quickest to find a change for its rate of false alarms.
-func (s *server) weigh(failed bool, usual float64) {
+func (s *server) updateSuspicion(failed bool, usual float64) {
 	usual = min(0.3, max(0.01, usual))
 	if failed {
-		s.fails += (1 - s.fails) / 30
-		s.doubt += math.Log(0.5 / usual)
+		s.failShare += (1 - s.failShare) / 30
+		s.suspicion += math.Log(0.5 / usual)
 		return
 	}
-	s.fails -= s.fails / 30
-	s.doubt = max(0, s.doubt+math.Log(0.5/(1-usual)))
+	s.failShare -= s.failShare / 30
+	s.suspicion = max(0, s.suspicion+math.Log(0.5/(1-usual)))
 }
 
-// overtaken books an attempt past its patience that later ones have overtaken, and says whether it is taken for lost:
+// recordOvertaken books an attempt past its patience that later ones have overtaken, and says whether it is taken for lost:
 // the second time, or at once where most were. What was given up at once tells nothing, so the share falls a little,
 // and soon the next one is waited for.
-func (b *Balancer) overtaken(a *attempt) bool {
-	again, most := a.passed, b.lost > 0.5
-	switch a.passed = true; {
+func (b *Balancer) recordOvertaken(a *attempt) bool {
+	again, most := a.wasOvertaken, b.lostShare > 0.5
+	switch a.wasOvertaken = true; {
 	case again:
-		b.lost += lostTells * (1 - b.lost)
+		b.lostShare += lostAnswerWeight * (1 - b.lostShare)
 	case most:
-		b.lost *= 0.97
+		b.lostShare *= 0.97
 	}
 	return again || most
 }
 
-// learn takes a load report; absent and absurd figures are passed over.
-func (b *Balancer) learn(s *server, l Load) {
-	if !figure(l.QPS) || !figure(l.Util) || l == s.last {
+// recordLoad takes a load report; absent and absurd figures are passed over.
+func (b *Balancer) recordLoad(s *server, l Load) {
+	if !validFigure(l.QPS) || !validFigure(l.Util) || l == s.lastLoad {
 		return
 	}
-	if s.last, s.qps, s.heard = l, l.QPS, b.now; l.Util > 0.03 && l.QPS > 0 {
-		s.cap.see(b.now, l.QPS/min(l.Util, 1.5)/b.warmth(s), 0.2) // over five reports, as they are noisy
+	if s.lastLoad, s.reportedRate, s.reportedAt = l, l.QPS, b.now; l.Util > 0.03 && l.QPS > 0 {
+		s.capacity.update(b.now, l.QPS/min(l.Util, 1.5)/b.warmFraction(s), 0.2) // over five reports, as they are noisy
 	}
 }
 
-// unit is what a server's capacity is compared by.
-func (s *server) unit(sized bool) float64 {
+// sizeUnit is what a server's capacity is compared by.
+func (s *server) sizeUnit(sized bool) float64 {
 	if sized && s.Size > 0 {
 		return s.Size
 	}
 	return 1
 }
 
-// figure says whether a reported figure can be used.
-func figure(v float64) bool { return v >= 0 && v < 1e9 }
+// validFigure says whether a reported figure can be used.
+func validFigure(v float64) bool { return v >= 0 && v < 1e9 }
 
-// ejected counts the servers that are out of use.
-func ejected(servers []*server) (n int) {
+// countEjected counts the servers that are out of use.
+func countEjected(servers []*server) (n int) {
 	for _, s := range servers {
 		if s.ejected {
 			n++
@@ -431,48 +431,48 @@
 	return n
 }
 
-// flow finds the record of a request's key; without a key the request gets a place of its own.
-func (b *Balancer) flow(q Request) *flow {
+// trafficOf finds the record of a request's key; without a key the request gets a place of its own.
+func (b *Balancer) trafficOf(q Request) *keyTraffic {
 	if !q.HasKey {
-		return &flow{id: b.rng.Uint64(), work: 1}
+		return &keyTraffic{id: b.rng.Uint64(), meanWork: 1}
 	}
 	k := b.keys[q.Key]
 	if k == nil {
-		k = &flow{id: q.Key, work: 1}
+		k = &keyTraffic{id: q.Key, meanWork: 1}
 		b.keys[q.Key], b.keyList = k, append(b.keyList, k)
 	}
 	// Writes may go to fewer of them than reads, which is no change of the key's owners.
 	part := q.Write && len(q.Owners) > 0 && len(k.owners) > 0 && k.owners[0] == q.Owners[0]
 	if q.Owners != nil && !part && !slices.Equal(q.Owners, k.owners) {
-		k.owners, k.epoch = slices.Clone(q.Owners), 0
+		k.owners, k.tableEpoch = slices.Clone(q.Owners), 0
 	}
 	return k
 }
 
-// hottest brings all rates up to now, forgets keys that have faded and the shares of the others, and returns the hottest of
+// hottestKeys brings all rates up to now, forgets keys that have faded and the shares of the others, and returns the hottest of
 // them in order. One pass without memory of its own: it stands in the way of requests, and keys come by the hundred
 // thousand.
-func (b *Balancer) hottest() []*flow {
-	mem, top := b.keyMem(), make([]*flow, 0, hottest+1)
-	b.keyList = slices.DeleteFunc(b.keyList, func(k *flow) bool {
+func (b *Balancer) hottestKeys() []*keyTraffic {
+	mem, top := b.keyMemory(), make([]*keyTraffic, 0, maxHotKeys+1)
+	b.keyList = slices.DeleteFunc(b.keyList, func(k *keyTraffic) bool {
 		if k.rate.add(b.now, mem, 0) < 0.02 && k.fetch == nil {
 			delete(b.keys, k.id)
 			return true
 		}
-		k.v, top = nil, hotter(top, k, hottest)
+		k.splitServers, top = nil, insertHottest(top, k, maxHotKeys)
 		return false
 	})
 	return top
 }
 
-// hotter puts a key among the hottest, which are in order, n at most.
-func hotter(top []*flow, k *flow, n int) []*flow {
-	c := k.channels()
-	if len(top) == n && c <= top[n-1].channels() {
+// insertHottest puts a key among the hottest, which are in order, n at most.
+func insertHottest(top []*keyTraffic, k *keyTraffic, n int) []*keyTraffic {
+	c := k.offeredLoad()
+	if len(top) == n && c <= top[n-1].offeredLoad() {
 		return top
 	}
 	at := len(top) // behind those that are as hot
-	for at > 0 && top[at-1].channels() < c {
+	for at > 0 && top[at-1].offeredLoad() < c {
 		at--
 	}
 	if top = slices.Insert(top, at, k); len(top) > n {
@@ -481,94 +481,96 @@
 	return top
 }
 
-// workOf is a request's work by its hint, in units of the mean.
-func (b *Balancer) workOf(hint float64) float64 {
-	if hint <= 0 || !figure(hint) {
+// relativeWork is a request's work by its hint, in units of the mean.
+func (b *Balancer) relativeWork(hint float64) float64 {
+	if hint <= 0 || !validFigure(hint) {
 		return 1
 	}
-	if b.hint == 0 {
-		b.hint = hint
+	if b.meanHint == 0 {
+		b.meanHint = hint
 	}
-	b.hint += 0.01 * (hint - b.hint)
-	return min(50, max(0.05, hint/b.hint))
+	b.meanHint += 0.01 * (hint - b.meanHint)
+	return min(50, max(0.05, hint/b.meanHint))
 }
 
 // moments are X̄ and X², moving with the last few hundred samples.
-type moments struct{ mean, square, n float64 }
+type moments struct{ mean, meanSquare, samples float64 }
 
-func (m *moments) see(x float64) {
-	m.n = min(m.n+1, 400)
-	m.mean += (x - m.mean) / m.n
-	m.square += (x*x - m.square) / m.n
+func (m *moments) update(x float64) {
+	m.samples = min(m.samples+1, 400)
+	m.mean += (x - m.mean) / m.samples
+	m.meanSquare += (x*x - m.meanSquare) / m.samples
 }
 
-// ratio is X²/X̄², bounded.
-func (m *moments) ratio() float64 { return min(20, max(1, m.square/max(m.mean*m.mean, 1e-9))) }
+// momentRatio is X²/X̄², bounded.
+func (m *moments) momentRatio() float64 {
+	return min(20, max(1, m.meanSquare/max(m.mean*m.mean, 1e-9)))
+}
 
-// fetching counts the fetches out: at the origin, or of keys that servers are likely to fetch by themselves.
-func (b *Balancer) fetching() float64 {
+// fetchesInFlight counts the fetches out: at the origin, or of keys that servers are likely to fetch by themselves.
+func (b *Balancer) fetchesInFlight() float64 {
 	if b.origin != nil {
-		return float64(b.origin.out)
+		return float64(b.origin.inFlight)
 	}
-	return float64(b.asking)
+	return float64(b.mayFetchCount)
 }
 
-// setAsks notes whether a request's attempt is likely to ask the origin by way of the server.
-func (b *Balancer) setAsks(r *request, asks bool) {
-	if r.asks == asks {
+// setMayFetch notes whether a request's attempt is likely to ask the origin by way of the server.
+func (b *Balancer) setMayFetch(r *request, asks bool) {
+	if r.mayFetch == asks {
 		return
 	}
-	if r.asks = asks; r.closed {
+	if r.mayFetch = asks; r.finished {
 		return
 	}
 	if asks {
-		b.asking++
+		b.mayFetchCount++
 	} else {
-		b.asking--
+		b.mayFetchCount--
 	}
 }
 
-// crowd is how many times larger the tier is than ten routers, 1 at least.
-func (b *Balancer) crowd() float64 { return max(1, float64(b.cfg.Routers)/10) }
+// tierScale is how many times larger the tier is than ten routers, 1 at least.
+func (b *Balancer) tierScale() float64 { return max(1, float64(b.cfg.Routers)/10) }
 
-// firstPart is what a router has of a cold server's budget at first. In a large tier parts take seconds to fill for one request, and
+// firstColdBudget is what a router has of a cold server's budget at first. In a large tier parts take seconds to fill for one request, and
 // all fill at the same time: for as long nobody would use the server, and then all at once. So they begin spread.
-func (b *Balancer) firstPart() float64 {
-	if b.crowd() > 1 {
+func (b *Balancer) firstColdBudget() float64 {
+	if b.tierScale() > 1 {
 		return b.rng.Float64()
 	}
 	return 0
 }
 
-// untold bounds a wait before the next call for the list by a part of the time after which news count as told unasked.
-func (b *Balancer) untold(part, wait float64) float64 {
+// boundListWait bounds a wait before the next call for the list by a part of the time after which news count as told unasked.
+func (b *Balancer) boundListWait(part, wait float64) float64 {
 	if b.cfg.MustAsk > 0 {
 		return min(wait, part*b.cfg.MustAsk)
 	}
 	return wait
 }
 
-// seldom is near 1 where seconds pass between two own sends to a server, near 0 where there are many.
-func (b *Balancer) seldom() float64 {
-	return 1 - math.Exp(-float64(len(b.order))/(2*b.perSecond(&b.arrivals, keyTau)+0.01))
+// sendSparsity is near 1 where seconds pass between two own sends to a server, near 0 where there are many.
+func (b *Balancer) sendSparsity() float64 {
+	return 1 - math.Exp(-float64(len(b.serverList))/(2*b.perSecond(&b.arrivals, keyRateTau)+0.01))
 }
 
-// keyMem is the memory of key rates: a hundred arrivals, so that a router of many tells a hot key at all.
-func (b *Balancer) keyMem() float64 {
-	return min(60000, max(keyTau, 1e5/max(1, b.perSecond(&b.arrivals, keyTau))))
+// keyMemory is the memory of key rates: a hundred arrivals, so that a router of many tells a hot key at all.
+func (b *Balancer) keyMemory() float64 {
+	return min(60000, max(keyRateTau, 1e5/max(1, b.perSecond(&b.arrivals, keyRateTau))))
 }
 
-// warmth is the share of its capacity that a server has at least.
-func (b *Balancer) warmth(s *server) float64 {
-	if math.IsInf(s.fresh, -1) { // started long ago; with ColdFrom at 1 the line below would give no number
+// warmFraction is the share of its capacity that a server has at least.
+func (b *Balancer) warmFraction(s *server) float64 {
+	if math.IsInf(s.coldSince, -1) { // started long ago; with ColdFrom at 1 the line below would give no number
 		return 1
 	}
-	return min(1, b.cfg.ColdFrom+(1-b.cfg.ColdFrom)*max(0, b.now-s.fresh)/max(b.cfg.Cold, 1))
+	return min(1, b.cfg.ColdFrom+(1-b.cfg.ColdFrom)*max(0, b.now-s.coldSince)/max(b.cfg.Cold, 1))
 }
 
-// delay gives λT(λ), the requests waiting at an M/G/m server by equations (2) to (5), and its two
+// waitingRequests gives λT(λ), the requests waiting at an M/G/m server by equations (2) to (5), and its two
 // derivatives. n channels serve mu a second each; c2 is X²/X̄².
-func delay(lam float64, n int, mu, c2 float64) (f, d, h float64) {
+func waitingRequests(lam float64, n int, mu, c2 float64) (f, d, h float64) {
 	m := float64(n)
 	over := max(0, lam-0.98*m*mu) // λ_j < n_j·μ_o: past the guard a parabola keeps all finite
 	a := max((lam-over)/mu, 1e-9)
@@ -589,5 +591,7 @@
 	return f + over*(d+over*h/2), d + over*h, h
 }
 
-// absent says whether the origin had no value of a key lately.
-func (b *Balancer) absent(k *flow) bool { return k.absent > 0 && b.now < k.absent+absentFor }
+// recentlyAbsent says whether the origin had no value of a key lately.
+func (b *Balancer) recentlyAbsent(k *keyTraffic) bool {
+	return k.absentAt > 0 && b.now < k.absentAt+absentMemory
+}
--- a/decide/tier.go
+++ b/decide/tier.go
@@ -5,63 +5,63 @@
 	"math"
 )
 
-// Tier is what is known of the routers that share what all have, where they tell each other: a fact, like a list.
+// SetTier is what is known of the routers that share what all have, where they tell each other: a fact, like a list.
 type Tier struct {
-	Routers int     // that there are, this one among them
-	Parts   float64 // this router has one of so many equal parts of cold servers' budgets and of fetches
-	Until   float64 // until then; +Inf = until the next word
-	Then    float64 // and one of so many from there on
+	Routers     int     // that there are, this one among them
+	Shares      float64 // this router has one of so many equal parts of cold servers' budgets and of fetches
+	Until       float64 // until then; +Inf = until the next word
+	SharesAfter float64 // and one of so many from there on
 }
 
 // Validate reports what is impossible in what is told of the tier.
 func (t Tier) Validate() error {
-	if t.Routers < 1 || !(t.Parts >= 1) || !(t.Then >= 1) || math.IsInf(t.Parts, 1) || math.IsInf(t.Then, 1) || math.IsNaN(t.Until) {
+	if t.Routers < 1 || !(t.Shares >= 1) || !(t.SharesAfter >= 1) || math.IsInf(t.Shares, 1) || math.IsInf(t.SharesAfter, 1) || math.IsNaN(t.Until) {
 		return fmt.Errorf("decide: impossible tier %+v", t)
 	}
 	return nil
 }
 
-// Tier takes what is known of the tier from now on. An error means that it makes no sense, and nothing has changed.
-func (b *Balancer) Tier(now float64, t Tier) error {
+// SetTier takes what is known of the tier from now on. An error means that it makes no sense, and nothing has changed.
+func (b *Balancer) SetTier(now float64, t Tier) error {
 	if err := t.Validate(); err != nil {
 		return err
 	}
-	b.begin(now)
-	b.tier, b.told = t, true
-	b.resize()
+	b.advance(now)
+	b.tier, b.tierKnown = t, true
+	b.applyShares()
 	return nil
 }
 
-// Share tells that so many processes of this router decide at once, each a router of its own: what all share is divided by as many
+// SetProcesses tells that so many processes of this router decide at once, each a router of its own: what all share is divided by as many
 // more, and what this one had of it by the processes that have come.
-func (b *Balancer) Share(now float64, processes int) {
-	b.begin(now)
+func (b *Balancer) SetProcesses(now float64, processes int) {
+	b.advance(now)
 	b.processes = max(1, processes)
-	b.resize()
+	b.applyShares()
 }
 
-// resize has what all share divided as it is to be now.
-func (b *Balancer) resize() {
+// applyShares has what all share divided as it is to be now.
+func (b *Balancer) applyShares() {
 	if b.now > b.tier.Until {
-		b.tier.Parts, b.tier.Until = b.tier.Then, math.Inf(1)
+		b.tier.Shares, b.tier.Until = b.tier.SharesAfter, math.Inf(1)
 	}
-	was := b.parts
-	b.cfg.Routers, b.parts = b.tier.Routers*b.processes, b.tier.Parts*float64(b.processes)
-	ratio := was / b.parts
+	was := b.shares
+	b.cfg.Routers, b.shares = b.tier.Routers*b.processes, b.tier.Shares*float64(b.processes)
+	ratio := was / b.shares
 	switch {
-	case ratio > regained: // it had next to none: it begins as a new one does
-		b.fetches = max(b.fetches, firstFetches(b.parts))
+	case ratio > maxShareGrowth: // it had next to none: it begins as a new one does
+		b.fetchLimit = max(b.fetchLimit, initialFetchLimit(b.shares))
 	default:
-		b.fetches = min(maxFetches, b.fetches*ratio)
+		b.fetchLimit = min(maxFetchLimit, b.fetchLimit*ratio)
 	}
-	b.spare *= min(1, ratio)
+	b.retryBudget *= min(1, ratio)
 	for _, s := range b.servers {
-		s.budget.v *= min(1, ratio)
+		s.sendBudget.value *= min(1, ratio)
 	}
 }
 
-// regained is a growth of the own part beyond which what was learned with it says nothing.
-const regained = 16
+// maxShareGrowth is a growth of the own part beyond which what was learned with it says nothing.
+const maxShareGrowth = 16
 
-// firstFetches is the bound on fetches of a router that knows nothing yet.
-func firstFetches(parts float64) float64 { return min(8, 32/parts) }
+// initialFetchLimit is the bound on fetches of a router that knows nothing yet.
+func initialFetchLimit(parts float64) float64 { return min(8, 32/parts) }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -49,9 +49,9 @@
 
 // work is what a connection is asked for: an attempt, or a probe where there is no request.
 type work struct {
-	stop    *engine.Stop
+	stop    *engine.Canceler
 	r       *engine.Request
-	caller  engine.Caller
+	caller  engine.AttemptHandler
 	probe   string     // what is written where there is no request
 	try     engine.Try // as its begin gave it
 	opening bool       // the answer comes behind that to Open
@@ -190,10 +190,10 @@
 
 // start begins work on a connection that was taken from the pool, without waiting for the socket.
 func (c *conn) start(w work) startResult {
-	w.stop.Then(c.end) // ahead of all else: the answer may be read before this returns
+	w.stop.OnCancel(c.end) // ahead of all else: the answer may be read before this returns
 	got := c.begin(w)
 	if got != started {
-		w.stop.Release()
+		w.stop.Detach()
 	}
 	return got
 }
@@ -223,7 +223,7 @@
 	c.fresh, c.busy, c.rest = false, true, nil
 	if c.write.n < len(wire) {
 		c.rest = &rest{out: make(chan struct{})}
-		go c.finish(wire[c.write.n:], c.rest, c.work.try.By, w.caller)
+		go c.finish(wire[c.write.n:], c.rest, c.work.try.WriteBy, w.caller)
 		return started
 	}
 	c.written()
@@ -307,7 +307,7 @@
 }
 
 // finish writes the rest of a command by a time. Without its last byte the server has not begun it.
-func (c *conn) finish(wire []byte, r *rest, by time.Time, caller engine.Caller) {
+func (c *conn) finish(wire []byte, r *rest, by time.Time, caller engine.AttemptHandler) {
 	defer close(r.out)
 	defer c.written()
 	err := c.SetWriteDeadline(by)
@@ -350,12 +350,12 @@
 			reply, err = engine.Reply{Status: decide.ConnectError, Load: decide.NoLoad}, r.err
 		}
 	}
-	if err == nil && reply.Follows > 0 {
+	if err == nil && reply.UnreadBytes > 0 {
 		return c.passOn(w, reply, last)
 	}
 	reuse := err == nil && !last && c.clean()
 	c.over()
-	kept := c.t.pool.put(c, w.stop.Release() && reuse)
+	kept := c.t.pool.put(c, w.stop.Detach() && reuse)
 	w.caller.Done(reply)
 	return kept
 }
@@ -385,11 +385,11 @@
 	default:
 		a, last, err = c.t.proto.Answer(c.in, c.t.addr, w.r, w.try)
 	}
-	if err == nil && a.Follows > 0 { // its first bytes are there before anybody is told: until then it can be tried again
+	if err == nil && a.UnreadBytes > 0 { // its first bytes are there before anybody is told: until then it can be tried again
 		_, err = c.in.Peek(1)
 	}
 	if err != nil { // not understood, or it broke off: it has run, and the server was at work
-		a.Status = decide.Spoilt
+		a.Status = decide.InvalidAnswer
 	}
 	return a, last, err
 }
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -58,7 +58,7 @@
 }
 
 // ask begins an attempt, which must not be over at once.
-func ask(t *testing.T, at *target, stop *engine.Stop, r *engine.Request) <-chan engine.Reply {
+func ask(t *testing.T, at *target, stop *engine.Canceler, r *engine.Request) <-chan engine.Reply {
 	t.Helper()
 	a := asker{prober{make(chan engine.Reply, 1)}, always}
 	if got, known := at.Attempt(stop, r, a); known {
@@ -72,7 +72,7 @@
 // keep has one kept connection there.
 func keep(t *testing.T, at *target, accept func() peer) peer {
 	t.Helper()
-	came := ask(t, at, &engine.Stop{}, getCommand())
+	came := ask(t, at, &engine.Canceler{}, getCommand())
 	p := accept()
 	p.asked()
 	p.say(value)
@@ -110,7 +110,7 @@
 		_, at, accept := peers(t, false)
 		p := keep(t, at, accept)
 		p.say("VA 5 Oa1 h1\r\nstale\r\n") // over loopback it is there once this returns
-		came := ask(t, at, &engine.Stop{}, getCommand())
+		came := ask(t, at, &engine.Canceler{}, getCommand())
 		other := accept() // the old one is of no use
 		other.asked()
 		other.say(value)
@@ -132,7 +132,7 @@
 func TestLongCommandIsFinishedBehind(t *testing.T) {
 	_, at, accept := peers(t, false)
 	p := keep(t, at, accept)
-	came := ask(t, at, &engine.Stop{}, bigPut()) // returns though nothing is read
+	came := ask(t, at, &engine.Canceler{}, bigPut()) // returns though nothing is read
 	p.asked()
 	if n, err := io.CopyN(io.Discard, p, 16<<20+2); err != nil {
 		t.Fatalf("after %d bytes: %v", n, err)
@@ -147,7 +147,7 @@
 func TestAnswerToHalfACommandIsNone(t *testing.T) {
 	u, at, accept := peers(t, false)
 	p := keep(t, at, accept)
-	came := ask(t, at, &engine.Stop{}, bigPut())
+	came := ask(t, at, &engine.Canceler{}, bigPut())
 	p.asked()
 	p.say("HD Oa1 c77\r\n")
 	p.SetLinger(0)
@@ -169,7 +169,7 @@
 }
 
 func (h hurried) Begin() (engine.Try, bool) {
-	return engine.Try{Left: 400, By: time.Now().Add(h.within)}, true
+	return engine.Try{DeadlineMS: 400, WriteBy: time.Now().Add(h.within)}, true
 }
 
 // Guards against a server that is passed more time than is left, as a long value went out long after the deadline ahead of it.
@@ -177,7 +177,7 @@
 	_, at, accept := peers(t, false)
 	p := keep(t, at, accept)
 	h := hurried{prober{make(chan engine.Reply, 1)}, 100 * time.Millisecond}
-	if got, known := at.Attempt(&engine.Stop{}, bigPut(), h); known {
+	if got, known := at.Attempt(&engine.Canceler{}, bigPut(), h); known {
 		t.Fatalf("over at once: %v", got.Status)
 	}
 	p.asked() // and reads no further
@@ -190,10 +190,10 @@
 func TestGivingUpALongCommand(t *testing.T) {
 	_, at, accept := peers(t, false)
 	p := keep(t, at, accept)
-	var stop engine.Stop
+	var stop engine.Canceler
 	came := ask(t, at, &stop, bigPut())
 	p.asked()
-	stop.Now()
+	stop.Cancel()
 	if got := next(t, came, "end"); got.Status != decide.ConnectError {
 		t.Errorf("got %v", got.Status)
 	}
@@ -206,13 +206,13 @@
 func TestLateStopClosesNobodyElses(t *testing.T) {
 	_, at, accept := peers(t, false)
 	p := keep(t, at, accept)
-	var first engine.Stop
+	var first engine.Canceler
 	came := ask(t, at, &first, getCommand())
 	p.asked()
 	p.say(value)
 	next(t, came, "first answer")
-	came = ask(t, at, &engine.Stop{}, getCommand())
-	first.Now()
+	came = ask(t, at, &engine.Canceler{}, getCommand())
+	first.Cancel()
 	p.asked()
 	p.say(value)
 	if got := next(t, came, "second answer"); got.Status != decide.OK {
@@ -246,9 +246,9 @@
 				r := getCommand()
 				r.ID = strings.Repeat("abcdefgh"[a:a+1], 3)
 				r.Facts += ",x=" + string(rune('0'+i%10))
-				var stop engine.Stop
+				var stop engine.Canceler
 				if i%7 == 0 {
-					go stop.Now()
+					go stop.Cancel()
 				}
 				got := attempt(at, &stop, r, always)
 				if n++; got.Status == decide.OK && string(got.Body) != r.ID {
--- a/internal/backend/long.go
+++ b/internal/backend/long.go
@@ -20,7 +20,7 @@
 // pieces are the buffers of values that pass through, as many as there are such values at once.
 var pieces = sync.Pool{New: func() any { b := make([]byte, pieceSize); return &b }}
 
-// long is a value on a connection, of which nothing is read. It is an engine.Long. The connection's reader waits until it is over.
+// long is a value on a connection, of which nothing is read. It is an engine.Streamed. The connection's reader waits until it is over.
 type long struct {
 	c    *conn
 	n    int
@@ -34,10 +34,10 @@
 
 // passOn has the caller take the value that follows on the connection, and waits for the end of that. It tells whether the connection goes on.
 func (c *conn) passOn(w work, reply engine.Reply, last bool) bool {
-	l := &long{c: c, n: reply.Follows, tail: reply.Tail, over: make(chan struct{})}
-	wanted := w.stop.Release() && c.t.pool.passing(l)
+	l := &long{c: c, n: reply.UnreadBytes, tail: reply.Trailer, over: make(chan struct{})}
+	wanted := w.stop.Detach() && c.t.pool.passing(l)
 	if wanted {
-		reply.Long = l
+		reply.Streamed = l
 		w.caller.Done(reply)
 		<-l.over
 		c.t.pool.passed(l)
@@ -76,18 +76,18 @@
 	return first
 }
 
-// Len is engine.Long's.
+// Len is engine.Streamed's.
 func (l *long) Len() int { return l.n }
 
-// Drop is engine.Long's.
-func (l *long) Drop() {
+// Drop is engine.Streamed's.
+func (l *long) Discard() {
 	if l.take() {
 		close(l.over)
 	}
 }
 
-// Pass is engine.Long's.
-func (l *long) Pass(to io.Writer) error {
+// Pass is engine.Streamed's.
+func (l *long) Stream(to io.Writer) error {
 	if !l.take() {
 		return errors.New("long value: dropped")
 	}
--- a/internal/backend/meta/meta.go
+++ b/internal/backend/meta/meta.go
@@ -25,7 +25,7 @@
 
 // Command is the request as a cache server gets it: as it came, but for the deadline.
 func (Protocol) Command(_ string, r *engine.Request, try engine.Try) ([]byte, error) {
-	return command(r).Append(nil, try.Left), nil
+	return command(r).Append(nil, try.DeadlineMS), nil
 }
 
 // statuses of the answers.
@@ -34,9 +34,9 @@
 // Answer reads the answer to a request.
 func (Protocol) Answer(in *bufio.Reader, _ string, r *engine.Request, _ engine.Try) (engine.Reply, bool, error) {
 	a, err := meta.ReadAnswer(in, command(r)) // an answer that can't be used may still tell the load
-	reply := engine.Reply{Status: statuses[a.Kind], Body: a.Body, Note: a.Note, Load: settings.ParseLoad(a.Report)}
+	reply := engine.Reply{Status: statuses[a.Kind], Body: a.Body, CacheResult: a.Note, Load: settings.ParseLoad(a.Report)}
 	if a.Long > 0 {
-		reply.Follows, reply.Tail = a.Long, "\r\n"
+		reply.UnreadBytes, reply.Trailer = a.Long, "\r\n"
 	}
 	return reply, false, err
 }
--- a/internal/backend/origin/origin.go
+++ b/internal/backend/origin/origin.go
@@ -37,7 +37,7 @@
 
 // Command is the request in the origin's HTTP. The deadline among its facts is what the client has left.
 func (Protocol) Command(addr string, q *engine.Request, try engine.Try) ([]byte, error) {
-	facts := string(meta.AppendFacts(nil, q.Facts, try.Left))
+	facts := string(meta.AppendFacts(nil, q.Facts, try.DeadlineMS))
 	r := &http.Request{Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: addr, Path: "/" + q.Key},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Host: addr,
 		Header: http.Header{"X-Correlation-Id": {q.ID}, "X-Facts": {facts}, "User-Agent": {""}}}
@@ -170,13 +170,13 @@
 	switch code := resp.StatusCode; {
 	case code == http.StatusOK:
 		if a.Status = decide.OK; body == nil && resp.ContentLength > 0 {
-			a.Follows = int(resp.ContentLength)
+			a.UnreadBytes = int(resp.ContentLength)
 		}
 		if q.Write && !isReceipt(a.Body) {
 			return a, true, meta.Malformed("receipt %.40q", a.Body)
 		}
 	case code == http.StatusNotFound && p.Absent && !q.Write:
-		a.Status, a.Body, a.Absent, a.Note = decide.OK, nil, true, noValue
+		a.Status, a.Body, a.Absent, a.CacheResult = decide.OK, nil, true, noValue
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Unprocessed") == "1":
 		a.Status = decide.QueueFull
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -100,7 +100,7 @@
 }
 
 // Link is the way to the server at an address that speaks a protocol.
-func (u *Pool) Link(addr string, p Protocol) engine.Link { return u.add(addr, p) }
+func (u *Pool) Link(addr string, p Protocol) engine.Endpoint { return u.add(addr, p) }
 
 func (u *Pool) add(addr string, p Protocol) *target {
 	t := &target{pool: u, proto: p, addr: addr}
@@ -159,7 +159,7 @@
 				t.idle = nil
 			}
 			for l := range u.longs {
-				l.Drop()
+				l.Discard()
 			}
 			return
 		case <-tick.C:
@@ -213,11 +213,11 @@
 }
 
 // dial opens a connection, whose place is taken. stop ends the opening.
-func (u *Pool) dial(stop *engine.Stop, t *target) (*conn, error) {
+func (u *Pool) dial(stop *engine.Canceler, t *target) (*conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	stop.Then(cancel)
-	defer stop.Release()
+	stop.OnCancel(cancel)
+	defer stop.Detach()
 	serial := u.serial() // ahead of the material: what changes meanwhile makes the connection an old one
 	opened, err := u.dialer.DialContext(ctx, "tcp", t.addr)
 	if err != nil {
@@ -290,9 +290,9 @@
 	c.Close()
 }
 
-// Attempt is engine.Link's. On a kept connection the command is written here, as far as that needs no waiting; where there is
+// Attempt is engine.Endpoint's. On a kept connection the command is written here, as far as that needs no waiting; where there is
 // none, another is opened by a goroutine that reads from it from then on.
-func (t *target) Attempt(stop *engine.Stop, r *engine.Request, caller engine.Caller) (engine.Reply, bool) {
+func (t *target) Attempt(stop *engine.Canceler, r *engine.Request, caller engine.AttemptHandler) (engine.Reply, bool) {
 	return t.begin(work{stop: stop, r: r, caller: caller})
 }
 
@@ -323,7 +323,7 @@
 		u.mu.Lock()
 		t.count(-1)
 		u.mu.Unlock()
-		w.caller.Done(engine.Reply{Status: decide.ConnectError, Load: decide.NoLoad, Refused: errors.Is(err, syscall.ECONNREFUSED)})
+		w.caller.Done(engine.Reply{Status: decide.ConnectError, Load: decide.NoLoad, ConnRefused: errors.Is(err, syscall.ECONNREFUSED)})
 		return
 	}
 	if got := c.start(w); got != started {
@@ -343,7 +343,9 @@
 type prober struct{ came chan engine.Reply } // of capacity 1
 
 // Begin says that the probe is wanted.
-func (prober) Begin() (engine.Try, bool) { return engine.Try{By: time.Now().Add(probeWriting)}, true }
+func (prober) Begin() (engine.Try, bool) {
+	return engine.Try{WriteBy: time.Now().Add(probeWriting)}, true
+}
 
 // probeWriting is for a probe to be written, which is one line.
 const probeWriting = 100 * time.Millisecond
@@ -354,14 +356,14 @@
 // Done takes how the probe ended.
 func (p prober) Done(r engine.Reply) { p.came <- r }
 
-// Probe is engine.Link's.
+// Probe is engine.Endpoint's.
 func (t *target) Probe(ctx context.Context) (decide.Status, decide.Load) {
 	text := t.proto.Probe(t.addr)
 	if text == "" {
 		return decide.OK, decide.NoLoad
 	}
-	var stop engine.Stop
-	defer context.AfterFunc(ctx, stop.Now)()
+	var stop engine.Canceler
+	defer context.AfterFunc(ctx, stop.Cancel)()
 	p := prober{came: make(chan engine.Reply, 1)}
 	got, known := t.begin(work{stop: &stop, caller: p, probe: text})
 	if !known {
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -62,11 +62,11 @@
 }
 
 func (a asker) Begin() (engine.Try, bool) {
-	return engine.Try{Left: 400, By: time.Now().Add(wait)}, a.begin()
+	return engine.Try{DeadlineMS: 400, WriteBy: time.Now().Add(wait)}, a.begin()
 }
 
 // attempt makes an attempt and waits for its end.
-func attempt(t *target, stop *engine.Stop, r *engine.Request, begin func() bool) engine.Reply {
+func attempt(t *target, stop *engine.Canceler, r *engine.Request, begin func() bool) engine.Reply {
 	a := asker{prober{make(chan engine.Reply, 1)}, begin}
 	got, known := t.Attempt(stop, r, a)
 	if !known {
@@ -114,44 +114,44 @@
 		"error":               {answer: "SERVER_ERROR failed\r\n", want: decide.Failed, reused: true},
 		"turned away":         {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
 		"closed":              {answer: "close", want: decide.Reset},
-		"value cut":           {answer: "VA 50 O{id}\r\nhel{cut}", want: decide.Spoilt},
-		"value without end":   {answer: "VA 3 O{id}\r\nhello\r\n", want: decide.Spoilt},
-		"value too long":      {answer: "VA 99999999 O{id}\r\nhello\r\n", want: decide.Spoilt},
-		"bad length":          {answer: "VA -5 O{id}\r\nhello\r\n", want: decide.Spoilt},
-		"another's answer":    {answer: "VA 5 Ozz\r\nhello\r\n", want: decide.Spoilt},
-		"another's miss":      {answer: "EN Ozz\r\n", want: decide.Spoilt},
-		"value for a write":   {answer: "VA 5 O{id}\r\nhello\r\n", write: true, want: decide.Spoilt},
-		"no receipt":          {answer: "HD O{id}\r\n", write: true, want: decide.Spoilt},
-		"unknown error":       {answer: "SERVER_ERROR on fire\r\n", want: decide.Spoilt},
-		"client error":        {answer: "CLIENT_ERROR bad\r\n", want: decide.Spoilt},
-		"no protocol":         {answer: "\x00\x01\r\n", want: decide.Spoilt},
-		"endless line":        {answer: long, want: decide.Spoilt},
-		"noise without end":   {answer: "\x07\x01\x02", want: decide.Spoilt},
-		"value stops short":   {answer: "VA 50 O{id}\r\nhel", want: decide.Spoilt},
-		"line stops short":    {answer: "VA 50 O{id} h1", want: decide.Spoilt},
-		"value of 3 GB":       {answer: "VA 3000000000 O{id}\r\nhel", want: decide.Spoilt},
-		"two ids":             {answer: "VA 5 Ozz O{id}\r\nhello\r\n", want: decide.Spoilt},
+		"value cut":           {answer: "VA 50 O{id}\r\nhel{cut}", want: decide.InvalidAnswer},
+		"value without end":   {answer: "VA 3 O{id}\r\nhello\r\n", want: decide.InvalidAnswer},
+		"value too long":      {answer: "VA 99999999 O{id}\r\nhello\r\n", want: decide.InvalidAnswer},
+		"bad length":          {answer: "VA -5 O{id}\r\nhello\r\n", want: decide.InvalidAnswer},
+		"another's answer":    {answer: "VA 5 Ozz\r\nhello\r\n", want: decide.InvalidAnswer},
+		"another's miss":      {answer: "EN Ozz\r\n", want: decide.InvalidAnswer},
+		"value for a write":   {answer: "VA 5 O{id}\r\nhello\r\n", write: true, want: decide.InvalidAnswer},
+		"no receipt":          {answer: "HD O{id}\r\n", write: true, want: decide.InvalidAnswer},
+		"unknown error":       {answer: "SERVER_ERROR on fire\r\n", want: decide.InvalidAnswer},
+		"client error":        {answer: "CLIENT_ERROR bad\r\n", want: decide.InvalidAnswer},
+		"no protocol":         {answer: "\x00\x01\r\n", want: decide.InvalidAnswer},
+		"endless line":        {answer: long, want: decide.InvalidAnswer},
+		"noise without end":   {answer: "\x07\x01\x02", want: decide.InvalidAnswer},
+		"value stops short":   {answer: "VA 50 O{id}\r\nhel", want: decide.InvalidAnswer},
+		"line stops short":    {answer: "VA 50 O{id} h1", want: decide.InvalidAnswer},
+		"value of 3 GB":       {answer: "VA 3000000000 O{id}\r\nhel", want: decide.InvalidAnswer},
+		"two ids":             {answer: "VA 5 Ozz O{id}\r\nhello\r\n", want: decide.InvalidAnswer},
 		"value and a copy":    {answer: "VA 5 O{id} h1\r\nhello\r\nVA 5 O{id} h1\r\nhello\r\n", want: decide.OK, note: 1},
 		"miss and noise":      {answer: "EN O{id} h0\r\n\x00\x01", want: decide.Miss, note: 2},
 		"bad report":          {answer: "VA 5 O{id} h1 Lqps=\x00\xff,util=?\r\nhello\r\n", want: decide.OK, note: 1, reused: true},
 		"id in the report":    {answer: "VA 5 O{id} h1 Lqps=1 Ozz\r\nhello\r\n", want: decide.OK, note: 1, reused: true},
 		"origin 1xx ahead":    {answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK, reused: true},
-		"origin endless 1xx":  {answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20) + httpAnswer("200 OK", "fresh"), origin: true, want: decide.Spoilt},
-		"origin 101":          {answer: "HTTP/1.1 101 Switching Protocols\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.Spoilt},
+		"origin endless 1xx":  {answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20) + httpAnswer("200 OK", "fresh"), origin: true, want: decide.InvalidAnswer},
+		"origin 101":          {answer: "HTTP/1.1 101 Switching Protocols\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.InvalidAnswer},
 		"origin and a copy":   {answer: httpAnswer("200 OK", "fresh") + httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK},
 		"origin bad report":   {answer: httpAnswer("200 OK", "fresh", "X-Backend-Load: qps=\x00\x01"), origin: true, want: decide.OK, reused: true},
-		"origin long header":  {answer: httpAnswer("200 OK", "fresh", "X-Long: "+long), origin: true, want: decide.Spoilt},
-		"origin many headers": {answer: httpAnswer("200 OK", "fresh", strings.Repeat("X-Many: y\r\n", 5000)), origin: true, want: decide.Spoilt},
-		"origin of 3 GB":      {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.Spoilt},
-		"origin 500 of 3 GB":  {answer: "HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.Spoilt},
-		"origin stops short":  {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true, want: decide.Spoilt},
-		"origin head stops":   {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.Spoilt},
+		"origin long header":  {answer: httpAnswer("200 OK", "fresh", "X-Long: "+long), origin: true, want: decide.InvalidAnswer},
+		"origin many headers": {answer: httpAnswer("200 OK", "fresh", strings.Repeat("X-Many: y\r\n", 5000)), origin: true, want: decide.InvalidAnswer},
+		"origin of 3 GB":      {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.InvalidAnswer},
+		"origin 500 of 3 GB":  {answer: "HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.InvalidAnswer},
+		"origin stops short":  {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true, want: decide.InvalidAnswer},
+		"origin head stops":   {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.InvalidAnswer},
 		"origin in chunks":    {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfresh\r\n0\r\n\r\n", origin: true, want: decide.OK, reused: true},
-		"origin big chunks":   {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3), origin: true, want: decide.Spoilt},
+		"origin big chunks":   {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3), origin: true, want: decide.InvalidAnswer},
 		"origin value":        {answer: httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK, reused: true},
 		"origin receipt":      {answer: httpAnswer("200 OK", "77"), origin: true, write: true, want: decide.OK, reused: true},
 		"origin, last":        {answer: httpAnswer("200 OK", "fresh", "Connection: close"), origin: true, want: decide.OK},
-		"origin no receipt":   {answer: httpAnswer("200 OK", "a\r\nb"), origin: true, write: true, want: decide.Spoilt},
+		"origin no receipt":   {answer: httpAnswer("200 OK", "a\r\nb"), origin: true, write: true, want: decide.InvalidAnswer},
 		"origin error":        {answer: httpAnswer("500 Internal Server Error", ""), origin: true, want: decide.Failed, reused: true},
 		"origin bare 503":     {answer: httpAnswer("503 Service Unavailable", ""), origin: true, want: decide.Failed, reused: true},
 		"origin bare 504":     {answer: httpAnswer("504 Gateway Timeout", ""), origin: true, want: decide.Failed, reused: true},
@@ -159,10 +159,10 @@
 		"origin 504 not run":  {answer: httpAnswer("504 Gateway Timeout", "", "X-Unprocessed: 1"), origin: true, want: decide.QueueFull, reused: true},
 		"origin 500, header":  {answer: httpAnswer("500 Oh", "", "X-Unprocessed: 1"), origin: true, want: decide.Failed, reused: true},
 		"origin closed":       {answer: "close", origin: true, want: decide.Reset},
-		"origin cut":          {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre{cut}", origin: true, want: decide.Spoilt},
-		"origin too long":     {answer: httpAnswer("200 OK", strings.Repeat("x", maxValue+1)), origin: true, want: decide.Spoilt},
-		"origin no protocol":  {answer: "VA 5 O{id}\r\nhello\r\n", origin: true, want: decide.Spoilt},
-		"origin wrong length": {answer: "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", origin: true, want: decide.Spoilt},
+		"origin cut":          {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre{cut}", origin: true, want: decide.InvalidAnswer},
+		"origin too long":     {answer: httpAnswer("200 OK", strings.Repeat("x", maxValue+1)), origin: true, want: decide.InvalidAnswer},
+		"origin no protocol":  {answer: "VA 5 O{id}\r\nhello\r\n", origin: true, want: decide.InvalidAnswer},
+		"origin wrong length": {answer: "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", origin: true, want: decide.InvalidAnswer},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -172,9 +172,9 @@
 			if c.write {
 				cmd = putCommand()
 			}
-			got := attempt(target, &engine.Stop{}, cmd, always)
-			if got.Status != c.want || got.Note != c.note {
-				t.Errorf("got status %v, note %d; want %v, %d", got.Status, got.Note, c.want, c.note)
+			got := attempt(target, &engine.Canceler{}, cmd, always)
+			if got.Status != c.want || got.CacheResult != c.note {
+				t.Errorf("got status %v, note %d; want %v, %d", got.Status, got.CacheResult, c.want, c.note)
 			}
 			next(t, f.Seen, "request")
 			if len(f.Seen) > 0 {
@@ -192,7 +192,7 @@
 	ln := listenLocal(t)
 	refusing := u.add(ln.Addr().String(), speaks(false))
 	ln.Close()
-	if got := attempt(refusing, &engine.Stop{}, getCommand(), always); got.Status != decide.ConnectError {
+	if got := attempt(refusing, &engine.Canceler{}, getCommand(), always); got.Status != decide.ConnectError {
 		t.Errorf("refused: got %v", got.Status)
 	}
 }
@@ -209,7 +209,7 @@
 	})
 	target := u.add(f.Addr, speaks(true))
 	for n := range 3 {
-		if got := attempt(target, &engine.Stop{}, putCommand(), always); got.Status != decide.OK {
+		if got := attempt(target, &engine.Canceler{}, putCommand(), always); got.Status != decide.OK {
 			t.Fatalf("request %d: got %v", n, got.Status)
 		}
 		for kept := idle(u, target); len(kept) > 0 && sock.Quiet(kept[0].Conn); {
@@ -225,7 +225,7 @@
 	f := startFake(t, hit)
 	u := testPool(t, 400*time.Millisecond, 10)
 	target, began := u.add(f.Addr, speaks(false)), time.Now()
-	attempt(target, &engine.Stop{}, getCommand(), always)
+	attempt(target, &engine.Canceler{}, getCommand(), always)
 	next(t, f.Ended, "end of the idle connection")
 	if took := time.Since(began); took < 200*time.Millisecond || took > 3*time.Second {
 		t.Errorf("closed after %v", took)
@@ -241,19 +241,19 @@
 	u := testPool(t, 10*time.Second, 1)
 	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
 	a, b := u.add(f.Addr, speaks(false)), u.add(silent.Addr, speaks(false))
-	if got := attempt(a, &engine.Stop{}, getCommand(), always); got.Status != decide.OK {
+	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Fatalf("got %v", got.Status)
 	}
-	var stop engine.Stop
+	var stop engine.Canceler
 	done := make(chan engine.Reply, 1)
 	go func() { done <- attempt(b, &stop, getCommand(), always) }() // takes the place of the idle one
 	next(t, silent.Seen, "request")
-	if got := attempt(a, &engine.Stop{}, getCommand(), always); got.Status != decide.Ignored {
+	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.Ignored {
 		t.Errorf("beyond the limit: got %v", got.Status)
 	}
-	stop.Now()
+	stop.Cancel()
 	next(t, done, "end of the attempt that was given up")
-	if got := attempt(a, &engine.Stop{}, getCommand(), always); got.Status != decide.OK {
+	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Errorf("once there is room: got %v", got.Status)
 	}
 }
@@ -264,7 +264,7 @@
 	u := testPool(t, 10*time.Second, 8)
 	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
 	a, b := u.add(f.Addr, speaks(false)), u.add(silent.Addr, speaks(false))
-	var stops [8]engine.Stop
+	var stops [8]engine.Canceler
 	done := make(chan engine.Reply, len(stops))
 	for i := range stops {
 		go func() { done <- attempt(b, &stops[i], getCommand(), always) }()
@@ -278,12 +278,12 @@
 		}
 	}
 	for range 8 {
-		if got := attempt(a, &engine.Stop{}, getCommand(), always); got.Status != decide.OK {
+		if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 			t.Errorf("the other one: got %v", got.Status)
 		}
 	}
 	for i := range stops {
-		stops[i].Now()
+		stops[i].Cancel()
 	}
 	for range 6 {
 		next(t, done, "end of what was given up")
@@ -300,8 +300,8 @@
 	f := startFake(t, hit)
 	u := testPool(t, 10*time.Second, 10)
 	target := u.add(f.Addr, speaks(false))
-	attempt(target, &engine.Stop{}, getCommand(), func() bool { return false })
-	if got := attempt(target, &engine.Stop{}, getCommand(), always); got.Status != decide.OK {
+	attempt(target, &engine.Canceler{}, getCommand(), func() bool { return false })
+	if got := attempt(target, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Errorf("got %v", got.Status)
 	}
 	next(t, f.Seen, "request")
@@ -334,7 +334,7 @@
 		if !u.room(target) {
 			t.Fatal("no room")
 		}
-		c, err := u.dial(&engine.Stop{}, target)
+		c, err := u.dial(&engine.Canceler{}, target)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -381,7 +381,7 @@
 	for n := range 5 {
 		cmd := getCommand()
 		cmd.ID = fmt.Sprint("a", n)
-		if got := attempt(target, &engine.Stop{}, cmd, always); string(got.Body) != cmd.ID {
+		if got := attempt(target, &engine.Canceler{}, cmd, always); string(got.Body) != cmd.ID {
 			t.Errorf("request %s: got status %v, %q", cmd.ID, got.Status, got.Body)
 		}
 		if n == 2 { // the copies are there now
--- a/internal/backend/resp/protocol.go
+++ b/internal/backend/resp/protocol.go
@@ -44,8 +44,8 @@
 		b = append(b, asking...)
 	}
 	switch {
-	case len(r.Words) > 0:
-		return resp.AppendCommand(b, r.Words...), nil
+	case len(r.Args) > 0:
+		return resp.AppendCommand(b, r.Args...), nil
 	case r.Key == "":
 		return nil, errors.New("no command")
 	case r.Write:
@@ -60,7 +60,7 @@
 // missed says whether a reply means that the server lacks a key that the origin may have. Commands other than GET are
 // answered by what the servers hold.
 func (p Protocol) missed(r *engine.Request, got *resp.Reply) bool {
-	get := len(r.Words) == 0 || len(r.Words) == 2 && strings.EqualFold(string(r.Words[0]), "GET")
+	get := len(r.Args) == 0 || len(r.Args) == 2 && strings.EqualFold(string(r.Args[0]), "GET")
 	return p.Origin && get && !r.Write && got.Kind == resp.Null && len(r.Key) <= MaxFetched
 }
 
@@ -141,8 +141,8 @@
 	switch {
 	case a.Status != decide.OK:
 	case p.missed(q, &got):
-		a.Status, a.Note, a.Content = decide.Miss, 2, nil
-	case len(q.Words) == 0:
+		a.Status, a.CacheResult, a.Content = decide.Miss, 2, nil
+	case len(q.Args) == 0:
 		plain(&a, q, &got)
 	}
 	return a, false, nil
--- a/internal/backend/resp/resp_test.go
+++ b/internal/backend/resp/resp_test.go
@@ -39,7 +39,7 @@
 func command(words ...string) *engine.Request {
 	q := &engine.Request{}
 	for _, w := range words {
-		q.Words = append(q.Words, []byte(w))
+		q.Args = append(q.Args, []byte(w))
 	}
 	return q
 }
@@ -60,8 +60,8 @@
 		{command("GET", "k"), "-LOADING x", true, decide.QueueFull},
 	} {
 		a, _, err := Protocol{Cluster: &heard{}, Origin: row.origin}.Answer(in(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
-		if err != nil || a.Status != row.want || a.Status == decide.Miss && (a.Content != nil || a.Note != 2) {
-			t.Errorf("%q %q: %+v, %v", row.q.Words, row.answer, a, err)
+		if err != nil || a.Status != row.want || a.Status == decide.Miss && (a.Content != nil || a.CacheResult != 2) {
+			t.Errorf("%q %q: %+v, %v", row.q.Args, row.answer, a, err)
 		}
 	}
 }
@@ -238,7 +238,7 @@
 // ASKING goes ahead of the command in the same write, and its own answer is passed over, as are those to Open and news.
 func TestAheadOfTheCommand(t *testing.T) {
 	p := Protocol{Cluster: &heard{}, User: "u", Password: "p", Replicas: true}
-	r := &engine.Request{Words: [][]byte{[]byte("GET"), []byte("k")}}
+	r := &engine.Request{Args: [][]byte{[]byte("GET"), []byte("k")}}
 	wire, err := p.Command("a:1", r, engine.Try{Asking: true})
 	if want := "*1\r\n$6\r\nASKING\r\n*2\r\n$3\r\nGET\r\n$1\r\nk\r\n"; err != nil || string(wire) != want {
 		t.Errorf("%q, %v", wire, err)
--- a/internal/engine/allocs_test.go
+++ b/internal/engine/allocs_test.go
@@ -9,29 +9,31 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// instant is a backend whose servers answer at once.
-type instant struct{}
+// instantBackend is a backend whose servers answer at once.
+type instantBackend struct{}
 
-var instantAnswer = Reply{Status: decide.OK, Load: decide.NoLoad, Note: 1, Body: []byte("v")}
+var instantReply = Reply{Status: decide.OK, Load: decide.NoLoad, CacheResult: 1, Body: []byte("v")}
 
-func (instant) Link(Server) Link { return instant{} }
-func (instant) Attempt(_ *Stop, _ *Request, caller Caller) (Reply, bool) {
+func (instantBackend) Endpoint(Server) Endpoint { return instantBackend{} }
+func (instantBackend) Attempt(_ *Canceler, _ *Request, caller AttemptHandler) (Reply, bool) {
 	caller.Begin()
-	return instantAnswer, true
+	return instantReply, true
 }
-func (instant) Probe(context.Context) (decide.Status, decide.Load) { return decide.OK, decide.NoLoad }
-func (instant) CloseIdle()                                         {}
-func (instant) Remove()                                            {}
+func (instantBackend) Probe(context.Context) (decide.Status, decide.Load) {
+	return decide.OK, decide.NoLoad
+}
+func (instantBackend) CloseIdle() {}
+func (instantBackend) Remove()    {}
 
-// instantEngine runs an engine of three servers that answer at once, and gives what asks it for one read and waits for the
+// startInstantEngine runs an engine of three servers that answer at once, and gives what asks it for one read and waits for the
 // answer.
-func instantEngine(tb testing.TB) (ask func()) { return instantEngineThat(tb, false) }
+func startInstantEngine(tb testing.TB) (ask func()) { return startInstantEngineWith(tb, false) }
 
-// instantEngineThat counts or does not.
-func instantEngineThat(tb testing.TB, counts bool) (ask func()) {
+// startInstantEngineWith counts or does not.
+func startInstantEngineWith(tb testing.TB, counts bool) (ask func()) {
 	tb.Helper()
-	e, err := New(Options{Counts: counts, Seed: 5, Held: 1 << 20, Queued: 1 << 20, Module: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1, FallMult: 3, FallFor: 1000,
-		ConnIdle: 1000, Classes: []decide.Class{{Name: "read", Aim: 150, Deadline: 200, Worth: 1}}}}, instant{})
+	e, err := New(Options{CollectCounts: counts, Seed: 5, MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1, FallMult: 3, FallFor: 1000,
+		ConnIdle: 1000, Classes: []decide.Class{{Name: "read", Aim: 150, Deadline: 200, Worth: 1}}}}, instantBackend{})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -40,14 +42,14 @@
 	for i := range 3 {
 		list = append(list, Server{decide.Entry{ID: uint32(i + 1), Size: 1, Zone: "a"}, strconv.Itoa(i)})
 	}
-	e.Post(func() { e.List(decide.Full, list) })
+	e.Post(func() { e.UpdateServers(decide.Full, list) })
 	answered := make(chan Result, 1)
 	n := 0
 	return func() {
 		n++
 		q := &Request{ID: strconv.Itoa(n), Class: "read", Key: "7f3a9c21e0b4d655", Wait: 200, Hint: 1}
-		t := &Ticket{Answer: func(_ *Request, a Answer) { answered <- a.Result }}
-		e.Post(func() { e.Arrive(q, e.Now(), t) })
+		t := &RequestHandle{OnAnswer: func(_ *Request, a Answer) { answered <- a.Result }}
+		e.Post(func() { e.Submit(q, e.Now(), t) })
 		if got := <-answered; got != Served {
 			tb.Errorf("request %d: result %d", n, got)
 		}
@@ -70,7 +72,7 @@
 const maxAllocs = 16
 
 func TestAllocationsForEachRequest(t *testing.T) {
-	ask := instantEngine(t)
+	ask := startInstantEngine(t)
 	for range 2000 { // maps and slices have their size, the key is known
 		ask()
 	}
@@ -82,7 +84,7 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	ask := instantEngine(b)
+	ask := startInstantEngine(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		ask()
@@ -91,7 +93,7 @@
 
 // BenchmarkFiguresRatio compares requests to an engine that counts with those to one that does not, in turn.
 func BenchmarkFiguresRatio(b *testing.B) {
-	with, without := instantEngineThat(b, true), instantEngineThat(b, false)
+	with, without := startInstantEngineWith(b, true), startInstantEngineWith(b, false)
 	var took [2]time.Duration
 	const part = 200
 	for b.Loop() {
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -10,35 +10,35 @@
 type events struct {
 	wake chan struct{} // of capacity 1: some are there
 
-	mu    *sync.Mutex
-	room  *sync.Cond
-	queue []func()
-	spare []func() // the last batch's memory
-	ended bool
+	mu        *sync.Mutex
+	notFull   *sync.Cond
+	queue     []func()
+	lastBatch []func() // the last batch's memory
+	ended     bool
 }
 
 func newEvents() events {
 	mu := &sync.Mutex{}
-	return events{wake: make(chan struct{}, 1), mu: mu, room: sync.NewCond(mu)}
+	return events{wake: make(chan struct{}, 1), mu: mu, notFull: sync.NewCond(mu)}
 }
 
 // post adds an event, waiting for room.
 func (e *events) post(event func()) {
 	e.mu.Lock()
 	for len(e.queue) >= maxEvents && !e.ended {
-		e.room.Wait()
+		e.notFull.Wait()
 	}
-	e.put(event)
+	e.enqueueAndUnlock(event)
 }
 
-// add adds an event, room or not.
-func (e *events) add(event func()) {
+// postUnbounded adds an event, room or not.
+func (e *events) postUnbounded(event func()) {
 	e.mu.Lock()
-	e.put(event)
+	e.enqueueAndUnlock(event)
 }
 
-// put adds an event and unlocks.
-func (e *events) put(event func()) {
+// enqueueAndUnlock adds an event and unlocks.
+func (e *events) enqueueAndUnlock(event func()) {
 	if e.ended {
 		e.mu.Unlock()
 		return
@@ -54,23 +54,23 @@
 	}
 }
 
-// take takes all events that are there. They are the caller's until it takes the next.
+// acquire takes all events that are there. They are the caller's until it takes the next.
 func (e *events) take() []func() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	clear(e.spare) // carried out: what they hold can go
+	clear(e.lastBatch) // carried out: what they hold can go
 	batch := e.queue
-	e.queue, e.spare = e.spare[:0], batch
+	e.queue, e.lastBatch = e.lastBatch[:0], batch
 	if len(batch) >= maxEvents {
-		e.room.Broadcast()
+		e.notFull.Broadcast()
 	}
 	return batch
 }
 
-// end drops what waits and comes later.
-func (e *events) end() {
+// close drops what waits and comes later.
+func (e *events) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ended, e.queue, e.spare = true, nil, nil
-	e.room.Broadcast()
+	e.ended, e.queue, e.lastBatch = true, nil, nil
+	e.notFull.Broadcast()
 }
--- a/internal/engine/events_test.go
+++ b/internal/engine/events_test.go
@@ -60,7 +60,7 @@
 	if through.Load() != 0 {
 		t.Error("more than the bound are taken")
 	}
-	e.end()
+	e.close()
 	wg.Wait()
 	e.post(func() { t.Error("carried out") })
 	if len(e.take()) != 0 {
@@ -79,7 +79,7 @@
 	}
 	e.take()
 	e.take()
-	for _, f := range append(e.queue[:cap(e.queue)], e.spare[:cap(e.spare)]...) {
+	for _, f := range append(e.queue[:cap(e.queue)], e.lastBatch[:cap(e.lastBatch)]...) {
 		if f != nil {
 			t.Fatal("an event is held")
 		}
--- a/internal/engine/gate_test.go
+++ b/internal/engine/gate_test.go
@@ -7,11 +7,11 @@
 	"mossproxy.example/mossproxy/internal/guard"
 )
 
-// gateRequest is a request of a class, one of whose attempts began so many ms ago and may have run.
-func gateRequest(class decide.Class, ago float64) (*Engine, *request) {
+// requestWithAttempt is a request of a class, one of whose attempts began so many ms ago and may have run.
+func requestWithAttempt(class decide.Class, ago float64) (*Engine, *request) {
 	e := &Engine{clock: newClock(), Guard: &guard.Guard{}, events: newEvents()}
-	r := &request{Request: &Request{ID: "a1", Class: class.Name}, class: class, until: e.now() + 5000, read: e.now()}
-	r.tries = []*attempt{{e: e, r: r, at: e.now() - ago, over: true, ran: true}}
+	r := &request{Request: &Request{ID: "a1", Class: class.Name}, class: class, deadline: e.now() + 5000, readAt: e.now()}
+	r.attempts = []*attempt{{engine: e, request: r, startedAt: e.now() - ago, finished: true, maybeRan: true}}
 	return e, r
 }
 
@@ -19,12 +19,12 @@
 func TestKeyedRepeatOverALateConnectionStaysWithinItsWindow(t *testing.T) {
 	class := decide.Class{Name: "put", Effect: decide.Keyed, Scope: "all", Window: 1000}
 	for ago, want := range map[float64]bool{0: true, 700: true, 860: false, 1200: false} {
-		e, r := gateRequest(class, ago)
+		e, r := requestWithAttempt(class, ago)
 		by, ok := e.mayRepeat(r)
 		if !ok {
 			t.Fatalf("%v ms after the first attempt: not to be repeated at all", ago)
 		}
-		a := &attempt{e: e, r: r, n: 1, by: by}
+		a := &attempt{engine: e, request: r, index: 1, beginBy: by}
 		if _, begins := a.Begin(); begins != want {
 			t.Errorf("%v ms after the first attempt of a window of 1000: begins %v", ago, begins)
 		}
@@ -33,14 +33,14 @@
 
 // Guards against a second attempt of what must never run twice, whoever has decided on it.
 func TestUnsafeRequestIsNotRepeatedWhateverIsDecided(t *testing.T) {
-	e, r := gateRequest(decide.Class{Name: "bill", Effect: decide.Once}, 10)
+	e, r := requestWithAttempt(decide.Class{Name: "bill", Effect: decide.Once}, 10)
 	if _, ok := e.mayRepeat(r); ok {
 		t.Error("repeated, though the attempt before may have run")
 	}
-	if e.mayPromise(r) {
+	if e.mayRefuse(r) {
 		t.Error("refused with the promise that a retry is harmless")
 	}
-	r.tries[0].ran = false
+	r.attempts[0].maybeRan = false
 	if _, ok := e.mayRepeat(r); !ok {
 		t.Error("not repeated, though the attempt before has never run")
 	}
--- a/internal/engine/history_test.go
+++ b/internal/engine/history_test.go
@@ -12,34 +12,34 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// whim is a backend that ends attempts in every way there is, at once, late or never, drawn from a seed. It counts, for
+// randomBackend is a backend that ends attempts in every way there is, at once, late or never, drawn from a seed. It counts, for
 // each request, the attempts that are out together and those that may have run.
-type whim struct {
-	mu   sync.Mutex
-	rng  *rand.Rand
-	out  map[string]int
-	ran  map[string]int
-	most int // attempts of one request out at once
+type randomBackend struct {
+	mu          sync.Mutex
+	rng         *rand.Rand
+	inFlight    map[string]int
+	ran         map[string]int
+	maxInFlight int // attempts of one request out at once
 }
 
-func (w *whim) Link(s Server) Link { return &whimLink{w, s.ID} }
+func (w *randomBackend) Endpoint(s Server) Endpoint { return &randomEndpoint{w, s.ID} }
 
-type whimLink struct {
-	w  *whim
-	id uint32
+type randomEndpoint struct {
+	backend  *randomBackend
+	serverID uint32
 }
 
-func (l *whimLink) Probe(context.Context) (decide.Status, decide.Load) {
+func (l *randomEndpoint) Probe(context.Context) (decide.Status, decide.Load) {
 	return decide.OK, decide.NoLoad
 }
-func (l *whimLink) CloseIdle() {}
-func (l *whimLink) Remove()    {}
+func (l *randomEndpoint) CloseIdle() {}
+func (l *randomEndpoint) Remove()    {}
 
 // Attempt ends as the seed has it, at once or later.
-func (l *whimLink) Attempt(stop *Stop, r *Request, caller Caller) (Reply, bool) {
-	l.w.mu.Lock()
-	busy := l.w.rng.IntN(10) == 0
-	l.w.mu.Unlock()
+func (l *randomEndpoint) Attempt(stop *Canceler, r *Request, caller AttemptHandler) (Reply, bool) {
+	l.backend.mu.Lock()
+	busy := l.backend.rng.IntN(10) == 0
+	l.backend.mu.Unlock()
 	if busy {
 		return Reply{Status: decide.Ignored, Load: decide.NoLoad}, true
 	}
@@ -48,11 +48,11 @@
 }
 
 // attempt is one that takes its time. What may have run is counted from begin on.
-func (l *whimLink) attempt(stop *Stop, r *Request, begin func() (Try, bool)) Reply {
-	w, given := l.w, make(chan struct{})
-	stop.Then(func() { close(given) })
+func (l *randomEndpoint) attempt(stop *Canceler, r *Request, begin func() (Try, bool)) Reply {
+	w, given := l.backend, make(chan struct{})
+	stop.OnCancel(func() { close(given) })
 	w.mu.Lock()
-	status := []decide.Status{decide.OK, decide.OK, decide.OK, decide.Failed, decide.QueueFull, decide.ConnectError, decide.Reset, decide.Ignored, decide.Spoilt}[w.rng.IntN(9)]
+	status := []decide.Status{decide.OK, decide.OK, decide.OK, decide.Failed, decide.QueueFull, decide.ConnectError, decide.Reset, decide.Ignored, decide.InvalidAnswer}[w.rng.IntN(9)]
 	pause := time.Duration(w.rng.IntN(4)) * time.Millisecond
 	never := w.rng.IntN(12) == 0
 	var owners []uint32
@@ -61,21 +61,21 @@
 	}
 	w.mu.Unlock()
 	if status == decide.ConnectError {
-		return Reply{Status: status, Load: decide.NoLoad, Refused: pause == 0}
+		return Reply{Status: status, Load: decide.NoLoad, ConnRefused: pause == 0}
 	}
 	if _, wanted := begin(); !wanted {
 		return Reply{Status: decide.Canceled, Load: decide.NoLoad}
 	}
 	w.mu.Lock()
-	w.out[r.ID]++
-	w.most = max(w.most, w.out[r.ID])
+	w.inFlight[r.ID]++
+	w.maxInFlight = max(w.maxInFlight, w.inFlight[r.ID])
 	if !status.NeverRan() || never {
 		w.ran[r.ID]++
 	}
 	w.mu.Unlock()
 	defer func() {
 		w.mu.Lock()
-		w.out[r.ID]--
+		w.inFlight[r.ID]--
 		w.mu.Unlock()
 	}()
 	if never {
@@ -93,8 +93,8 @@
 // one that must not run twice never may have, and is refused only if it has not run. Nothing is left of them.
 func TestOneFinalAnswer(t *testing.T) {
 	const requests = 3000
-	w := &whim{rng: rand.New(rand.NewPCG(11, 3)), out: map[string]int{}, ran: map[string]int{}}
-	e, err := New(Options{Seed: 5, Held: 1 << 20, Queued: 1 << 20, Module: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1, FallMult: 3, FallFor: 1000, ConnIdle: 1000,
+	w := &randomBackend{rng: rand.New(rand.NewPCG(11, 3)), inFlight: map[string]int{}, ran: map[string]int{}}
+	e, err := New(Options{Seed: 5, MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1, FallMult: 3, FallFor: 1000, ConnIdle: 1000,
 		Classes: []decide.Class{{Name: "read", Aim: 150, Deadline: 200, Worth: 1}, {Name: "poll", Effect: decide.Once, Aim: 150, Deadline: 200, Worth: 1}}}}, w)
 	if err != nil {
 		t.Fatal(err)
@@ -104,9 +104,9 @@
 	for i := range 6 {
 		list = append(list, Server{decide.Entry{ID: uint32(i + 1), Size: 1, Zone: "a"}, fmt.Sprintf("127.0.0.1:%d", i+1)})
 	}
-	e.Post(func() { e.List(decide.Full, list) })
+	e.Post(func() { e.UpdateServers(decide.Full, list) })
 	answers := make([]atomic.Int32, requests)
-	var results [Gone + 1]atomic.Int64
+	var results [ClientGone + 1]atomic.Int64
 	var open sync.WaitGroup
 	rng := rand.New(rand.NewPCG(7, 7))
 	for i := range requests {
@@ -120,8 +120,8 @@
 		leaves := i%20 == 19
 		open.Add(1)
 		at := e.Now()
-		tick := &Ticket{}
-		tick.Answer = func(q *Request, a Answer) {
+		tick := &RequestHandle{}
+		tick.OnAnswer = func(q *Request, a Answer) {
 			results[a.Result].Add(1)
 			if answers[i].Add(1) > 1 {
 				t.Errorf("request %d: a second answer", i)
@@ -136,13 +136,13 @@
 				t.Errorf("request %d: served with %q", i, a.Body)
 			case a.Result == Refused && q.Write && ran > 0:
 				t.Errorf("request %d: refused, and %d attempts may have run", i, ran)
-			case e.Now()-at > 200+grace+150: // and what a busy machine takes
+			case e.Now()-at > 200+answerGrace+150: // and what a busy machine takes
 				t.Errorf("request %d: answered after %.0f ms", i, e.Now()-at)
 			}
 		}
-		e.Post(func() { e.Arrive(q, at, tick) })
+		e.Post(func() { e.Submit(q, at, tick) })
 		if leaves {
-			e.Post(func() { e.Leave(tick) })
+			e.Post(func() { e.ClientLeft(tick) })
 		}
 		if i%40 == 0 {
 			time.Sleep(time.Millisecond) // some breadth in time; nothing is waited for
@@ -157,23 +157,23 @@
 			t.Errorf("poll %s: %d attempts may have run", id, n)
 		}
 	}
-	if w.most > 1 {
-		t.Errorf("%d attempts of a request out at once", w.most)
+	if w.maxInFlight > 1 {
+		t.Errorf("%d attempts of a request out at once", w.maxInFlight)
 	}
 	w.mu.Unlock()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		got := make(chan Size)
 		e.Post(func() { got <- e.Size() })
 		s := <-got
-		if s.Requests+s.Open == 0 && e.Held.Used() == 0 {
+		if s.Requests+s.Open == 0 && e.HeldBytes.Used() == 0 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%+v are left, %d bytes", s, e.Held.Used())
+			t.Fatalf("%+v are left, %d bytes", s, e.HeldBytes.Used())
 		}
 	}
-	for r := Served; r <= Gone; r++ {
-		if r != Doubled && results[r].Load() == 0 {
+	for r := Served; r <= ClientGone; r++ {
+		if r != Duplicate && results[r].Load() == 0 {
 			t.Errorf("no answer of kind %d: the test shows little", r)
 		}
 	}
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -8,9 +8,9 @@
 // idShards spreads the ids, so that engines seldom wait for each other.
 const idShards = 64
 
-// IDs are those of the requests that are open at any of several engines. It may be used from any goroutine. Its memory is
+// RequestIDs are those of the requests that are open at any of several engines. It may be used from any goroutine. Its memory is
 // that of the open requests. A nil one takes all ids.
-type IDs struct {
+type RequestIDs struct {
 	seed   maphash.Seed
 	shards [idShards]struct {
 		mu   sync.Mutex
@@ -18,17 +18,17 @@
 	}
 }
 
-// NewIDs holds no id.
-func NewIDs() *IDs {
-	s := &IDs{seed: maphash.MakeSeed()}
+// NewRequestIDs holds no id.
+func NewRequestIDs() *RequestIDs {
+	s := &RequestIDs{seed: maphash.MakeSeed()}
 	for i := range s.shards {
 		s.shards[i].open = map[string]struct{}{}
 	}
 	return s
 }
 
-// take takes an id, and tells whether it was free.
-func (s *IDs) take(id string) bool {
+// acquire takes an id, and tells whether it was free.
+func (s *RequestIDs) acquire(id string) bool {
 	if s == nil {
 		return true
 	}
@@ -42,8 +42,8 @@
 	return true
 }
 
-// give gives an id back.
-func (s *IDs) give(id string) {
+// release gives an id back.
+func (s *RequestIDs) release(id string) {
 	if s == nil {
 		return
 	}
@@ -54,7 +54,7 @@
 }
 
 // Len is how many ids are taken.
-func (s *IDs) Len() (n int) {
+func (s *RequestIDs) Len() (n int) {
 	for i := range s.shards {
 		h := &s.shards[i]
 		h.mu.Lock()
--- a/internal/engine/starts_test.go
+++ b/internal/engine/starts_test.go
@@ -6,14 +6,14 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// hour is an hour in ms, by which a wall clock is off.
-const hour = 3600e3
+// hourMS is an hour in ms, by which a wall clock is off.
+const hourMS = 3600e3
 
-// startsEngine is an engine that does not run.
-func startsEngine(t *testing.T) *Engine {
+// newIdleEngine is an engine that does not run.
+func newIdleEngine(t *testing.T) *Engine {
 	t.Helper()
-	e, err := New(Options{Seed: 5, Module: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 0.3, FallMult: 3, FallFor: 1000, Cold: 8000, ConnIdle: 1000,
-		Classes: []decide.Class{{Name: "read", Aim: 150, Deadline: 200, Worth: 1}}}}, missing{})
+	e, err := New(Options{Seed: 5, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 0.3, FallMult: 3, FallFor: 1000, Cold: 8000, ConnIdle: 1000,
+		Classes: []decide.Class{{Name: "read", Aim: 150, Deadline: 200, Worth: 1}}}}, missBackend{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,19 +22,19 @@
 
 // Guards against a server that has just started and is taken for warm, or for cold for an hour, as a wall clock was stepped.
 func TestStartIsPutOnTheEnginesClockWhateverWallClocksSay(t *testing.T) {
-	e := startsEngine(t)
+	e := newIdleEngine(t)
 	tell := func(kind decide.ListKind, started float64) float64 {
-		e.List(kind, []Server{{decide.Entry{ID: 7, Size: 1, Zone: "a", Started: started}, "127.0.0.1:7"}})
+		e.UpdateServers(kind, []Server{{decide.Entry{ID: 7, Size: 1, Zone: "a", Started: started}, "127.0.0.1:7"}})
 		return e.targets[7].entry.Started
 	}
-	long := e.now() - hour
+	long := e.now() - hourMS
 	if got := tell(decide.Full, long); got != long {
 		t.Errorf("the first list's start is taken for %.0f ms ago", e.now()-got)
 	}
 	if got := tell(decide.Full, long); got != long {
 		t.Error("the same start is taken for another")
 	}
-	for name, listed := range map[string]float64{"behind": e.now() - hour + 5, "ahead": e.now() + hour} {
+	for name, listed := range map[string]float64{"behind": e.now() - hourMS + 5, "ahead": e.now() + hourMS} {
 		now := e.now()
 		got := tell(decide.Changes, listed)
 		if age := now - got; age > 100 || age < -100 {
@@ -44,7 +44,7 @@
 			t.Errorf("clock an hour %s: the same start is taken for another", name)
 		}
 	}
-	e.Follow(func() {}, false)
+	e.SetListSource(func() {}, false)
 	if got := tell(decide.Full, long); got != long {
 		t.Errorf("another source's list: taken for %.0f ms ago", e.now()-got)
 	}
@@ -52,20 +52,20 @@
 
 // Guards against a server in slow start that the next process of a router takes for warm, as the wall clock was stepped between their starts.
 func TestHandoverKeepsSlowStartWhateverTheWallClockDid(t *testing.T) {
-	for name, step := range map[string]float64{"forward": hour, "back": -hour} {
-		old, next := startsEngine(t), startsEngine(t)
-		next.base += step
+	for name, step := range map[string]float64{"forward": hourMS, "back": -hourMS} {
+		old, next := newIdleEngine(t), newIdleEngine(t)
+		next.unixStart += step
 		listed := old.now() - 500
-		old.List(decide.Full, []Server{{decide.Entry{ID: 7, Size: 1, Zone: "a", Started: listed}, "127.0.0.1:7"}})
-		h := old.Hand()
-		if err := next.Adopt(h); err != nil {
+		old.UpdateServers(decide.Full, []Server{{decide.Entry{ID: 7, Size: 1, Zone: "a", Started: listed}, "127.0.0.1:7"}})
+		h := old.ExportState()
+		if err := next.ImportState(h); err != nil {
 			t.Fatalf("wall clock stepped %s: %v", name, err)
 		}
 		age := next.now() - next.targets[7].entry.Started
 		if age < 0 || age > 5000 {
 			t.Errorf("wall clock stepped %s: a start of half a second ago is taken for %.0f ms ago", name, age)
 		}
-		next.List(decide.Full, []Server{{decide.Entry{ID: 7, Size: 1, Zone: "a", Started: listed}, "127.0.0.1:7"}})
+		next.UpdateServers(decide.Full, []Server{{decide.Entry{ID: 7, Size: 1, Zone: "a", Started: listed}, "127.0.0.1:7"}})
 		if again := next.now() - next.targets[7].entry.Started; again < age || again > age+1000 {
 			t.Errorf("wall clock stepped %s: the same start is taken for another, %.0f ms ago", name, again)
 		}
--- a/internal/engine/stop.go
+++ b/internal/engine/stop.go
@@ -2,32 +2,32 @@
 
 import "sync"
 
-// Stop gives an attempt up. It does what a context's end would, without an allocation for each attempt. It may be used
+// Canceler gives an attempt up. It does what a context's end would, without an allocation for each attempt. It may be used
 // from any goroutine; the zero value is ready.
-type Stop struct {
-	mu   sync.Mutex
-	over bool
-	then func()
+type Canceler struct {
+	mu       sync.Mutex
+	canceled bool
+	onCancel func()
 }
 
-// Now gives the attempt up: what is to be done then is done by this call, once.
-func (s *Stop) Now() {
+// Cancel gives the attempt up: what is to be done then is done by this call, once.
+func (s *Canceler) Cancel() {
 	s.mu.Lock()
-	then := s.then
-	s.over, s.then = true, nil
+	then := s.onCancel
+	s.canceled, s.onCancel = true, nil
 	s.mu.Unlock()
 	if then != nil {
 		then()
 	}
 }
 
-// Then has something done when the attempt is given up, in place of what was to be done before; where that has happened, it
+// OnCancel has something done when the attempt is given up, in place of what was to be done before; where that has happened, it
 // is done at once.
-func (s *Stop) Then(do func()) {
+func (s *Canceler) OnCancel(do func()) {
 	s.mu.Lock()
-	over := s.over
+	over := s.canceled
 	if !over {
-		s.then = do
+		s.onCancel = do
 	}
 	s.mu.Unlock()
 	if over {
@@ -35,10 +35,10 @@
 	}
 }
 
-// Release takes back what was to be done. It tells whether that is still undone, and so will not be done.
-func (s *Stop) Release() bool {
+// Detach takes back what was to be done. It tells whether that is still undone, and so will not be done.
+func (s *Canceler) Detach() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.then = nil
-	return !s.over
+	s.onCancel = nil
+	return !s.canceled
 }
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -7,37 +7,37 @@
 )
 
 func TestStop(t *testing.T) {
-	var s Stop
+	var s Canceler
 	n := 0
-	s.Then(func() { t.Error("replaced, and done all the same") })
-	s.Then(func() { n++ })
-	s.Now()
-	s.Now()
-	if n != 1 || s.Release() {
-		t.Errorf("done %d times, released %v", n, s.Release())
+	s.OnCancel(func() { t.Error("replaced, and done all the same") })
+	s.OnCancel(func() { n++ })
+	s.Cancel()
+	s.Cancel()
+	if n != 1 || s.Detach() {
+		t.Errorf("done %d times, released %v", n, s.Detach())
 	}
-	s.Then(func() { n++ })
+	s.OnCancel(func() { n++ })
 	if n != 2 {
 		t.Error("given up already: not done at once")
 	}
-	var r Stop
-	r.Then(func() { t.Error("released, and done all the same") })
-	if !r.Release() {
+	var r Canceler
+	r.OnCancel(func() { t.Error("released, and done all the same") })
+	if !r.Detach() {
 		t.Error("not released")
 	}
-	r.Now()
+	r.Cancel()
 }
 
 // Either what was to be done is done, or Release says that it won't be: never both, never neither.
 func TestStopRace(t *testing.T) {
 	for range 2000 {
-		var s Stop
+		var s Canceler
 		var done atomic.Int32
-		s.Then(func() { done.Add(1) })
+		s.OnCancel(func() { done.Add(1) })
 		var wg sync.WaitGroup
 		released := false
-		wg.Go(s.Now)
-		wg.Go(func() { released = s.Release() })
+		wg.Go(s.Cancel)
+		wg.Go(func() { released = s.Detach() })
 		wg.Wait()
 		if released != (done.Load() == 0) || done.Load() > 1 {
 			t.Fatalf("released %v, done %d times", released, done.Load())
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -10,29 +10,29 @@
 
 // Request is what a front hands over: one request of a client, in nobody's protocol.
 type Request struct {
-	ID     string // the client's; no two of the same are open at once
-	Class  string
-	Tenant string
-	Of     uint32 // the generation of the tenant that asks; 0 = nobody has asked who calls
-	Key    string
-	Facts  string // what the client said of the request, as it is passed on
-	Value  []byte // of a write
-	Held   int    // bytes that were taken from Held for it, given back when it is over
-	Wait   float64
-	Hint   float64 // expected work, ms; 0 = unknown
-	Size   float64 // bytes; 0 = unknown
-	Retry  bool
-	Write  bool
-	Owners []uint32 // the servers that may serve it, the first one at home; nil = any
-	Words  [][]byte // the command itself, where the fields above don't say it; never changed
-	Stores bool     // no client's: see Store
+	ID               string // the client's; no two of the same are open at once
+	Class            string
+	Tenant           string
+	TenantGeneration uint32 // the generation of the tenant that asks; 0 = nobody has asked who calls
+	Key              string
+	Facts            string // what the client said of the request, as it is passed on
+	Value            []byte // of a write
+	HeldBytes        int    // bytes that were taken from Held for it, given back when it is over
+	Wait             float64
+	Hint             float64 // expected work, ms; 0 = unknown
+	Size             float64 // bytes; 0 = unknown
+	Retry            bool
+	Write            bool
+	Owners           []uint32 // the servers that may serve it, the first one at home; nil = any
+	Args             [][]byte // the command itself, where the fields above don't say it; never changed
+	CacheFill        bool     // no client's: see Store
 }
 
 // Try is one attempt, as a backend needs to know it. It is valid for the write that follows the Begin that gave it.
 type Try struct {
-	Left   float64   // ms: the deadline that the server is passed, at most what the client has left
-	By     time.Time // when the last byte has to be written at the latest: from then on Left exceeds what the client has left
-	Asking bool      // the server has the request by leave of another: it would else send it on
+	DeadlineMS float64   // ms: the deadline that the server is passed, at most what the client has left
+	WriteBy    time.Time // when the last byte has to be written at the latest: from then on Left exceeds what the client has left
+	Asking     bool      // the server has the request by leave of another: it would else send it on
 }
 
 // Result is the kind of a final answer.
@@ -40,85 +40,85 @@
 
 // The final answers.
 const (
-	Served  Result = iota
-	Refused        // trying again is harmless
-	Failed         // no promise
-	Doubled        // not taken: a request with its id is open
-	Gone           // the client has left: nobody waits
+	Served     Result = iota
+	Refused           // trying again is harmless
+	Failed            // no promise
+	Duplicate         // not taken: a request with its id is open
+	ClientGone        // the client has left: nobody waits
 )
 
-// Answer is the final answer to a request.
+// OnAnswer is the final answer to a request.
 type Answer struct {
 	Result
-	Body    []byte  // Served
-	Content any     // Served: the answer in a backend's own terms, where Body does not say it
-	Absent  bool    // Served: there is no value
-	Long    Long    // Served: the value, instead of Body; the front tells by Passed how it ended
-	Wait    float64 // Refused: ms after which to come again; 0 = not told
+	Body       []byte        // Served
+	Content    any           // Served: the answer in a backend's own terms, where Body does not say it
+	Absent     bool          // Served: there is no value
+	Streamed   StreamedValue // Served: the value, instead of Body; the front tells by Passed how it ended
+	RetryAfter float64       // Refused: ms after which to come again; 0 = not told
 }
 
-// Long is a value that is too long to be held: it passes from its server to its client in pieces, at the pace of the slower of both. One of
+// Streamed is a value that is too long to be held: it passes from its server to its client in pieces, at the pace of the slower of both. One of
 // its methods is called, once, by whoever has it last.
-type Long interface {
+type StreamedValue interface {
 	Len() int
-	// Pass writes the value. It blocks, and an error says that not all of it could be written.
-	Pass(to io.Writer) error
-	// Drop lets it go: nobody takes it.
-	Drop()
+	// Stream writes the value. It blocks, and an error says that not all of it could be written.
+	Stream(to io.Writer) error
+	// Discard lets it go: nobody takes it.
+	Discard()
 }
 
-// Ticket is a request's place at its front. Its Answer is called once, on the engine's goroutine, and does not block.
-type Ticket struct {
-	Answer func(*Request, Answer)
-	Client Client   // nil = nobody waits who could leave
-	req    *request // the engine's
+// RequestHandle is a request's place at its front. Its Answer is called once, on the engine's goroutine, and does not block.
+type RequestHandle struct {
+	OnAnswer func(*Request, Answer)
+	Client   Client   // nil = nobody waits who could leave
+	request  *request // the engine's
 }
 
 // Client is who waits for an answer.
 type Client interface {
-	// Gone says whether the client has closed. It may be called from any goroutine, and does not block.
-	Gone() bool
+	// Closed says whether the client has closed. It may be called from any goroutine, and does not block.
+	Closed() bool
 }
 
 // Reply is what came back for an attempt.
 type Reply struct {
-	Status  decide.Status
-	Body    []byte // OK: the value or the receipt
-	Note    int    // 1 hit, 2 miss, 3 miss while another fetch of the key is out, 4 the origin has no value
-	Absent  bool   // OK: there is no value
-	Load    decide.Load
-	Content any    // OK: the answer in the backend's own terms, where Body does not say it
-	Long    Long   // OK: the value, instead of Body
-	Follows int    // a protocol's: so many bytes of a value follow that it has not read,
-	Tail    string // and this behind them
-
-	Owners  []uint32 // the server sent the request on: who may serve it from now on; nil = as before
-	Asking  bool     // for one attempt alone, by leave: its slot has not moved yet
-	Refused bool     // the connection was refused: no process listens
+	Status      decide.Status
+	Body        []byte // OK: the value or the receipt
+	CacheResult int    // 1 hit, 2 miss, 3 miss while another fetch of the key is out, 4 the origin has no value
+	Absent      bool   // OK: there is no value
+	Load        decide.Load
+	Content     any           // OK: the answer in the backend's own terms, where Body does not say it
+	Streamed    StreamedValue // OK: the value, instead of Body
+	UnreadBytes int           // a protocol's: so many bytes of a value follow that it has not read,
+	Trailer     string        // and this behind them
+
+	Owners      []uint32 // the server sent the request on: who may serve it from now on; nil = as before
+	Asking      bool     // for one attempt alone, by leave: its slot has not moved yet
+	ConnRefused bool     // the connection was refused: no process listens
 }
 
-// ran says whether a server has answered, whatever that was.
-func (r *Reply) ran() bool {
+// maybeRan says whether a server has answered, whatever that was.
+func (r *Reply) serverAnswered() bool {
 	return r.Status == decide.OK || r.Status == decide.Miss || r.Status == decide.Failed || r.Status == decide.QueueFull
 }
 
 // Backend knows the ways to servers.
 type Backend interface {
-	Link(s Server) Link // a way to a server; it is not connected yet
+	Endpoint(s Server) Endpoint // a way to a server; it is not connected yet
 }
 
-// Link is the way to one server at one address. Its methods may be called from any goroutine.
-type Link interface {
+// Endpoint is the way to one server at one address. Its methods may be called from any goroutine.
+type Endpoint interface {
 	// Attempt begins to make a request there once, never twice, and does not block. It says how that ended where it is known at
 	// once, with true; else the caller's Done is told, from another goroutine. stop gives the attempt up by closing its connection.
-	Attempt(stop *Stop, r *Request, caller Caller) (Reply, bool)
+	Attempt(stop *Canceler, r *Request, caller AttemptHandler) (Reply, bool)
 	Probe(ctx context.Context) (decide.Status, decide.Load)
 	CloseIdle()
 	Remove() // no further attempt comes; those that are out end as they may
 }
 
-// Caller is who an attempt is made for.
-type Caller interface {
+// AttemptHandler is who an attempt is made for.
+type AttemptHandler interface {
 	// Begin is asked once, just before the command is made and its first byte written, and does not block. What an attempt
 	// depends on may have changed while a connection was opened: false calls it off, and nothing is written.
 	Begin() (Try, bool)
@@ -137,22 +137,22 @@
 type Store interface {
 	// Arrived tells of each request that is taken, and Over that it has its final answer.
 	Arrived(q *Request)
-	Over(q *Request)
-	// Fetched makes the request that stores a value which the origin has given for q; nil = it is not kept.
-	Fetched(q *Request, value []byte) *Request
+	Finished(q *Request)
+	// FillRequest makes the request that stores a value which the origin has given for q; nil = it is not kept.
+	FillRequest(q *Request, value []byte) *Request
 }
 
-// Tenants counts what tenants use, and says where requests stand with their limits. Its methods run on the engine's goroutine and
+// TenantLimiter counts what tenants use, and says where requests stand with their limits. Its methods run on the engine's goroutine and
 // don't block.
-type Tenants interface {
+type TenantLimiter interface {
 	// Arrived tells of each request of a client that is taken, at a time in ms, of a router that has a part of all traffic. With Beyond
 	// it is not counted, and Over is not told of it.
-	Arrived(now, portion float64, q *Request) (s decide.Standing, again float64)
-	Over(now float64, q *Request) // has its final answer
-	// Fetches tells that a request which was counted goes to the origin, each time.
-	Fetches(now float64, q *Request)
-	// Owes books the bytes of an answer to a request that its client has not taken yet, and says to whom they are booked; Paid gives them
+	Arrived(now, portion float64, q *Request) (s decide.QuotaStatus, again float64)
+	Finished(now float64, q *Request) // has its final answer
+	// FetchStarted tells that a request which was counted goes to the origin, each time.
+	FetchStarted(now float64, q *Request)
+	// ReserveAnswer books the bytes of an answer to a request that its client has not taken yet, and says to whom they are booked; Paid gives them
 	// back, from any goroutine.
-	Owes(q *Request, bytes int) (party string)
-	Paid(party string, bytes int)
+	ReserveAnswer(q *Request, bytes int) (party string)
+	ReleaseAnswer(party string, bytes int)
 }
