--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -181,10 +181,10 @@
 	}
 	// The start tells two processes of one name apart, and which is the later one: a time, and a draw for two of one millisecond.
 	start := uint64(time.Now().UnixMilli())<<16 | rand.Uint64N(1<<16)
-	f.pure = fleet.Config{Name: f.cfg.Name, Site: f.cfg.Site, Addr: toPure(own), Start: start, Join: join, Expected: max(1, f.cfg.Expected),
-		Stream: true, Seed: rand.Uint64()}
+	f.pure = fleet.Config{Name: f.cfg.Name, Site: f.cfg.Site, Addr: toPure(own), Start: start, Join: join, ExpectedRouters: max(1, f.cfg.Expected),
+		Streams: true, Seed: rand.Uint64()}
 	if f.cfg.Work != nil {
-		f.pure.Lends = quota.LeaseTerm
+		f.pure.LeaseMS = quota.LeaseTerm
 	}
 	if f.m, err = fleet.New(f.pure, host{f}); err != nil {
 		return err
@@ -344,7 +344,7 @@
 	got := make(chan View, 1) // its own: ctx may end before the owner comes to it
 	err = f.call(ctx, func() {
 		v := View{View: f.m.View(f.now()), NowMS: f.now(), Figures: f.figures()}
-		if v.Loans.Share = shareOf(v.Part.Routers); f.loans != nil {
+		if v.Loans.Share = shareOf(v.Share.Routers); f.loans != nil {
 			v.Loans = f.loans.figures()
 		}
 		if f.lines != nil {
@@ -372,7 +372,7 @@
 	if !f.entered.Load() {
 		return errElder
 	}
-	return f.call(ctx, func() { f.m.Rejoin(to) })
+	return f.call(ctx, func() { f.m.SetJoinAddrs(to) })
 }
 
 // host carries out what the machine wants; the owner calls it.
@@ -380,14 +380,14 @@
 
 // Send sends a datagram. What the system says of it is no proof of anything.
 func (h host) Send(to fleet.Addr, m []byte) {
-	b := fleet.Seal(h.cfg.Key, m)
+	b := fleet.AppendMAC(h.cfg.Key, m)
 	h.counts.sent.Add(1)
 	h.counts.sentBytes.Add(uint64(len(b)))
 	h.udp.WriteToUDPAddrPort(b, fromPure(to)) //nolint:errcheck // lost, as on the way
 }
 
 // Cargo passes on what another router's parts have to say.
-func (h host) Cargo(from fleet.Record, b []byte) {
+func (h host) DeliverPayload(from fleet.Record, b []byte) {
 	pool, ours := admission.MessagePool(b)
 	switch {
 	case ours && h.lines != nil:
@@ -398,19 +398,19 @@
 }
 
 // Changed logs what became of a member.
-func (h host) Changed(c fleet.Change) {
+func (h host) MemberChanged(c fleet.Change) {
 	h.counts.changes.Add(1)
 	if !h.log.take(changesRate) {
 		return
 	}
-	level, by := slog.LevelInfo, c.By
-	if c.State >= fleet.Silent && c.State <= fleet.Gone {
+	level, by := slog.LevelInfo, c.Reporter
+	if c.State >= fleet.Unresponsive && c.State <= fleet.Dead {
 		level = slog.LevelWarn
 	}
 	if by == "" {
 		by = "its own"
 	}
-	was := c.Was.String()
+	was := c.Previous.String()
 	if c.New {
 		was = "unknown"
 	}
@@ -458,7 +458,7 @@
 		}
 		f.counts.received.Add(1)
 		f.counts.receivedBytes.Add(uint64(n))
-		m, err := fleet.Open(f.cfg.Key, buf[:n])
+		m, err := fleet.VerifyMAC(f.cfg.Key, buf[:n])
 		if err != nil {
 			f.counts.refused.Add(1)
 			continue
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	defer u.Close()
-	good := fleet.Seal(nil, []byte{1, 1, 0, 0, 0, 0})
+	good := fleet.AppendMAC(nil, []byte{1, 1, 0, 0, 0, 0})
 	for _, b := range [][]byte{{}, {0}, bytes.Repeat([]byte{0xff}, 1400), good, good[:len(good)-1], bytes.Repeat([]byte{1}, 256)} {
 		u.Write(b) //nolint:errcheck // it may be lost
 	}
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	err = double.Run(t.Context())
-	if !errors.Is(err, fleet.ErrDouble) || !strings.Contains(fmt.Sprint(err), b.Addr()) || !strings.Contains(fmt.Sprint(err), double.Addr()) {
+	if !errors.Is(err, fleet.ErrDuplicateName) || !strings.Contains(fmt.Sprint(err), b.Addr()) || !strings.Contains(fmt.Sprint(err), double.Addr()) {
 		t.Errorf("the later one is told %v", err)
 	}
 	until(t, "the older goes on", func() bool { return b.states(t) == "a alive, b alive" && b.last().Parts == 2 })
@@ -175,7 +175,7 @@
 // A process alone with no address to join by has what it was told to expect, after a while; other addresses to join by count at once.
 func TestAloneAndThenNot(t *testing.T) {
 	a := run(t, Config{Name: "a", Expected: 6})
-	if got := a.last(); got.Parts != 0 && got.Parts != fleet.Holding {
+	if got := a.last(); got.Parts != 0 && got.Parts != fleet.NoShare {
 		t.Errorf("at first it has one of %v parts", got.Parts)
 	}
 	until(t, "a sixth", func() bool { return a.last().Parts == 6 && a.last().Until.IsZero() })
--- a/internal/fleet/lines.go
+++ b/internal/fleet/lines.go
@@ -41,9 +41,9 @@
 	sayAt  time.Time
 	gone   admission.Demand // as it was a second before
 	goneT  time.Time
-	shed   [decide.Bands]float64 // work a second that is refused as it is under the line, and
-	asked  [decide.Bands]float64 // that is asked for
-	turned float64               // and that is refused though it is over the line
+	shed   [decide.NumBands]float64 // work a second that is refused as it is under the line, and
+	asked  [decide.NumBands]float64 // that is asked for
+	turned float64                  // and that is refused though it is over the line
 }
 
 // poolNumber is by what all routers know a pool of a name.
@@ -54,7 +54,9 @@
 }
 
 // Send is admission.Host's.
-func (p *poolLine) Send(to admission.Peer, m []byte) { p.f.m.Carry(p.f.now(), to.Name, to.Start, m) }
+func (p *poolLine) Send(to admission.Peer, m []byte) {
+	p.f.m.SendPayload(p.f.now(), to.Name, to.Start, m)
+}
 
 // tick has each pool's machine take what has come, and tells what follows.
 func (l *lines) tick() {
@@ -62,9 +64,9 @@
 	if present := l.f.m.Present(); share == 0 { // who has no part yet uses half of an equal one
 		share = 0.5 / float64(max(1, present))
 	}
-	if l.changes != l.f.m.Changes()+1 {
-		l.changes, l.peers = l.f.m.Changes()+1, l.peers[:0]
-		l.f.m.Each(func(r fleet.Record) {
+	if l.changes != l.f.m.ChangeCount()+1 {
+		l.changes, l.peers = l.f.m.ChangeCount()+1, l.peers[:0]
+		l.f.m.ForEach(func(r fleet.Record) {
 			if r.State <= fleet.Suspect {
 				l.peers = append(l.peers, admission.Peer{Name: r.Name, Start: r.Start})
 			}
@@ -77,7 +79,7 @@
 			if len(l.of) == maxPools {
 				continue
 			}
-			p = &poolLine{f: l.f, name: d.Pool, told: decide.NoLine, said: decide.Bands}
+			p = &poolLine{f: l.f, name: d.Pool, told: decide.AdmitAll, said: decide.NumBands}
 			p.m = admission.New(id, rand.Uint64(), p)
 			l.of[id] = p
 		}
@@ -91,14 +93,14 @@
 func (p *poolLine) count(d admission.Demand) {
 	now := time.Now()
 	if gone := now.Sub(p.goneT); gone >= time.Second {
-		for i := range d.Work {
+		for i := range d.Arrived {
 			if !p.goneT.IsZero() {
-				p.asked[i] = max(0, d.Work[i]-p.gone.Work[i]) / gone.Seconds()
-				p.shed[i] = max(0, d.Under[i]-p.gone.Under[i]) / gone.Seconds()
+				p.asked[i] = max(0, d.Arrived[i]-p.gone.Arrived[i]) / gone.Seconds()
+				p.shed[i] = max(0, d.Shed[i]-p.gone.Shed[i]) / gone.Seconds()
 			}
 		}
 		if !p.goneT.IsZero() {
-			p.turned = max(0, d.Turned-p.gone.Turned) / gone.Seconds()
+			p.turned = max(0, d.Rejected-p.gone.Rejected) / gone.Seconds()
 		}
 		p.gone, p.goneT = d, now
 	}
@@ -108,8 +110,8 @@
 func (p *poolLine) tell() {
 	now, at := p.f.now(), time.Now()
 	l := p.m.Threshold(now)
-	none := l.Band == decide.Bands
-	if none && p.told.Band == decide.Bands {
+	none := l.Band == decide.NumBands
+	if none && p.told.Band == decide.NumBands {
 		return
 	}
 	if l.Band == p.told.Band && math.Abs(l.Share-p.told.Share) < shareMoves && at.Sub(p.at) < toldAgain {
@@ -152,7 +154,7 @@
 	Pool string
 	admission.Threshold
 	admission.Stats
-	Asked, Shed [decide.Bands]float64 // here
+	Asked, Shed [decide.NumBands]float64 // here
 	Turned      float64
 }
 
--- a/internal/fleet/loans.go
+++ b/internal/fleet/loans.go
@@ -42,7 +42,7 @@
 }
 
 // Send is quota.Host's.
-func (l *loans) Send(to quota.Peer, m []byte) { l.f.m.Carry(l.f.now(), to.Name, to.Start, m) }
+func (l *loans) Send(to quota.Peer, m []byte) { l.f.m.SendPayload(l.f.now(), to.Name, to.Start, m) }
 
 // cargo takes what another router has to say of loans, once the machine that brought it has returned.
 func (l *loans) cargo(from fleet.Record, b []byte) {
@@ -57,13 +57,13 @@
 
 // own is what the view gives this router.
 func (l *loans) own() quota.BaseShare {
-	p := l.f.m.Part()
-	return quota.BaseShare{Share: shareOf(p.Routers), Until: p.Until, After: shareOf(p.Then)}
+	p := l.f.m.Share()
+	return quota.BaseShare{Share: shareOf(p.Routers), Until: p.Until, After: shareOf(p.RoutersAfter)}
 }
 
 // shareOf is one of so many parts; holding is none.
 func shareOf(parts float64) float64 {
-	if parts >= fleet.Holding {
+	if parts >= fleet.NoShare {
 		return 0
 	}
 	return 1 / parts
@@ -71,8 +71,8 @@
 
 // partsOf is how many parts a share is one of.
 func partsOf(share float64) float64 {
-	if share <= 1.0/fleet.Holding {
-		return fleet.Holding
+	if share <= 1.0/fleet.NoShare {
+		return fleet.NoShare
 	}
 	return 1 / share
 }
@@ -87,9 +87,9 @@
 		l.rate += weight * (float64(n-min(n, l.count))/gone.Seconds() - l.rate)
 		l.count, l.countAt = n, at
 	}
-	if l.changes != l.f.m.Changes()+1 {
-		l.changes, l.peers = l.f.m.Changes()+1, l.peers[:0]
-		l.f.m.Each(func(r fleet.Record) {
+	if l.changes != l.f.m.ChangeCount()+1 {
+		l.changes, l.peers = l.f.m.ChangeCount()+1, l.peers[:0]
+		l.f.m.ForEach(func(r fleet.Record) {
 			if r.State == fleet.Alive {
 				l.peers = append(l.peers, quota.Peer{Name: r.Name, Start: r.Start})
 			}
@@ -99,11 +99,11 @@
 }
 
 // part is what this router may use with loans, until a time, and from there on without them.
-func (l *loans) part() fleet.Part {
+func (l *loans) part() fleet.Share {
 	now := l.f.now()
 	l.q.UpdateShare(now, l.own())
 	until, then := l.q.Expiry(now, shared)
-	return fleet.Part{Routers: partsOf(l.q.UsableShare(now, shared)), Until: until, Then: partsOf(then)}
+	return fleet.Share{Routers: partsOf(l.q.UsableShare(now, shared)), Until: until, RoutersAfter: partsOf(then)}
 }
 
 // Loans are what a router may use, of that what it has borrowed, and what of its own it has lent, as shares of the whole; and the work that
--- a/internal/fleet/stream.go
+++ b/internal/fleet/stream.go
@@ -40,7 +40,7 @@
 	if _, err := io.ReadFull(r, b); err != nil {
 		return nil, err
 	}
-	return fleet.Open(f.cfg.Key, b)
+	return fleet.VerifyMAC(f.cfg.Key, b)
 }
 
 // accept takes streams of others until the listener closes. Each has its goroutine; there are so many places.
@@ -82,7 +82,7 @@
 func (f *Fleet) serve(c net.Conn) {
 	defer f.bounded(c)()
 	r, w := bufio.NewReader(c), bufio.NewWriter(c)
-	pages, differ := 0, fleet.Whole
+	pages, differ := 0, fleet.AllBuckets
 	for {
 		m, err := f.readFrame(r)
 		if err != nil || pages >= maxFrames {
@@ -96,7 +96,7 @@
 		}
 		pages++
 		f.counts.receivedBytes.Add(uint64(len(m)))
-		if fleet.IsSums(m) {
+		if fleet.IsBucketDigests(m) {
 			if differ, err = f.compare(m, w); err != nil {
 				return
 			}
@@ -129,8 +129,8 @@
 		err    error
 	}
 	got, stopped := asked(f.ctx, f, func() (c compared) {
-		c.own = f.m.Sums()
-		c.differ, c.err = f.m.Compare(f.now(), theirs)
+		c.own = f.m.BucketDigests()
+		c.differ, c.err = f.m.CompareDigests(f.now(), theirs)
 		return c
 	})
 	if stopped != nil {
@@ -151,7 +151,7 @@
 }
 
 func (f *Fleet) frame(w io.Writer, m []byte) {
-	b := fleet.Seal(f.cfg.Key, m)
+	b := fleet.AppendMAC(f.cfg.Key, m)
 	f.counts.sentBytes.Add(uint64(len(b)))
 	writeFrame(w, b) //nolint:errcheck // Flush tells, or the other end
 }
@@ -175,7 +175,7 @@
 
 // Check asks a member by a stream. A connection that is refused proves that no process listens there; one that ends without an answer
 // proves nothing.
-func (h host) Check(to fleet.Addr, m []byte) {
+func (h host) StreamPing(to fleet.Addr, m []byte) {
 	f := h.Fleet
 	select {
 	case f.out <- struct{}{}:
@@ -191,7 +191,7 @@
 			if answer != nil {
 				f.receive(answer)
 			}
-			f.m.Checked(f.now(), to, answer != nil, refused)
+			f.m.StreamPingDone(f.now(), to, answer != nil, refused)
 		})
 	})
 }
@@ -215,14 +215,14 @@
 }
 
 // Sync exchanges views with a member.
-func (h host) Sync(to fleet.Addr) {
+func (h host) PushPull(to fleet.Addr) {
 	f := h.Fleet
 	select {
 	case f.syncs <- struct{}{}:
 	default:
 		return
 	}
-	own := f.m.Sums()
+	own := f.m.BucketDigests()
 	f.wg.Go(func() {
 		defer func() { <-f.syncs }()
 		if err := f.exchange(to, own); err != nil {
@@ -251,7 +251,7 @@
 		err  error
 	}
 	got, stopped := asked(f.ctx, f, func() (d difference) {
-		differ, err := f.m.Compare(f.now(), theirs)
+		differ, err := f.m.CompareDigests(f.now(), theirs)
 		if d.err = err; err == nil {
 			d.ours = f.m.Pages(differ)
 		}
--- a/internal/fleet/tell.go
+++ b/internal/fleet/tell.go
@@ -18,11 +18,11 @@
 	if f.cfg.Tier == nil {
 		return
 	}
-	p, longer := f.m.Part(), renewed
+	p, longer := f.m.Share(), renewed
 	if f.loans != nil {
 		p, longer = f.loans.part(), tick
 	}
-	t := Tier{Routers: f.m.Present(), Parts: p.Routers, Then: p.Then}
+	t := Tier{Routers: f.m.Present(), Parts: p.Routers, Then: p.RoutersAfter}
 	if left := p.Until - f.now(); left < 1e9 {
 		t.Until = time.Now().Add(time.Duration(left * float64(time.Millisecond)))
 	}
@@ -47,13 +47,13 @@
 
 // show says who is there, once after all changes of a tick.
 func (f *Fleet) show() {
-	if f.cfg.Members == nil || f.shown == f.m.Changes()+1 {
+	if f.cfg.Members == nil || f.shown == f.m.ChangeCount()+1 {
 		return
 	}
-	f.shown = f.m.Changes() + 1
-	member := func(r fleet.Record) Member { return Member{r.Name, fromPure(r.Addr).Addr().String(), r.Card} }
+	f.shown = f.m.ChangeCount() + 1
+	member := func(r fleet.Record) Member { return Member{r.Name, fromPure(r.Addr).Addr().String(), r.Meta} }
 	all := []Member{member(f.m.Self())}
-	f.m.Each(func(r fleet.Record) {
+	f.m.ForEach(func(r fleet.Record) {
 		if r.State <= fleet.Suspect {
 			all = append(all, member(r))
 		}
@@ -61,11 +61,11 @@
 	f.cfg.Members(all)
 }
 
-// Say has the router tell the others something of itself, up to fleet.MaxCard bytes. It may be called before Run, and drops what finds no
+// Say has the router tell the others something of itself, up to fleet.MaxMeta bytes. It may be called before Run, and drops what finds no
 // room: then it returns false.
 func (f *Fleet) Say(card string) bool {
 	return f.post(func() {
-		if err := f.m.Card(f.now(), card); err != nil {
+		if err := f.m.SetMeta(f.now(), card); err != nil {
 			slog.Error("fleet: what the router has to tell is not told", "why", err)
 		}
 	})
--- a/internal/front/answers.go
+++ b/internal/front/answers.go
@@ -12,15 +12,15 @@
 
 // slot is the place of a command's answer among those of its connection.
 type slot struct {
-	engine.Ticket
+	engine.RequestHandle
 	c       *clientConn
 	text    []byte // guarded by c.mu, as the others
 	lane    int
 	ready   bool
-	request *engine.Request // nil = the answer was known at once
-	party   string          // who the answer is booked to
-	long    engine.Long     // the value behind text; nil = text is the answer
-	class   string          // of such an answer's request
+	request *engine.Request      // nil = the answer was known at once
+	party   string               // who the answer is booked to
+	long    engine.StreamedValue // the value behind text; nil = text is the answer
+	class   string               // of such an answer's request
 }
 
 // debt is what is booked to a party for an answer that its client has not taken yet.
@@ -39,7 +39,7 @@
 }
 
 // serve gives the answer to a request that ends with a long value: text is what comes ahead of it.
-func (sl *slot) serve(text []byte, class string, long engine.Long) {
+func (sl *slot) serve(text []byte, class string, long engine.StreamedValue) {
 	sl.c.mu.Lock()
 	sl.long, sl.class = long, class
 	sl.c.mu.Unlock()
@@ -49,8 +49,8 @@
 // drop lets go of a long value that nobody takes.
 func (sl *slot) drop() {
 	if sl.long != nil {
-		sl.long.Drop()
-		sl.c.s.e.Passed(sl.class, false)
+		sl.long.Discard()
+		sl.c.s.e.StreamEnded(sl.class, false)
 	}
 }
 
@@ -58,7 +58,7 @@
 // together.
 func (sl *slot) answer(text []byte, engines bool) {
 	c := sl.c
-	party := c.s.e.Owe(sl.request, len(text))
+	party := c.s.e.ReserveAnswer(sl.request, len(text))
 	sl.request = nil // its value need not wait for the client
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 		defer c.changed.Broadcast()
 	}
 	if sl.text, sl.ready = text, true; c.broken {
-		c.s.e.Paid(party, len(text))
+		c.s.e.ReleaseAnswer(party, len(text))
 		sl.drop()
 		return
 	}
@@ -75,7 +75,7 @@
 	case c.writing > 0 || c.flushes || !c.queue[0].ready:
 	case engines:
 		c.flushes = true
-		c.s.e.AtEnd(c.flushed)
+		c.s.e.AtBatchEnd(c.flushed)
 	default:
 		out, _ := c.batch()
 		c.s.wg.Go(func() { c.write(out) })
@@ -187,11 +187,11 @@
 // pass passes on the long value of an answer whose beginning was written, or not, which err says.
 func (c *clientConn) pass(sl *slot, err error) error {
 	if err != nil {
-		sl.long.Drop()
-	} else if err = sl.long.Pass(taker{c.Conn}); err == nil {
+		sl.long.Discard()
+	} else if err = sl.long.Stream(taker{c.Conn}); err == nil {
 		_, err = taker{c.Conn}.Write(longEnd)
 	}
-	c.s.e.Passed(sl.class, err == nil)
+	c.s.e.StreamEnded(sl.class, err == nil)
 	return err
 }
 
@@ -213,7 +213,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range c.owed {
-		c.s.e.Paid(d.party, d.bytes)
+		c.s.e.ReleaseAnswer(d.party, d.bytes)
 	}
 	c.owed = c.owed[:0]
 	c.changed.Broadcast()
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -99,7 +99,7 @@
 }
 
 // Gone is engine.Client's.
-func (c *clientConn) Gone() bool { return sock.Closed(c.Conn) }
+func (c *clientConn) Closed() bool { return sock.Closed(c.Conn) }
 
 // withdrawn says whether the connection's caller has lost what it rests on.
 func (c *clientConn) withdrawn() bool {
@@ -152,7 +152,7 @@
 // lastCall says whether a connection that is closing takes no more commands: from then on their answers might come too late. The caller
 // holds mu.
 func (c *clientConn) lastCall() bool {
-	return c.closing && time.Since(c.closes) >= c.s.e.Longest()
+	return c.closing && time.Since(c.closes) >= c.s.e.MaxDeadline()
 }
 
 // crossed says whether a command has come that crosses the end of the connection's time.
@@ -251,7 +251,7 @@
 		}
 		if !c.s.settle(c) {
 			if cmd.Request != nil {
-				c.s.e.Held.Give(cmd.Request.Held)
+				c.s.e.HeldBytes.Release(cmd.Request.HeldBytes)
 			}
 			cmd = Command{Text: c.session.Crowded(), End: true}
 		}
@@ -267,18 +267,18 @@
 		} else {
 			sl.request = cmd.Request
 			sl.Client = c
-			sl.Answer = func(q *engine.Request, a engine.Answer) {
+			sl.OnAnswer = func(q *engine.Request, a engine.Answer) {
 				text := []byte(nil)
-				if a.Result != engine.Gone {
+				if a.Result != engine.ClientGone {
 					text = cmd.Render(q, a)
 				}
-				if a.Long != nil {
-					sl.serve(text, q.Class, a.Long)
+				if a.Streamed != nil {
+					sl.serve(text, q.Class, a.Streamed)
 					return
 				}
 				sl.answer(text, true)
 			}
-			c.s.e.Post(func() { c.s.e.Arrive(cmd.Request, read, &sl.Ticket) })
+			c.s.e.Post(func() { c.s.e.Submit(cmd.Request, read, &sl.RequestHandle) })
 		}
 		if cmd.Unknown {
 			unknown++
@@ -311,13 +311,13 @@
 	c.broken, c.queue = true, nil
 	for _, sl := range open {
 		if sl.ready {
-			c.s.e.Paid(sl.party, len(sl.text))
+			c.s.e.ReleaseAnswer(sl.party, len(sl.text))
 			sl.drop()
 		}
 	}
 	c.mu.Unlock()
 	for _, sl := range open {
-		c.s.e.Post(func() { c.s.e.Leave(&sl.Ticket) })
+		c.s.e.Post(func() { c.s.e.ClientLeft(&sl.RequestHandle) })
 	}
 }
 
@@ -348,9 +348,9 @@
 	open, broken := c.open(), c.broken
 	c.mu.Unlock()
 	g := c.s.e.Guard
-	g.Check(guard.Unanswered)
-	if open > 0 && !broken && !c.Gone() {
-		g.Break(guard.Unanswered, c.RemoteAddr().String(), "closed with %d requests open", open)
+	g.CountCheck(guard.Unanswered)
+	if open > 0 && !broken && !c.Closed() {
+		g.RecordViolation(guard.Unanswered, c.RemoteAddr().String(), "closed with %d requests open", open)
 	}
 	c.Close()
 }
--- a/internal/front/meta/callers.go
+++ b/internal/front/meta/callers.go
@@ -103,8 +103,8 @@
 		switch {
 		case a.Absent:
 			return meta.Absent(id)
-		case a.Long != nil:
-			return meta.ServedHead(id, a.Long.Len())
+		case a.Streamed != nil:
+			return meta.ServedHead(id, a.Streamed.Len())
 		}
 		return meta.Served(q.Write, id, a.Body)
 	}
--- a/internal/front/meta/meta.go
+++ b/internal/front/meta/meta.go
@@ -85,26 +85,26 @@
 	if err := s.check(e, &cmd); err != nil {
 		return front.Command{}, err
 	}
-	refuse := !e.Room(cmd.Length)
+	refuse := !e.ReserveValue(cmd.Length)
 	if cmd.Verb == "ms" {
 		var err error
 		if cmd.Value, err = meta.ReadValue(in, cmd.Length, refuse); err != nil {
 			if !refuse {
-				e.Held.Give(cmd.Length)
+				e.HeldBytes.Release(cmd.Length)
 			}
 			return front.Command{}, err
 		}
 	}
 	if refuse { // many large writes at once must not cost the router its life
-		e.Turned(cmd.Class)
+		e.CountRejected(cmd.Class)
 		return front.Command{Text: meta.Refused(0)}, nil
 	}
 	var owners []uint32
 	if s.p.Owners != nil {
 		owners = s.p.Owners(cmd.Key, cmd.Verb == "ms")
 	}
-	return front.Command{Render: render, Request: &engine.Request{Owners: owners, ID: cmd.ID, Class: cmd.Class, Tenant: cmd.Tenant, Of: generation, Key: cmd.Key, Facts: cmd.Facts,
-		Value: cmd.Value, Held: cmd.Length, Wait: cmd.Wait, Hint: cmd.Hint, Size: cmd.Size, Retry: cmd.Retry, Write: cmd.Verb == "ms"}}, nil
+	return front.Command{Render: render, Request: &engine.Request{Owners: owners, ID: cmd.ID, Class: cmd.Class, Tenant: cmd.Tenant, TenantGeneration: generation, Key: cmd.Key, Facts: cmd.Facts,
+		Value: cmd.Value, HeldBytes: cmd.Length, Wait: cmd.Wait, Hint: cmd.Hint, Size: cmd.Size, Retry: cmd.Retry, Write: cmd.Verb == "ms"}}, nil
 }
 
 // check tells what is wrong with a command for this deployment.
@@ -128,15 +128,15 @@
 		switch {
 		case a.Absent:
 			return meta.Absent(q.ID)
-		case a.Long != nil:
-			return meta.ServedHead(q.ID, a.Long.Len())
+		case a.Streamed != nil:
+			return meta.ServedHead(q.ID, a.Streamed.Len())
 		case a.Content != nil: // in terms that this protocol has no words for
 			return meta.Failure()
 		}
 		return meta.Served(q.Write, q.ID, a.Body)
 	case engine.Refused:
-		return meta.Refused(a.Wait)
-	case engine.Doubled:
+		return meta.Refused(a.RetryAfter)
+	case engine.Duplicate:
 		return []byte("CLIENT_ERROR the id of an open request\r\n")
 	}
 	return meta.Failure()
--- a/internal/front/meta/meta_test.go
+++ b/internal/front/meta/meta_test.go
@@ -10,13 +10,13 @@
 // tenBytes is a long value's stand-in.
 type tenBytes struct{}
 
-func (tenBytes) Len() int             { return 10 }
-func (tenBytes) Pass(io.Writer) error { return nil }
-func (tenBytes) Drop()                {}
+func (tenBytes) Len() int               { return 10 }
+func (tenBytes) Stream(io.Writer) error { return nil }
+func (tenBytes) Discard()               {}
 
 // The head of a long value names its length and the id that its client knows, also where servers know another.
 func TestHeadOfALongValue(t *testing.T) {
-	q, a := &engine.Request{ID: "inner"}, engine.Answer{Result: engine.Served, Long: tenBytes{}}
+	q, a := &engine.Request{ID: "inner"}, engine.Answer{Result: engine.Served, Streamed: tenBytes{}}
 	if got := string(render(q, a)); got != "VA 10 Oinner\r\n" {
 		t.Errorf("got %q", got)
 	}
--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -258,8 +258,8 @@
 	for _, a := range args {
 		size += len(a)
 	}
-	if !e.Room(size) {
-		e.Turned(class.Name)
+	if !e.ReserveValue(size) {
+		e.CountRejected(class.Name)
 		return text(refused(0))
 	}
 	deadline := class.Deadline
@@ -274,8 +274,8 @@
 		id = "resp k " + s.tenant + " " + f.key
 	}
 	proto := s.proto
-	return front.Command{Lane: slot + 1, Request: &engine.Request{ID: id, Class: class.Name, Tenant: tenant, Of: generation,
-		Key: string(keys[0]), Held: size, Wait: deadline, Write: c.write, Owners: s.p.cfg.Owners(slot, c.write), Words: clone(args, size)},
+	return front.Command{Lane: slot + 1, Request: &engine.Request{ID: id, Class: class.Name, Tenant: tenant, TenantGeneration: generation,
+		Key: string(keys[0]), HeldBytes: size, Wait: deadline, Write: c.write, Owners: s.p.cfg.Owners(slot, c.write), Args: clone(args, size)},
 		Render: func(q *engine.Request, a engine.Answer) []byte { return render(a, proto) }}
 }
 
@@ -316,8 +316,8 @@
 		}
 		return resp.AppendBulk(nil, a.Body)
 	case engine.Refused:
-		return refused(a.Wait)
-	case engine.Doubled:
+		return refused(a.RetryAfter)
+	case engine.Duplicate:
 		return resp.AppendError(nil, "ERR doubled: a command with this key is open, and this one has not run")
 	}
 	return failure()
--- a/internal/front/resp/resp_test.go
+++ b/internal/front/resp/resp_test.go
@@ -101,17 +101,17 @@
 // nowhere is a backend without a way to any server.
 type nowhere struct{}
 
-func (nowhere) Link(engine.Server) engine.Link { return nil }
+func (nowhere) Endpoint(engine.Server) engine.Endpoint { return nil }
 
 // newEngine is an engine that holds a list and whose requests nobody serves.
 func newEngine(t testing.TB) *engine.Engine {
 	t.Helper()
-	e, err := engine.New(engine.Options{Held: 1 << 20, Queued: 1 << 20, Module: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1,
+	e, err := engine.New(engine.Options{MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1,
 		FallMult: 3, FallFor: 1000, Classes: []decide.Class{{Name: "r", Aim: 100, Deadline: 500}, {Name: "w", Effect: decide.Once, Aim: 100, Deadline: 700}}}}, nowhere{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.List(decide.Full, []engine.Server{{Entry: decide.Entry{ID: 7, Size: 1}, Addr: "127.0.0.1:1"}})
+	e.UpdateServers(decide.Full, []engine.Server{{Entry: decide.Entry{ID: 7, Size: 1}, Addr: "127.0.0.1:1"}})
 	return e
 }
 
@@ -148,15 +148,15 @@
 		if q == nil || q.Class != c.class || q.Wait != c.deadline || q.Tenant != "t" || len(q.Owners) != 1 {
 			t.Errorf("%s: %+v", c.words, q)
 		}
-		e.Held.Give(q.Held)
+		e.HeldBytes.Release(q.HeldBytes)
 	}
 	for _, words := range []string{"SET st:a 1 NX", "SET st:a 1 GET", "YOKE class=r APPEND a b"} {
 		if text, q := read(t, s, e, strings.Fields(words)...); q != nil || !strings.Contains(text, "must not") {
 			t.Errorf("%s: %q", words, text)
 		}
 	}
-	if e.Held.Used() != 0 {
-		t.Errorf("%d bytes are held", e.Held.Used())
+	if e.HeldBytes.Used() != 0 {
+		t.Errorf("%d bytes are held", e.HeldBytes.Used())
 	}
 }
 
@@ -166,7 +166,7 @@
 	s := New(Config{Read: "r", Write: "w", Owners: owners}, "127.0.0.1:1").Session(front.Peer{}).(*session)
 	_, q := read(t, s, e, "SET", "key-one", "value-one")
 	read(t, s, e, "SET", "key-two", "value-two")
-	if got := fmt.Sprintf("%s", q.Words); got != "[SET key-one value-one]" {
+	if got := fmt.Sprintf("%s", q.Args); got != "[SET key-one value-one]" {
 		t.Error(got)
 	}
 }
@@ -205,7 +205,7 @@
 				return
 			}
 			if cmd.Request != nil {
-				e.Held.Give(cmd.Request.Held)
+				e.HeldBytes.Release(cmd.Request.HeldBytes)
 				continue
 			}
 			if len(cmd.Text) > 0 {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -22,24 +22,24 @@
 	Draining               // nothing new goes to a server that drains or is gone
 	InTime                 // the final answer comes by the client's deadline
 	Unanswered             // no connection is closed over a request that was read
-	Rules                  // how many there are
+	NumRules               // how many there are
 )
 
-var names = [Rules]string{"deadline", "abandoned", "overlap", "repeat", "promise", "draining", "in_time", "unanswered"}
+var ruleNames = [NumRules]string{"deadline", "abandoned", "overlap", "repeat", "promise", "draining", "in_time", "unanswered"}
 
-func (r Rule) String() string { return names[r] }
+func (r Rule) String() string { return ruleNames[r] }
 
 // maxRecords bounds the log records of broken rules of a process; later ones are counted alone.
 const maxRecords = 1000
 
 // Guard counts for one process. It may be used from any goroutine; the zero value is ready, and a nil one counts nothing.
 type Guard struct {
-	rules   [Rules]counts
+	rules   [NumRules]counters
 	records atomic.Int64
 }
 
-// counts are those of one rule.
-type counts struct{ checked, prevented, broken atomic.Uint64 }
+// counters are those of one rule.
+type counters struct{ checked, prevented, broken atomic.Uint64 }
 
 // Count is what a guard has counted of a rule.
 type Count struct {
@@ -56,15 +56,15 @@
 	c.Broken += o.Broken
 }
 
-// Check books one check of a rule.
-func (g *Guard) Check(rule Rule) {
+// CountCheck books one check of a rule.
+func (g *Guard) CountCheck(rule Rule) {
 	if g != nil {
 		g.rules[rule].checked.Add(1)
 	}
 }
 
-// Prevent books that something was called off to keep a rule.
-func (g *Guard) Prevent(rule Rule, request, cause string) {
+// CountPrevented books that something was called off to keep a rule.
+func (g *Guard) CountPrevented(rule Rule, request, cause string) {
 	if g == nil {
 		return
 	}
@@ -72,8 +72,8 @@
 	slog.Debug("called off to keep an invariant", "rule", rule.String(), "request", request, "cause", cause)
 }
 
-// Break books a broken rule, with one log record that names the request, this process and the cause.
-func (g *Guard) Break(rule Rule, request string, cause string, args ...any) {
+// RecordViolation books a broken rule, with one log record that names the request, this process and the cause.
+func (g *Guard) RecordViolation(rule Rule, request string, cause string, args ...any) {
 	if g == nil {
 		return
 	}
@@ -85,16 +85,16 @@
 
 // Counts are the counts by rule.
 func (g *Guard) Counts() []Count {
-	out := make([]Count, 0, Rules)
-	for rule := range Rules {
+	out := make([]Count, 0, NumRules)
+	for rule := range NumRules {
 		c := &g.rules[rule]
 		out = append(out, Count{rule, c.checked.Load(), c.prevented.Load(), c.broken.Load()})
 	}
 	return out
 }
 
-// Log writes the counts of the rules that were checked.
-func (g *Guard) Log() {
+// LogCounts writes the counts of the rules that were checked.
+func (g *Guard) LogCounts() {
 	for _, c := range g.Counts() {
 		if c.Checked+c.Prevented+c.Broken > 0 {
 			slog.Info("invariant", "rule", c.Rule.String(), "checked", c.Checked, "prevented", c.Prevented, "broken", c.Broken)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -5,10 +5,10 @@
 // Guards against a rule whose violations nobody counts.
 func TestCountsByRule(t *testing.T) {
 	var g Guard
-	g.Check(Deadline)
-	g.Check(Deadline)
-	g.Prevent(Draining, "a1", "late")
-	g.Break(Repeat, "a2", "attempt %d", 1)
+	g.CountCheck(Deadline)
+	g.CountCheck(Deadline)
+	g.CountPrevented(Draining, "a1", "late")
+	g.RecordViolation(Repeat, "a2", "attempt %d", 1)
 	want := map[Rule]Count{Deadline: {Checked: 2}, Draining: {Prevented: 1}, Repeat: {Broken: 1}}
 	for _, c := range g.Counts() {
 		w := want[c.Rule]
@@ -20,6 +20,6 @@
 			t.Errorf("rule %d has no name", c.Rule)
 		}
 	}
-	(*Guard)(nil).Check(Deadline)
-	(*Guard)(nil).Break(Deadline, "a1", "nobody counts")
+	(*Guard)(nil).CountCheck(Deadline)
+	(*Guard)(nil).RecordViolation(Deadline, "a1", "nobody counts")
 }
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -32,7 +32,7 @@
 	Started float64 `json:"started_ms"`
 }
 
-var listStates = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Gone}
+var listStates = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Removed}
 
 // Decided is the entry as the module takes it.
 func (e Entry) Decided() (decide.Entry, error) {
@@ -43,7 +43,7 @@
 	if e.ID == "" {
 		return decide.Entry{}, fmt.Errorf("server at %q without an id", e.Addr)
 	}
-	if _, _, err := net.SplitHostPort(e.Addr); err != nil && st != decide.Gone {
+	if _, _, err := net.SplitHostPort(e.Addr); err != nil && st != decide.Removed {
 		return decide.Entry{}, fmt.Errorf("server %q: %q is no host:port", e.ID, e.Addr)
 	}
 	return decide.Entry{ID: ServerID(e.ID), State: st, Started: e.Started, Size: e.Weight, Zone: e.Zone, Cell: e.Cell,
--- a/internal/model/faults.go
+++ b/internal/model/faults.go
@@ -25,10 +25,10 @@
 	switch f.Kind {
 	case Kill:
 		w.servers[f.Who].end(dead)
-		w.tell(w.servers[f.Who], decide.Gone, w.cfg.Notice)
+		w.tell(w.servers[f.Who], decide.Removed, w.cfg.Notice)
 	case Silence:
 		w.servers[f.Who].end(silent)
-		w.tell(w.servers[f.Who], decide.Gone, w.cfg.Silent)
+		w.tell(w.servers[f.Who], decide.Removed, w.cfg.Silent)
 	case Hang:
 		w.servers[f.Who].mode = hangs
 	case Slow:
--- a/internal/model/fleetnet/check.go
+++ b/internal/model/fleetnet/check.go
@@ -24,7 +24,7 @@
 	}
 	text := ""
 	for _, nd := range n.Running() {
-		text += fmt.Sprintf(" %s:%+v", nd.Cfg.Name, nd.Part())
+		text += fmt.Sprintf(" %s:%+v", nd.Cfg.Name, nd.Share())
 	}
 	return fmt.Errorf("at %.0f ms: all may use %.3f of the whole:%s", n.Now, sum, text)
 }
@@ -73,12 +73,12 @@
 	for _, m := range a.Members {
 		o, ok := was[m.Name]
 		delete(was, m.Name)
-		if !ok && m.State <= fleet.Lost || ok && (m.State != o.State && (m.State <= fleet.Lost || o.State <= fleet.Lost) || m.Start != o.Start || m.Inc != o.Inc) {
-			return fmt.Sprintf("%s is %v (start %d, %d) and %v (start %d, %d)", m.Name, m.State, m.Start, m.Inc, o.State, o.Start, o.Inc)
+		if !ok && m.State <= fleet.Excluded || ok && (m.State != o.State && (m.State <= fleet.Excluded || o.State <= fleet.Excluded) || m.Start != o.Start || m.Incarnation != o.Incarnation) {
+			return fmt.Sprintf("%s is %v (start %d, %d) and %v (start %d, %d)", m.Name, m.State, m.Start, m.Incarnation, o.State, o.Start, o.Incarnation)
 		}
 	}
 	for name, o := range was {
-		if o.State <= fleet.Lost {
+		if o.State <= fleet.Excluded {
 			return fmt.Sprintf("%s is unknown and %v", name, o.State)
 		}
 	}
--- a/internal/model/fleetnet/fleets.go
+++ b/internal/model/fleetnet/fleets.go
@@ -112,11 +112,11 @@
 		nd.Quota.UpdateShare(n.Now, nd.own())
 		return nd.Quota.UsableShare(n.Now, 0)
 	}
-	p := nd.Part()
+	p := nd.Share()
 	if n.Now > p.Until {
-		p.Routers = p.Then
+		p.Routers = p.RoutersAfter
 	}
-	if p.Routers >= fleet.Holding {
+	if p.Routers >= fleet.NoShare {
 		return 0
 	}
 	return 1 / p.Routers
--- a/internal/model/fleetnet/lines.go
+++ b/internal/model/fleetnet/lines.go
@@ -11,7 +11,7 @@
 // Lines are a node's line of worth, and what is asked of it.
 type Lines struct {
 	Line *admission.Machine // nil = it has none
-	Asks [decide.Bands]float64
+	Asks [decide.NumBands]float64
 	Room float64 // work a second of all servers, as it knows them
 
 	came   admission.Demand
@@ -23,7 +23,7 @@
 
 func (m meeter) Send(to admission.Peer, b []byte) {
 	nd := m.Node
-	nd.cargo = append(nd.cargo, func() { nd.Carry(nd.net.Now, to.Name, to.Start, b) })
+	nd.cargo = append(nd.cargo, func() { nd.SendPayload(nd.net.Now, to.Name, to.Start, b) })
 }
 
 // beginLine has a process begin without a word of anything; its servers and clients are those of before.
@@ -42,11 +42,11 @@
 	for i, rate := range nd.Asks {
 		if rate > 0 {
 			came := drawn(n, rate*gone/1000)
-			nd.came.Work[i] += came
-			nd.came.Passed, nd.came.Sent = nd.came.Passed+came, nd.came.Sent+came
+			nd.came.Arrived[i] += came
+			nd.came.Admitted, nd.came.Sent = nd.came.Admitted+came, nd.came.Sent+came
 		}
 	}
-	nd.came.Room = nd.Room
+	nd.came.Capacity = nd.Room
 	nd.Line.Tick(n.Now, nd.ofWarm(), nd.came, nd.peers(func(s fleet.State) bool { return s <= fleet.Suspect }))
 	nd.unload()
 }
@@ -90,7 +90,7 @@
 			}
 		}
 	}
-	mix := [decide.Bands]float64{}
+	mix := [decide.NumBands]float64{}
 	for _, nd := range running {
 		for i, rate := range nd.Asks {
 			mix[i] += rate / max(1e-9, all)
--- a/internal/model/fleetnet/measure.go
+++ b/internal/model/fleetnet/measure.go
@@ -76,12 +76,12 @@
 	was := n.bytes()
 	n.For(20e3)
 	m.BytesPerS = (n.bytes() - was) / 20 / float64(routers)
-	known := n.knowing(n.Nodes[routers/3].Cfg.Name, func(s fleet.State) bool { return s >= fleet.Gone })
+	known := n.knowing(n.Nodes[routers/3].Cfg.Name, func(s fleet.State) bool { return s >= fleet.Dead })
 	n.Nodes[routers/3].Kill()
 	settle()
 	m.Crash = known()
 	n.For(5e3)
-	known = n.knowing(n.Nodes[routers/2].Cfg.Name, func(s fleet.State) bool { return s >= fleet.Silent })
+	known = n.knowing(n.Nodes[routers/2].Cfg.Name, func(s fleet.State) bool { return s >= fleet.Unresponsive })
 	n.Nodes[routers/2].Off()
 	n.For(12e3)
 	m.Silence = known()
@@ -116,7 +116,7 @@
 	n := New(c.Seed)
 	for i := range routers {
 		cfg := Config(i)
-		cfg.Plain = c.Plain
+		cfg.PlainSWIM = c.Plain
 		n.Start(cfg)
 	}
 	n.Until(20e3, func() bool { return n.Settled() == nil })
@@ -135,8 +135,8 @@
 	seen := map[episode]bool{}
 	for _, nd := range n.Nodes {
 		nd.OnWord = func(_ float64, c fleet.Change) {
-			if c.State >= fleet.Silent && c.State <= fleet.Gone && !slows[c.Name] {
-				seen[episode{c.Name, c.Inc}] = true
+			if c.State >= fleet.Unresponsive && c.State <= fleet.Dead && !slows[c.Name] {
+				seen[episode{c.Name, c.Incarnation}] = true
 			}
 		}
 	}
--- a/internal/model/fleetnet/measureline.go
+++ b/internal/model/fleetnet/measureline.go
@@ -24,7 +24,7 @@
 	}
 	ask := func(x float64) {
 		for _, nd := range n.Nodes {
-			nd.Asks = [decide.Bands]float64{0: 0.2 * x * each, 6: 0.5 * x * each, 13: 0.3 * x * each}
+			nd.Asks = [decide.NumBands]float64{0: 0.2 * x * each, 6: 0.5 * x * each, 13: 0.3 * x * each}
 			nd.Room, nd.Rate = room*each*float64(routers), x*each
 		}
 	}
--- a/internal/model/fleetnet/net.go
+++ b/internal/model/fleetnet/net.go
@@ -83,10 +83,10 @@
 		join = append(join, addr(seed))
 	}
 	return fleet.Config{Name: fmt.Sprintf("r-%03d", i), Site: []string{"rades", "sfax"}[i%2], Addr: addr(i), Start: uint64(i + 1), Join: join,
-		Expected: fleet.Holding, Stream: true, Seed: uint64(i)}
+		ExpectedRouters: fleet.NoShare, Streams: true, Seed: uint64(i)}
 }
 
-func addr(i int) fleet.Addr { return fleet.V4(127, 1, byte(i>>8), byte(i), 7946) }
+func addr(i int) fleet.Addr { return fleet.IPv4(127, 1, byte(i>>8), byte(i), 7946) }
 
 // Start starts a router. One that was there at the address is replaced.
 func (n *Net) Start(cfg fleet.Config) *Node {
@@ -104,7 +104,7 @@
 		panic(err) // the orders are the program's own
 	}
 	nd.Machine, nd.Quota, nd.cargo = m, nil, nil
-	if cfg.Lends > 0 {
+	if cfg.LeaseMS > 0 {
 		nd.Quota = newQuota(nd)
 		nd.beginLine()
 	}
@@ -344,30 +344,30 @@
 	}
 }
 
-func (h host) Check(to fleet.Addr, m []byte) {
+func (h host) StreamPing(to fleet.Addr, m []byte) {
 	h.stream(to, func(dst *Node) func() {
 		a, err := dst.Answer(h.net.Now, m)
 		if err != nil || a == nil {
 			return nil
 		}
 		return func() { h.Receive(h.net.Now, a) } //nolint:errcheck // as above
-	}, func(answered, refused bool) { h.Checked(h.net.Now, to, answered, refused) })
+	}, func(answered, refused bool) { h.StreamPingDone(h.net.Now, to, answered, refused) })
 }
 
 // Sync is two round trips on one stream: sums, then pages.
-func (h host) Sync(to fleet.Addr) {
-	ask := h.Sums()
+func (h host) PushPull(to fleet.Addr) {
+	ask := h.BucketDigests()
 	h.count([][]byte{ask})
 	over := func(bool, bool) {}
 	h.stream(to, func(dst *Node) func() {
-		there, err := dst.Compare(h.net.Now, ask)
+		there, err := dst.CompareDigests(h.net.Now, ask)
 		if err != nil {
 			return nil
 		}
-		reply := dst.Sums()
+		reply := dst.BucketDigests()
 		host{dst}.count([][]byte{reply})
 		return func() {
-			here, err := h.Compare(h.net.Now, reply)
+			here, err := h.CompareDigests(h.net.Now, reply)
 			if err != nil {
 				return
 			}
@@ -395,7 +395,7 @@
 	}
 }
 
-func (h host) Changed(c fleet.Change) {
+func (h host) MemberChanged(c fleet.Change) {
 	h.net.meets(h.Node, process{c.Name, c.Start})
 	if h.OnWord != nil {
 		h.OnWord(h.net.Now, c)
--- a/internal/model/fleetnet/quota.go
+++ b/internal/model/fleetnet/quota.go
@@ -12,7 +12,7 @@
 // Lending is Config for routers that lend each other their parts.
 func Lending(i int) fleet.Config {
 	cfg := Config(i)
-	cfg.Lends = quota.LeaseTerm
+	cfg.LeaseMS = quota.LeaseTerm
 	return cfg
 }
 
@@ -21,7 +21,7 @@
 
 func (l lender) Send(to quota.Peer, m []byte) {
 	nd := l.Node
-	nd.cargo = append(nd.cargo, func() { nd.Carry(nd.net.Now, to.Name, to.Start, m) })
+	nd.cargo = append(nd.cargo, func() { nd.SendPayload(nd.net.Now, to.Name, to.Start, m) })
 }
 
 func newQuota(nd *Node) *quota.Machine {
@@ -33,7 +33,7 @@
 }
 
 // Cargo is fleet.Host's: it is taken once the machine has returned.
-func (h host) Cargo(from fleet.Record, b []byte) {
+func (h host) DeliverPayload(from fleet.Record, b []byte) {
 	nd := h.Node
 	if nd.Quota == nil {
 		return
@@ -59,14 +59,14 @@
 
 // own is what the view gives the node.
 func (nd *Node) own() quota.BaseShare {
-	p := nd.Part()
+	p := nd.Share()
 	share := func(routers float64) float64 {
-		if routers >= fleet.Holding {
+		if routers >= fleet.NoShare {
 			return 0
 		}
 		return 1 / routers
 	}
-	return quota.BaseShare{Share: share(p.Routers), Until: p.Until, After: share(p.Then)}
+	return quota.BaseShare{Share: share(p.Routers), Until: p.Until, After: share(p.RoutersAfter)}
 }
 
 // sortPeers puts peers in order, so that one seed gives one run.
@@ -76,7 +76,7 @@
 
 // peers are the members whose states are right, in order.
 func (nd *Node) peers(right func(fleet.State) bool) (ps []quota.Peer) {
-	nd.Each(func(r fleet.Record) {
+	nd.ForEach(func(r fleet.Record) {
 		if right(r.State) {
 			ps = append(ps, quota.Peer{Name: r.Name, Start: r.Start})
 		}
--- a/internal/model/fleetnet/schedule.go
+++ b/internal/model/fleetnet/schedule.go
@@ -149,7 +149,7 @@
 	}
 	for i, nd := range n.Nodes {
 		much := 60 * float64(1+i%4)
-		nd.Asks, nd.Room = [decide.Bands]float64{0: 0.2 * much, 6: 0.5 * much, 13: 0.3 * much}, linesRoom
+		nd.Asks, nd.Room = [decide.NumBands]float64{0: 0.2 * much, 6: 0.5 * much, 13: 0.3 * much}, linesRoom
 	}
 }
 
--- a/internal/model/mutants_test.go
+++ b/internal/model/mutants_test.go
@@ -119,7 +119,7 @@
 		}
 		return e, true
 	}},
-	{name: "what is gone is not heard of", rule: 3, hear: func(e decide.Entry) (decide.Entry, bool) { return e, e.State != decide.Gone }},
+	{name: "what is gone is not heard of", rule: 3, hear: func(e decide.Entry) (decide.Entry, bool) { return e, e.State != decide.Removed }},
 	{name: "a cold server is taken for warm", rule: 4, hear: func(e decide.Entry) (decide.Entry, bool) { e.Started = 0; return e, true },
 		cfg: func(c *decide.Config) { c.ColdFrom = 1 }, day: coldDay},
 	{name: "the cold bound eight times what it is", rule: 4, cfg: func(c *decide.Config) { c.FallMult *= 8 }, day: coldDay},
--- a/internal/model/router.go
+++ b/internal/model/router.go
@@ -69,7 +69,7 @@
 	if r.b, err = decide.New(r.w.cfg.module(r.no), r.w.rng.Uint64(), r); err != nil {
 		return err
 	}
-	r.b.Servers(r.time(), decide.Remembered, r.heard(r.list))
+	r.b.Servers(r.time(), decide.Restored, r.heard(r.list))
 	return nil
 }
 
@@ -142,7 +142,7 @@
 		t.s.give(t)
 	}
 	r.forget(q)
-	r.b.Outcome(r.time(), decide.Outcome{ID: q.id, Attempt: t.n, Server: t.s.id, Status: st, Latency: w.now - t.at, Final: q.over, Note: note, Load: t.load})
+	r.b.Outcome(r.time(), decide.Outcome{ID: q.id, Attempt: t.n, Server: t.s.id, Status: st, Latency: w.now - t.at, Final: q.over, CacheResult: note, Load: t.load})
 }
 
 // leave ends a try that its client waits for no longer. That the module owes an answer by then breaks a rule.
@@ -151,7 +151,7 @@
 		return
 	}
 	q.over = true
-	r.b.Gone(r.time(), q.id)
+	r.b.ClientGone(r.time(), q.id)
 	r.forget(q)
 }
 
@@ -258,10 +258,10 @@
 func (r *router) Close(uint32) {}
 
 // Watch is Close's brother.
-func (r *router) Watch() {}
+func (r *router) WatchList() {}
 
 // Tell is Close's brother.
-func (r *router) Tell([]byte) {}
+func (r *router) Broadcast([]byte) {}
 
 // Log is Close's brother.
 func (r *router) Log(string) {}
--- a/internal/model/warm.go
+++ b/internal/model/warm.go
@@ -22,7 +22,7 @@
 	if h.b, err = decide.New(w.cfg.module(0), w.cfg.Seed, h); err != nil {
 		return fmt.Errorf("warming: %w", err)
 	}
-	h.b.Servers(1, decide.Remembered, w.routers[0].list)
+	h.b.Servers(1, decide.Restored, w.routers[0].list)
 	room := 0
 	for _, s := range w.servers {
 		room += len(s.ring)
@@ -34,7 +34,7 @@
 		h.b.Request(at, decide.Request{ID: id, Class: w.safe(), Key: h.key, HasKey: true, Left: 1e3})
 		for n, s := range h.sent {
 			w.byID(s).store(h.key)
-			h.b.Outcome(at, decide.Outcome{ID: id, Attempt: n, Server: s, Status: decide.OK, Latency: 1, Final: true, Note: 1, Load: decide.NoLoad})
+			h.b.Outcome(at, decide.Outcome{ID: id, Attempt: n, Server: s, Status: decide.OK, Latency: 1, Final: true, CacheResult: 1, Load: decide.NoLoad})
 		}
 	}
 	return nil
@@ -72,10 +72,10 @@
 func (h *warmer) Timer(float64, uint64) {}
 
 // Watch is Cancel's brother.
-func (h *warmer) Watch() {}
+func (h *warmer) WatchList() {}
 
 // Tell is Cancel's brother.
-func (h *warmer) Tell([]byte) {}
+func (h *warmer) Broadcast([]byte) {}
 
 // Log is Cancel's brother.
 func (h *warmer) Log(string) {}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -255,7 +255,7 @@
 		w.probe(e)
 	case evProbed:
 		if r := w.routers[e.a]; r.up && r.life == e.life {
-			r.b.Probed(r.time(), w.servers[e.b].id, decide.Status(e.token), w.servers[e.b].report)
+			r.b.ProbeResult(r.time(), w.servers[e.b].id, decide.Status(e.token), w.servers[e.b].report)
 		}
 	case evNews:
 		if r := w.routers[e.a]; r.up {
--- a/internal/operator/figures.go
+++ b/internal/operator/figures.go
@@ -30,7 +30,7 @@
 		}
 	}
 	tries := family("upstream_tries", "Attempts written whole to cache servers and the origin.", dto.MetricType_COUNTER)
-	tries.Metric = []*dto.Metric{{Counter: &dto.Counter{Value: new(float64(c.Tries))}}}
+	tries.Metric = []*dto.Metric{{Counter: &dto.Counter{Value: new(float64(c.Attempts))}}}
 	checked := family("invariant_checks", "Checks of a rule, by rule.", dto.MetricType_COUNTER)
 	prevented := family("invariant_prevented", "Attempts called off to keep a rule, by rule.", dto.MetricType_COUNTER)
 	broken := family("invariant_violations", "Broken rules, by rule: there should be none.", dto.MetricType_COUNTER)
@@ -46,8 +46,8 @@
 	var out bytes.Buffer
 	for _, f := range []*dto.MetricFamily{passed, dropped, failed, tries, checked, prevented, broken,
 		gauge("in_progress", "Requests taken and not ended.", c.Open),
-		gauge("known_cache_servers", "Cache servers on the list.", c.Known),
-		gauge("skipped_cache_servers", "Listed cache servers that requests are kept from now.", c.Avoided),
+		gauge("known_cache_servers", "Cache servers on the list.", c.KnownServers),
+		gauge("skipped_cache_servers", "Listed cache servers that requests are kept from now.", c.AvoidedServers),
 	} {
 		if len(f.Metric) > 0 { // the form has none without
 			expfmt.MetricFamilyToText(&out, f) //nolint:errcheck // neither the buffer nor families of this form fail
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -27,7 +27,7 @@
 
 func (s *scripted) Ready() bool { return s.ready.Load() }
 func (s *scripted) Counts() engine.Counts {
-	return engine.Counts{Classes: []engine.ClassCounts{{Class: "bill"}, {Class: "read", Served: 812, Refused: 3, Failed: 2}}, Tries: 900, Open: 14, Known: 9, Avoided: 1}
+	return engine.Counts{Classes: []engine.ClassCounts{{Class: "bill"}, {Class: "read", Served: 812, Refused: 3, Failed: 2}}, Attempts: 900, Open: 14, KnownServers: 9, AvoidedServers: 1}
 }
 func (s *scripted) OutOfService(context.Context) error { s.out.Add(1); return nil }
 func (s *scripted) InService(context.Context) error {
--- a/internal/pure/admission/admission.go
+++ b/internal/pure/admission/admission.go
@@ -21,7 +21,7 @@
 // Demand counts the arrivals at a router so far, and Threshold is the admission threshold that results.
 type (
 	Demand    = decide.Demand
-	Threshold = decide.Line
+	Threshold = decide.AdmissionThreshold
 )
 
 // Times in ms.
@@ -62,10 +62,10 @@
 }
 
 // loadVector holds work per second by band of worth, followed by the capacity.
-type loadVector [decide.Bands + 1]float64
+type loadVector [decide.NumBands + 1]float64
 
 // capacityIndex is the index of the capacity in a loadVector.
-const capacityIndex = decide.Bands
+const capacityIndex = decide.NumBands
 
 // totalRate returns the work per second over all bands.
 func (v *loadVector) totalRate() (sum float64) {
@@ -135,14 +135,14 @@
 		return
 	}
 	previous := m.local
-	if passed, sent := d.Passed-m.lastDemand.Passed, d.Sent-m.lastDemand.Sent; passed > 0 && sent >= 0 {
+	if passed, sent := d.Admitted-m.lastDemand.Admitted, d.Sent-m.lastDemand.Sent; passed > 0 && sent >= 0 {
 		// Weights the sample by the arrivals it covers, relative to those of four slow windows, as one or
 		// two requests say little about the mean.
 		weight := min(1, passed/(8+4*m.local.totalRate()*slowRateWindow/1000))
 		m.attemptsPerRequest += weight * (min(maxAttemptsPerRequest, max(0.5, sent/passed)) - m.attemptsPerRequest)
 	}
-	for i := range d.Work {
-		rate := max(0, d.Work[i]-m.lastDemand.Work[i]) / elapsed * 1000 * max(1, m.attemptsPerRequest)
+	for i := range d.Arrived {
+		rate := max(0, d.Arrived[i]-m.lastDemand.Arrived[i]) / elapsed * 1000 * max(1, m.attemptsPerRequest)
 		m.fastLocal[i] += (1 - math.Exp(-elapsed/fastRateWindow)) * (rate - m.fastLocal[i])
 		m.local[i] += (1 - math.Exp(-elapsed/slowRateWindow)) * (rate - m.local[i])
 	}
@@ -150,7 +150,7 @@
 	if total := m.local.totalRate(); math.Abs(m.fastLocal.totalRate()-total) > rateChangeDeviations*math.Sqrt(max(1, total)/(2*fastRateWindow/1000)) {
 		m.local = m.fastLocal
 	}
-	m.local[capacityIndex] = max(0, d.Room*share)
+	m.local[capacityIndex] = max(0, d.Capacity*share)
 	decay, smoothing := 1-math.Exp(-elapsed/decayTime), 1-math.Exp(-elapsed/smoothingWindow)
 	for i := range m.estimate {
 		m.estimate[i] = max(0, m.estimate[i]+m.local[i]-previous[i])
@@ -253,16 +253,16 @@
 func (m *Machine) Threshold(now float64) Threshold {
 	m.now = max(m.now, now)
 	if m.admittedShare >= 1 {
-		return decide.NoLine
+		return decide.AdmitAll
 	}
 	remaining := m.admittedShare * m.smoothed.totalRate()
 	for i, rate := range m.smoothed[:capacityIndex] {
 		if rate > remaining {
-			return Threshold{Band: i, Share: remaining / rate, Turn: m.currentRotation(), Pace: hashRotationPeriod, Until: m.now + thresholdTTL}
+			return Threshold{Band: i, Share: remaining / rate, Rotation: m.currentRotation(), RotationPeriod: hashRotationPeriod, Until: m.now + thresholdTTL}
 		}
 		remaining -= rate
 	}
-	return decide.NoLine
+	return decide.AdmitAll
 }
 
 // Stats holds the local rate, and estimates of the mean rate and capacity over all routers, in work per
--- a/internal/pure/admission/cases_test.go
+++ b/internal/pure/admission/cases_test.go
@@ -46,8 +46,8 @@
 }
 
 // demandOf splits a rate into three bands of worth.
-func demandOf(rate float64) [decide.Bands]float64 {
-	return [decide.Bands]float64{gold: 0.2 * rate, read: 0.5 * rate, bulk: 0.3 * rate}
+func demandOf(rate float64) [decide.NumBands]float64 {
+	return [decide.NumBands]float64{gold: 0.2 * rate, read: 0.5 * rate, bulk: 0.3 * rate}
 }
 
 // setDemand sets the demand at all routers to a multiple of baseRate.
@@ -129,9 +129,9 @@
 		f.setDemand(2)
 		// 960 arrive per second, half of them gold, which fits the capacity of 600
 		for i, node := range f.Nodes {
-			node.Asks = [decide.Bands]float64{bulk: 60}
+			node.Asks = [decide.NumBands]float64{bulk: 60}
 			if i%3 == 0 {
-				node.Asks = [decide.Bands]float64{gold: 120}
+				node.Asks = [decide.NumBands]float64{gold: 120}
 			}
 		}
 		f.For(3000)
@@ -282,9 +282,9 @@
 	f.Start(fleetnet.Lending(6))
 	f.setDemand(3)
 	f.For(5000)
-	first := f.Nodes[0].Line.Threshold(f.Now).Turn
+	first := f.Nodes[0].Line.Threshold(f.Now).Rotation
 	for i, node := range f.Nodes {
-		apart := node.Line.Threshold(f.Now).Turn - first
+		apart := node.Line.Threshold(f.Now).Rotation - first
 		if apart -= math.Round(apart); math.Abs(apart) > 0.005 {
 			t.Errorf("router %d differs by %.3f of a rotation", i, apart)
 		}
@@ -299,17 +299,17 @@
 	f.Add(append([]byte{4, 0, 0, 0, 1}, bytes.Repeat([]byte{255}, admission.MaxMessage-5)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m := admission.New(1, 1, discardHost{})
-		d := admission.Demand{Room: 100}
+		d := admission.Demand{Capacity: 100}
 		for now := 1000.0; now < 3000; now += 50 {
-			d.Work[0] += 1
-			d.Passed, d.Sent = d.Passed+1, d.Sent+1
+			d.Arrived[0] += 1
+			d.Admitted, d.Sent = d.Admitted+1, d.Sent+1
 			m.Tick(now, 1, d, []admission.Peer{{Name: "p"}})
 			m.Receive(now, admission.Peer{Name: "p"}, b) //nolint:errcheck // invalid messages are rejected
 			if err := m.Threshold(now).Validate(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if g := m.Stats(); !(g.MeanRate <= 16*decide.Bands*100+1) || g.AdmittedShare < 0 || g.AdmittedShare > 1 {
+		if g := m.Stats(); !(g.MeanRate <= 16*decide.NumBands*100+1) || g.AdmittedShare < 0 || g.AdmittedShare > 1 {
 			t.Errorf("%x: %+v", b, g)
 		}
 	})
--- a/internal/pure/admission/codec.go
+++ b/internal/pure/admission/codec.go
@@ -16,7 +16,7 @@
 )
 
 // MaxMessage is the length in bytes of every message.
-const MaxMessage = 1 + 4 + 2 + 4 + 2 + 2*(decide.Bands+1)
+const MaxMessage = 1 + 4 + 2 + 4 + 2 + 2*(decide.NumBands+1)
 
 // message carries the sender's estimate of the mean in an exchange between two routers.
 type message struct {
--- a/internal/pure/fleet/cases_test.go
+++ b/internal/pure/fleet/cases_test.go
@@ -52,7 +52,7 @@
 	for {
 		bad := ""
 		for _, nd := range w.Running() {
-			if p := nd.Part(); p.Routers != float64(of) {
+			if p := nd.Share(); p.Routers != float64(of) {
 				bad = fmt.Sprintf("%s has one of %v parts", nd.Cfg.Name, p.Routers)
 			}
 		}
@@ -72,7 +72,7 @@
 	for _, nd := range w.Nodes {
 		nd.OnWord = func(_ float64, c fleet.Change) {
 			for _, o := range w.Nodes {
-				if c.State >= fleet.Silent && c.State <= fleet.Gone && o.Cfg.Name == c.Name && o.State == fleetnet.Up && o.Self().Start == c.Start {
+				if c.State >= fleet.Unresponsive && c.State <= fleet.Dead && o.Cfg.Name == c.Name && o.State == fleetnet.Up && o.Self().Start == c.Start {
 					*n++
 				}
 			}
@@ -131,7 +131,7 @@
 	w.shares(12, 0) // it may still act, for all that the others know
 	w.Pass(40e3)
 	w.shares(12, 0) // a quarter of its part, rounded up, is left to it
-	if v := w.Nodes[0].View(w.Now); v.Members[4].State != fleet.Lost || v.Members[4].Counted {
+	if v := w.Nodes[0].View(w.Now); v.Members[4].State != fleet.Excluded || v.Members[4].Counted {
 		t.Errorf("after 100 s: %+v", v.Members[4])
 	}
 	for _, i := range []int{5, 6, 7} {
@@ -329,8 +329,8 @@
 				w.shares(4, 4000)
 			}
 			for _, nd := range w.Nodes {
-				if nd.Self().Inc > 0 {
-					t.Errorf("%s had to deny %d times that it was dead", nd.Cfg.Name, nd.Self().Inc)
+				if nd.Self().Incarnation > 0 {
+					t.Errorf("%s had to deny %d times that it was dead", nd.Cfg.Name, nd.Self().Incarnation)
 				}
 			}
 			if *n > 0 {
@@ -363,10 +363,10 @@
 	double := w.Start(cfg)
 	w.Pass(3000)
 	err := double.Refused()
-	if !errors.Is(err, fleet.ErrDouble) || !strings.Contains(fmt.Sprint(err), "r-005 runs at 127.1.0.5:7946 since before this one at 127.1.0.20:7946") {
+	if !errors.Is(err, fleet.ErrDuplicateName) || !strings.Contains(fmt.Sprint(err), "r-005 runs at 127.1.0.5:7946 since before this one at 127.1.0.20:7946") {
 		t.Errorf("the later one is told: %v", err)
 	}
-	if p := double.Part(); p.Routers < fleet.Holding {
+	if p := double.Share(); p.Routers < fleet.NoShare {
 		t.Errorf("the later one has a part: %+v", p)
 	}
 	if err := w.Nodes[5].Refused(); err != nil {
@@ -380,7 +380,7 @@
 func (w *world) shares2(of int) {
 	w.t.Helper()
 	for _, nd := range w.Running() {
-		if p := nd.Part(); nd.Refused() == nil && p.Routers != float64(of) {
+		if p := nd.Share(); nd.Refused() == nil && p.Routers != float64(of) {
 			w.t.Errorf("%s has one of %v parts, not of %d", nd.Cfg.Name, p.Routers, of)
 		}
 	}
@@ -465,7 +465,7 @@
 				continue
 			}
 			r := m.Record
-			r.State, r.By = fleet.Gone, fleet.NameID("r-011")
+			r.State, r.AccuserID = fleet.Dead, fleet.NameID("r-011")
 			for _, nd := range w.Nodes[:11] {
 				if err := nd.Receive(w.Now, fleet.Encode(w.Nodes[11].Self(), r)); err != nil {
 					t.Fatal(err)
@@ -477,7 +477,7 @@
 		lies()
 		w.Pass(300)
 		for _, nd := range w.Running() {
-			if p := nd.Part(); p.Routers < 12 {
+			if p := nd.Share(); p.Routers < 12 {
 				t.Fatalf("%s takes one of %v parts by a liar's word", nd.Cfg.Name, p.Routers)
 			}
 		}
--- a/internal/pure/fleet/codec_test.go
+++ b/internal/pure/fleet/codec_test.go
@@ -8,27 +8,27 @@
 )
 
 var longest = Record{Name: strings.Repeat("n", MaxName), Site: strings.Repeat("s", MaxSite), Addr: Addr{IP: [16]byte{0x20, 1}, Port: 65535}, Start: 1 << 63,
-	Inc: 1 << 31, State: Left, Ease: maxEase, Card: strings.Repeat("\xff", MaxCard), By: 77}
+	Incarnation: 1 << 31, State: Left, TimeoutExtension: maxTimeoutExtension, Meta: strings.Repeat("\xff", MaxMeta), AccuserID: 77}
 
 func TestMessagesComeBackAsTheyWere(t *testing.T) {
-	short := Record{Name: "r-1", Addr: V4(127, 0, 0, 9, 7946), Start: 5, State: Silent, By: 9}
+	short := Record{Name: "r-1", Addr: IPv4(127, 0, 0, 9, 7946), Start: 5, State: Unresponsive, AccuserID: 9}
 	for name, q := range map[string]message{
-		"plain":   {Kind: ping, Seq: 7, View: 1 << 60, Roster: 3, From: short, Target: "r-2", Start: 8},
-		"longest": {Kind: ack, From: longest, Target: strings.Repeat("t", MaxName), News: []Record{longest}},
-		"cargo":   {Kind: cargo, From: longest, Target: strings.Repeat("t", MaxName), Cargo: make([]byte, MaxCargo)},
-		"sums":    {Kind: compare, View: 9, From: longest, Target: strings.Repeat("t", MaxName), Sums: sums{0: 1, 15: 1 << 31}},
-		"many":    {Kind: gossip, From: short, News: []Record{short, short, short, short}},
+		"plain":   {Type: ping, Seq: 7, ViewDigest: 1 << 60, RosterDigest: 3, From: short, Target: "r-2", TargetStart: 8},
+		"longest": {Type: ack, From: longest, Target: strings.Repeat("t", MaxName), Updates: []Record{longest}},
+		"cargo":   {Type: payload, From: longest, Target: strings.Repeat("t", MaxName), Payload: make([]byte, MaxPayload)},
+		"sums":    {Type: viewDigests, ViewDigest: 9, From: longest, Target: strings.Repeat("t", MaxName), BucketDigests: bucketDigests{0: 1, 15: 1 << 31}},
+		"many":    {Type: gossip, From: short, Updates: []Record{short, short, short, short}},
 	} {
 		b, n := q.encode(MaxMessage)
-		if n != len(q.News) || len(b) > MaxMessage-sumBytes {
-			t.Errorf("%s: %d of %d records in %d bytes", name, n, len(q.News), len(b))
+		if n != len(q.Updates) || len(b) > MaxMessage-macBytes {
+			t.Errorf("%s: %d of %d records in %d bytes", name, n, len(q.Updates), len(b))
 		}
-		got, err := decode(append(b, make([]byte, MaxMessage-sumBytes-len(b))...)) // padded
+		got, err := decode(append(b, make([]byte, MaxMessage-macBytes-len(b))...)) // padded
 		if err != nil || !reflect.DeepEqual(got, q) {
 			t.Errorf("%s: %v\n got %+v\nwant %+v", name, err, got, q)
 		}
 		for cut := range len(b) {
-			if m, err := decode(b[:cut]); err == nil && len(m.News) == len(q.News) && m.Sums == q.Sums && len(m.Cargo) == len(q.Cargo) {
+			if m, err := decode(b[:cut]); err == nil && len(m.Updates) == len(q.Updates) && m.BucketDigests == q.BucketDigests && len(m.Payload) == len(q.Payload) {
 				t.Errorf("%s: the first %d of %d bytes are taken for all", name, cut, len(b))
 			}
 		}
@@ -38,48 +38,48 @@
 func TestSums(t *testing.T) {
 	key, other := make([]byte, 32), make([]byte, 32)
 	other[31] = 1
-	sealed := Seal(key, []byte("said"))
-	if body, err := Open(key, sealed); err != nil || string(body) != "said" {
+	sealed := AppendMAC(key, []byte("said"))
+	if body, err := VerifyMAC(key, sealed); err != nil || string(body) != "said" {
 		t.Errorf("%q, %v", body, err)
 	}
 	for name, open := range map[string]func() ([]byte, error){
-		"another key": func() ([]byte, error) { return Open(other, sealed) },
-		"no key":      func() ([]byte, error) { return Open(nil, sealed) },
+		"another key": func() ([]byte, error) { return VerifyMAC(other, sealed) },
+		"no key":      func() ([]byte, error) { return VerifyMAC(nil, sealed) },
 		"a bit": func() ([]byte, error) {
 			sealed[0] ^= 1
-			return Open(key, sealed)
+			return VerifyMAC(key, sealed)
 		},
 	} {
-		if _, err := open(); !errors.Is(err, ErrSum) {
+		if _, err := open(); !errors.Is(err, ErrMAC) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Open(key, []byte("short")); err == nil {
+	if _, err := VerifyMAC(key, []byte("short")); err == nil {
 		t.Error("a message without a sum is taken")
 	}
 }
 
 func TestOrderOfRecords(t *testing.T) {
-	up := []Record{{Start: 1}, {Start: 1, State: Alive}, {Start: 1, State: Suspect}, {Start: 1, State: Silent}, {Start: 1, State: Lost}, {Start: 1, State: Gone},
-		{Start: 1, Inc: 1}, {Start: 1, Inc: 9, State: Gone}, {Start: 1, State: Left}, {Start: 2}}
+	up := []Record{{Start: 1}, {Start: 1, State: Alive}, {Start: 1, State: Suspect}, {Start: 1, State: Unresponsive}, {Start: 1, State: Excluded}, {Start: 1, State: Dead},
+		{Start: 1, Incarnation: 1}, {Start: 1, Incarnation: 9, State: Dead}, {Start: 1, State: Left}, {Start: 2}}
 	for i, a := range up {
 		for j, b := range up {
-			if a.newer(b) != (i > j) {
-				t.Errorf("%+v over %+v: %v", a, b, a.newer(b))
+			if a.supersedes(b) != (i > j) {
+				t.Errorf("%+v over %+v: %v", a, b, a.supersedes(b))
 			}
 		}
 	}
 }
 
 func TestImpossibleNames(t *testing.T) {
-	good := Config{Name: "r-1", Addr: V4(127, 0, 0, 1, 1), Start: 1, Expected: 1}
+	good := Config{Name: "r-1", Addr: IPv4(127, 0, 0, 1, 1), Start: 1, ExpectedRouters: 1}
 	for want, change := range map[string]func(*Config){
 		`name "": 1 to 24 printable bytes`:           func(c *Config) { c.Name = "" },
 		`name "a b"`:                                 func(c *Config) { c.Name = "a b" },
 		`member r-1: site "aaaaaaaaaaaaaaaaa": up t`: func(c *Config) { c.Site = strings.Repeat("a", 17) },
 		`member r-1: no port`:                        func(c *Config) { c.Addr.Port = 0 },
 		`member r-1: no start`:                       func(c *Config) { c.Start = 0 },
-		`member r-1: 0 routers are expected`:         func(c *Config) { c.Expected = 0 },
+		`member r-1: 0 routers are expected`:         func(c *Config) { c.ExpectedRouters = 0 },
 	} {
 		c := good
 		change(&c)
@@ -91,23 +91,23 @@
 
 type nobody struct{}
 
-func (nobody) Send(Addr, []byte)    {}
-func (nobody) Check(Addr, []byte)   {}
-func (nobody) Sync(Addr)            {}
-func (nobody) Changed(Change)       {}
-func (nobody) Cargo(Record, []byte) {}
+func (nobody) Send(Addr, []byte)             {}
+func (nobody) StreamPing(Addr, []byte)       {}
+func (nobody) PushPull(Addr)                 {}
+func (nobody) MemberChanged(Change)          {}
+func (nobody) DeliverPayload(Record, []byte) {}
 
 // Whatever comes, a message is taken whole or refused, what is taken can be said again, and no answer is longer than its question.
 func FuzzReceive(f *testing.F) {
-	for _, q := range []message{{Kind: ping, From: longest}, {Kind: pingReq, From: longest, Target: "x", News: []Record{longest}}} {
+	for _, q := range []message{{Type: ping, From: longest}, {Type: pingReq, From: longest, Target: "x", Updates: []Record{longest}}} {
 		b, _ := q.encode(MaxMessage)
 		f.Add(b)
 	}
-	b, _ := (&message{Kind: compare, From: longest, Sums: sums{7: 5}}).encode(MaxMessage)
+	b, _ := (&message{Type: viewDigests, From: longest, BucketDigests: bucketDigests{7: 5}}).encode(MaxMessage)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		h := &longestSent{}
-		m, err := New(Config{Name: "me", Addr: V4(127, 0, 0, 1, 1), Start: 5, Expected: 1}, h)
+		m, err := New(Config{Name: "me", Addr: IPv4(127, 0, 0, 1, 1), Start: 5, ExpectedRouters: 1}, h)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,7 +115,7 @@
 		if got := m.Receive(1000, b); (got == nil) != (err == nil) {
 			t.Fatalf("decode: %v; receive: %v", err, got)
 		}
-		if _, got := m.Compare(1000, b); (got == nil) != (err == nil && q.Kind == compare) {
+		if _, got := m.CompareDigests(1000, b); (got == nil) != (err == nil && q.Type == viewDigests) {
 			t.Fatalf("decode: %v; compare: %v", err, got)
 		}
 		if h.n > len(b) {
@@ -125,7 +125,7 @@
 			return
 		}
 		again, n := q.encode(MaxMessage)
-		if got, err := decode(again); n == len(q.News) && (err != nil || !reflect.DeepEqual(got, q)) {
+		if got, err := decode(again); n == len(q.Updates) && (err != nil || !reflect.DeepEqual(got, q)) {
 			t.Fatalf("%+v comes back as %+v, %v", q, got, err)
 		}
 	})
@@ -137,18 +137,18 @@
 }
 
 func (l *longestSent) Send(_ Addr, b []byte) {
-	if kind(b[1]) == ack {
+	if messageType(b[1]) == ack {
 		l.n = max(l.n, len(b))
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	m, err := New(Config{Name: "me", Addr: V4(127, 0, 0, 1, 1), Start: 5, Expected: 1}, nobody{})
+	m, err := New(Config{Name: "me", Addr: IPv4(127, 0, 0, 1, 1), Start: 5, ExpectedRouters: 1}, nobody{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	for i := range 300 {
-		m.merge(Record{Name: "r" + string(rune('A'+i%26)) + string(rune('A'+i/26)), Addr: V4(127, 1, byte(i>>8), byte(i), 1), Start: 1, State: Alive}, "")
+		m.merge(Record{Name: "r" + string(rune('A'+i%26)) + string(rune('A'+i/26)), Addr: IPv4(127, 1, byte(i>>8), byte(i), 1), Start: 1, State: Alive}, "")
 	}
 	b.ReportAllocs()
 	now := 1e6
--- a/internal/pure/fleet/export_test.go
+++ b/internal/pure/fleet/export_test.go
@@ -5,7 +5,7 @@
 
 // Encode is a message with one record.
 func Encode(from, r Record) []byte {
-	q := message{Kind: gossip, From: from, News: []Record{r}}
+	q := message{Type: gossip, From: from, Updates: []Record{r}}
 	b, _ := q.encode(MaxMessage)
 	return b
 }
--- a/internal/pure/fleet/member.go
+++ b/internal/pure/fleet/member.go
@@ -18,14 +18,14 @@
 const (
 	MaxName = 24
 	MaxSite = 16
-	MaxCard = 14
+	MaxMeta = 14
 )
 
 // MaxMembers bounds the routers that are known at once, those that are silent among them.
 const MaxMembers = 2048
 
-// maxAsides bounds the memory of members that have left or are gone.
-const maxAsides = 1024
+// maxDeparted bounds the memory of members that have left or are gone.
+const maxDeparted = 1024
 
 // Addr is where a member is reached by datagrams and streams. An IPv4 address stands in its form of 16 bytes.
 type Addr struct {
@@ -33,21 +33,21 @@
 	Port uint16
 }
 
-var v4 = [12]byte{10: 0xff, 11: 0xff}
+var ipv4Prefix = [12]byte{10: 0xff, 11: 0xff}
 
-// V4 is an IPv4 address.
-func V4(a, b, c, d byte, port uint16) Addr {
+// IPv4 is an IPv4 address.
+func IPv4(a, b, c, d byte, port uint16) Addr {
 	out := Addr{Port: port}
-	copy(out.IP[:], v4[:])
+	copy(out.IP[:], ipv4Prefix[:])
 	copy(out.IP[12:], []byte{a, b, c, d})
 	return out
 }
 
-func (a Addr) isV4() bool { return [12]byte(a.IP[:12]) == v4 }
+func (a Addr) isIPv4() bool { return [12]byte(a.IP[:12]) == ipv4Prefix }
 
 func (a Addr) String() string {
 	port := strconv.Itoa(int(a.Port))
-	if a.isV4() {
+	if a.isIPv4() {
 		return fmt.Sprintf("%d.%d.%d.%d:%s", a.IP[12], a.IP[13], a.IP[14], a.IP[15], port)
 	}
 	text := hex.EncodeToString(a.IP[:])
@@ -65,55 +65,55 @@
 const (
 	Joining State = iota // it runs, and does not yet know that all count it
 	Alive
-	Suspect // it did not answer, and may still say that it lives
-	Silent  // it is not heard and may still act
-	Lost    // silent for so long that a majority does not count it any more
-	Gone    // known not to run
-	Left    // it said goodbye
-	states
+	Suspect      // it did not answer, and may still say that it lives
+	Unresponsive // it is not heard and may still act
+	Excluded     // silent for so long that a majority does not count it any more
+	Dead         // known not to run
+	Left         // it said goodbye
+	numStates
 )
 
-var stateNames = [states]string{"joining", "alive", "suspect", "silent", "lost", "gone", "left"}
+var stateNames = [numStates]string{"joining", "alive", "suspect", "silent", "lost", "gone", "left"}
 
 func (s State) String() string {
-	if s < states {
+	if s < numStates {
 		return stateNames[s]
 	}
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
 // present says whether the member belongs to the view; who is gone or has left does not.
-func (s State) present() bool { return s <= Lost }
+func (s State) present() bool { return s <= Excluded }
 
-// heard says whether the member is thought to answer.
-func (s State) heard() bool { return s <= Suspect }
+// answered says whether the member is thought to answer.
+func (s State) responsive() bool { return s <= Suspect }
 
 // Record is what is said of a member. Start grows with each start of the process, Inc with each word by which a running one denies
 // what is said of it.
 type Record struct {
-	Name  string
-	Site  string
-	Addr  Addr
-	Start uint64
-	Inc   uint32
-	State State
-	Ease  uint8  // by how many times longer the others wait for its answers: it is slow, and says so itself
-	Card  string // what it tells the others' other parts of itself; nothing to this package
-	By    uint32 // whose word that it does not answer is; see nameID
+	Name             string
+	Site             string
+	Addr             Addr
+	Start            uint64
+	Incarnation      uint32
+	State            State
+	TimeoutExtension uint8  // by how many times longer the others wait for its answers: it is slow, and says so itself
+	Meta             string // what it tells the others' other parts of itself; nothing to this package
+	AccuserID        uint32 // whose word that it does not answer is; see nameID
 }
 
-// maxEase bounds what a member may ask for, so that one that dies is noticed in time all the same.
-const maxEase = 3
+// maxTimeoutExtension bounds what a member may ask for, so that one that dies is noticed in time all the same.
+const maxTimeoutExtension = 3
 
-// newer says whether r counts over an older record of the same name.
-func (r Record) newer(old Record) bool {
+// supersedes says whether r counts over an older record of the same name.
+func (r Record) supersedes(old Record) bool {
 	switch {
 	case r.Start != old.Start:
 		return r.Start > old.Start
 	case (r.State == Left) != (old.State == Left):
 		return r.State == Left // the last word of a start
-	case r.Inc != old.Inc:
-		return r.Inc > old.Inc
+	case r.Incarnation != old.Incarnation:
+		return r.Incarnation > old.Incarnation
 	}
 	return r.State > old.State
 }
@@ -129,11 +129,11 @@
 		return fmt.Errorf("member %s: no port", r.Name)
 	case r.Start == 0:
 		return fmt.Errorf("member %s: no start", r.Name)
-	case len(r.Card) > MaxCard:
-		return fmt.Errorf("member %s: a card of %d bytes; %d are the most", r.Name, len(r.Card), MaxCard)
-	case r.Ease > maxEase:
-		return fmt.Errorf("member %s: %d times more patience; %d are the most", r.Name, r.Ease, maxEase)
-	case r.State >= states:
+	case len(r.Meta) > MaxMeta:
+		return fmt.Errorf("member %s: a card of %d bytes; %d are the most", r.Name, len(r.Meta), MaxMeta)
+	case r.TimeoutExtension > maxTimeoutExtension:
+		return fmt.Errorf("member %s: %d times more patience; %d are the most", r.Name, r.TimeoutExtension, maxTimeoutExtension)
+	case r.State >= numStates:
 		return fmt.Errorf("member %s: %v is unknown", r.Name, r.State)
 	}
 	return nil
@@ -146,7 +146,7 @@
 // Change is what became of a member, and why.
 type Change struct {
 	Record
-	Was State
-	New bool   // nobody of that name was known
-	By  string // whose word it is, "" = its own
+	Previous State
+	New      bool   // nobody of that name was known
+	Reporter string // whose word it is, "" = its own
 }
--- a/internal/pure/fleet/repair.go
+++ b/internal/pure/fleet/repair.go
@@ -14,35 +14,35 @@
 // Buckets say which buckets are meant, a bit for each.
 type Buckets uint16
 
-// Whole is all buckets.
-const Whole = ^Buckets(0)
+// AllBuckets is all buckets.
+const AllBuckets = ^Buckets(0)
 
-// sums are the buckets' parts of the digest of a view.
-type sums [bucketCount]uint32
+// bucketDigests are the buckets' parts of the digest of a view.
+type bucketDigests [bucketCount]uint32
 
 func bucketOf(name string) int { return int(nameID(name) % bucketCount) }
 
-// toggle has the digests count a record that they did not count, or count it no more.
-func (m *Machine) toggle(r Record) {
+// toggleDigests has the digests count a record that they did not count, or count it no more.
+func (m *Machine) toggleDigests(r Record) {
 	d := r.digest()
-	m.view ^= d
-	m.sums[bucketOf(r.Name)] ^= uint32(d)
-	m.roster ^= r.startDigest()
+	m.viewDigest ^= d
+	m.bucketDigests[bucketOf(r.Name)] ^= uint32(d)
+	m.rosterDigest ^= r.startDigest()
 }
 
-// Sums is the message that says what this router's view adds up to, by buckets.
-func (m *Machine) Sums() []byte {
-	q := message{Kind: compare, View: m.view, Roster: m.roster, From: m.self, Sums: m.sums}
+// BucketDigests is the message that says what this router's view adds up to, by buckets.
+func (m *Machine) BucketDigests() []byte {
+	q := message{Type: viewDigests, ViewDigest: m.viewDigest, RosterDigest: m.rosterDigest, From: m.self, BucketDigests: m.bucketDigests}
 	b, _ := q.encode(MaxMessage)
 	return b
 }
 
-// IsSums says whether a message is one of Sums.
-func IsSums(b []byte) bool { return len(b) > 1 && kind(b[1]) == compare }
+// IsBucketDigests says whether a message is one of Sums.
+func IsBucketDigests(b []byte) bool { return len(b) > 1 && messageType(b[1]) == viewDigests }
 
-// Compare takes another's Sums, and tells in which buckets its view and this one differ: of those each wants the other's Pages.
-func (m *Machine) Compare(now float64, b []byte) (Buckets, error) {
-	m.begin(now)
+// CompareDigests takes another's Sums, and tells in which buckets its view and this one differ: of those each wants the other's Pages.
+func (m *Machine) CompareDigests(now float64, b []byte) (Buckets, error) {
+	m.advanceClock(now)
 	if m.refused != nil {
 		return 0, nil
 	}
@@ -50,40 +50,40 @@
 	if err != nil {
 		return 0, err
 	}
-	if q.Kind != compare {
+	if q.Type != viewDigests {
 		return 0, errors.New("sums of a view were asked for")
 	}
-	if q.View == m.view {
-		m.agrees()
+	if q.ViewDigest == m.viewDigest {
+		m.handleEqualView()
 		return 0, nil
 	}
 	var differ Buckets
-	for i, s := range q.Sums {
-		if s != m.sums[i] {
+	for i, s := range q.BucketDigests {
+		if s != m.bucketDigests[i] {
 			differ |= 1 << i
 		}
 	}
-	m.met(&q) // after the sums, which it may change
+	m.handleSender(&q) // after the sums, which it may change
 	if differ == 0 {
-		return Whole, nil // sums that only look alike
+		return AllBuckets, nil // sums that only look alike
 	}
 	return differ, nil
 }
 
-// differs is told that a member's view is another one.
-func (m *Machine) differs(from Record) {
+// handleDifferentView is told that a member's view is another one.
+func (m *Machine) handleDifferentView(from Record) {
 	mem := m.members[from.Name]
-	if mem == nil || mem.Start != from.Start || !mem.State.heard() || m.now < m.syncAt {
+	if mem == nil || mem.Start != from.Start || !mem.State.responsive() || m.now < m.nextPushPullAt {
 		return
 	}
-	if m.now-m.changed < burst && m.syncAt > 0 {
+	if m.now-m.changedAt < gossipIntervalMS && m.nextPushPullAt > 0 {
 		return // the news are on their way
 	}
-	m.syncAt = m.now + syncEvery*(0.75+0.5*m.rng.Float64())
-	if m.cfg.Stream {
-		m.host.Sync(mem.Addr)
-	} else if m.pageAt == 0 {
-		m.pageTo, m.pageAt = mem.Addr, 1
+	m.nextPushPullAt = m.now + pushPullIntervalMS*(0.75+0.5*m.rng.Float64())
+	if m.cfg.Streams {
+		m.host.PushPull(mem.Addr)
+	} else if m.nextPage == 0 {
+		m.pageReceiver, m.nextPage = mem.Addr, 1
 	}
 }
 
@@ -112,7 +112,7 @@
 	})
 	var out [][]byte
 	for {
-		q := message{Kind: pages, View: m.view, Roster: m.roster, From: m.self, News: all}
+		q := message{Type: viewPage, ViewDigest: m.viewDigest, RosterDigest: m.rosterDigest, From: m.self, Updates: all}
 		b, n := q.encode(MaxMessage)
 		out = append(out, b)
 		if all = all[n:]; len(all) == 0 {
@@ -121,18 +121,18 @@
 	}
 }
 
-// page sends the next pages of a view to who has another one, where there are no streams.
-func (m *Machine) page() {
-	if m.pageAt == 0 {
+// sendPages sends the next pages of a view to who has another one, where there are no streams.
+func (m *Machine) sendPages() {
+	if m.nextPage == 0 {
 		return
 	}
-	all := m.Pages(Whole)
+	all := m.Pages(AllBuckets)
 	for range 4 {
-		if m.pageAt > len(all) {
-			m.pageAt = 0
+		if m.nextPage > len(all) {
+			m.nextPage = 0
 			return
 		}
-		m.host.Send(m.pageTo, all[m.pageAt-1])
-		m.pageAt++
+		m.host.Send(m.pageReceiver, all[m.nextPage-1])
+		m.nextPage++
 	}
 }
--- a/internal/pure/fleet/slow_test.go
+++ b/internal/pure/fleet/slow_test.go
@@ -16,7 +16,7 @@
 	n := 0
 	for _, nd := range w.Nodes {
 		nd.OnWord = func(_ float64, c fleet.Change) {
-			if c.State >= fleet.Silent && c.Name != "r-007" {
+			if c.State >= fleet.Unresponsive && c.Name != "r-007" {
 				n++
 			}
 		}
@@ -72,14 +72,14 @@
 	if *n > 20 {
 		t.Errorf("%d suspicions in five minutes of a member that says that it is slow", *n)
 	}
-	if w.Nodes[5].Self().Ease == 0 {
+	if w.Nodes[5].Self().TimeoutExtension == 0 {
 		t.Error("it asks for no patience")
 	}
 	w.Nodes[5].Slow = 0
 	w.Pass(4 * 960e3)
 	for _, nd := range w.Nodes {
-		nd.Each(func(r fleet.Record) {
-			if r.Ease > 0 {
+		nd.ForEach(func(r fleet.Record) {
+			if r.TimeoutExtension > 0 {
 				t.Errorf("%s: %s still asks for patience: %+v", nd.Cfg.Name, r.Name, r)
 			}
 		})
@@ -101,7 +101,7 @@
 			told := 0
 			for _, nd := range w.Nodes {
 				if nd.State == fleetnet.Up && nd.Slow == 0 {
-					nd.Each(func(r fleet.Record) {
+					nd.ForEach(func(r fleet.Record) {
 						if r.Name == name && r.State >= least {
 							told++
 						}
@@ -118,9 +118,9 @@
 		}
 	}
 	w.Nodes[7].Kill()
-	known(w.Nodes[7].Cfg.Name, fleet.Gone, 1500)
+	known(w.Nodes[7].Cfg.Name, fleet.Dead, 1500)
 	w.Nodes[8].Off()
-	known(w.Nodes[8].Cfg.Name, fleet.Silent, 5000)
+	known(w.Nodes[8].Cfg.Name, fleet.Unresponsive, 5000)
 }
 
 // Views that differ in one member of 300 exchange the buckets that differ, not all of the view.
@@ -141,22 +141,22 @@
 			give(t, m, fleet.Record{Name: c.Name, Site: c.Site, Addr: c.Addr, Start: c.Start, State: fleet.Alive})
 		}
 	}
-	late := fleet.Record{Name: "late", Addr: fleet.V4(127, 9, 9, 9, 1), Start: 7}
+	late := fleet.Record{Name: "late", Addr: fleet.IPv4(127, 9, 9, 9, 1), Start: 7}
 	give(t, peers[0], late)
 	compare := func() (here, there fleet.Buckets) {
 		t.Helper()
 		var errs [2]error
-		a, b := peers[0].Sums(), peers[1].Sums()
-		there, errs[1] = peers[1].Compare(1e6, a)
-		here, errs[0] = peers[0].Compare(1e6, b)
+		a, b := peers[0].BucketDigests(), peers[1].BucketDigests()
+		there, errs[1] = peers[1].CompareDigests(1e6, a)
+		here, errs[0] = peers[0].CompareDigests(1e6, b)
 		if errs != [2]error{} {
 			t.Fatal(errs)
 		}
 		return here, there
 	}
 	here, there := compare()
-	whole, some := len(peers[0].Pages(fleet.Whole)), len(peers[0].Pages(here))
-	if here != there || here == 0 || here == fleet.Whole || 8*some > whole {
+	whole, some := len(peers[0].Pages(fleet.AllBuckets)), len(peers[0].Pages(here))
+	if here != there || here == 0 || here == fleet.AllBuckets || 8*some > whole {
 		t.Fatalf("buckets %016b and %016b, %d pages of %d", here, there, some, whole)
 	}
 	for _, p := range peers[0].Pages(here) {
@@ -175,7 +175,7 @@
 	if got := peers[0].Pages(here); got != nil {
 		t.Errorf("%d pages where nothing differs", len(got))
 	}
-	if _, err := peers[0].Compare(1e6, fleet.Encode(late, late)); err == nil {
+	if _, err := peers[0].CompareDigests(1e6, fleet.Encode(late, late)); err == nil {
 		t.Error("a message that holds no sums is compared")
 	}
 }
@@ -190,8 +190,8 @@
 
 type deaf struct{}
 
-func (deaf) Send(fleet.Addr, []byte)    {}
-func (deaf) Check(fleet.Addr, []byte)   {}
-func (deaf) Sync(fleet.Addr)            {}
-func (deaf) Changed(fleet.Change)       {}
-func (deaf) Cargo(fleet.Record, []byte) {}
+func (deaf) Send(fleet.Addr, []byte)             {}
+func (deaf) StreamPing(fleet.Addr, []byte)       {}
+func (deaf) PushPull(fleet.Addr)                 {}
+func (deaf) MemberChanged(fleet.Change)          {}
+func (deaf) DeliverPayload(fleet.Record, []byte) {}
--- a/internal/pure/fleet/snapshot_test.go
+++ b/internal/pure/fleet/snapshot_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	for i, nd := range w.Nodes[:11] {
-		part := nd.Part().Routers
+		part := nd.Share().Routers
 		nd.Replace(20)
 		if i == 4 {
 			w.Start(fleetnet.Config(12))
@@ -34,8 +34,8 @@
 			w.Nodes[11].Kill()
 		}
 		w.Pass(30)
-		if i < 4 && nd.Part().Routers != part {
-			t.Errorf("%s has one of %.0f parts, and had one of %.0f", nd.Cfg.Name, nd.Part().Routers, part)
+		if i < 4 && nd.Share().Routers != part {
+			t.Errorf("%s has one of %.0f parts, and had one of %.0f", nd.Cfg.Name, nd.Share().Routers, part)
 		}
 		w.Pass(500)
 	}
@@ -66,7 +66,7 @@
 	w.settles(2000, "start")
 	w.shares(5, 2000)
 	nd := w.Nodes[2]
-	nd.Card(w.Now, "\xff\x00door") //nolint:errcheck // it fits
+	nd.SetMeta(w.Now, "\xff\x00door") //nolint:errcheck // it fits
 	w.Nodes[4].Kill()
 	w.Pass(2000)
 	s, err := nd.Snapshot(w.Now)
@@ -87,14 +87,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, b := m.View(77), nd.View(w.Now); a.Digest != b.Digest || a.Part.Routers != b.Part.Routers || len(a.Members) != len(b.Members) {
+	if a, b := m.View(77), nd.View(w.Now); a.Digest != b.Digest || a.Share.Routers != b.Share.Routers || len(a.Members) != len(b.Members) {
 		t.Errorf("it goes on with %+v\nand had %+v", a, b)
 	}
 	for want, change := range map[string]func(*fleet.Config, *fleet.Snapshot){
 		`a snapshot of r-002 at 127.1.0.2:7946`: func(c *fleet.Config, _ *fleet.Snapshot) { c.Name = "other" },
 		`in "rades": this is r-002`:             func(c *fleet.Config, _ *fleet.Snapshot) { c.Site = "sfax" },
 		`a snapshot: the message is cut short`:  func(_ *fleet.Config, s *fleet.Snapshot) { s.Self = s.Self[:9] },
-		`doubt 9`:                               func(_ *fleet.Config, s *fleet.Snapshot) { s.Doubt = 9 },
+		`doubt 9`:                               func(_ *fleet.Config, s *fleet.Snapshot) { s.HealthScore = 9 },
 		`member 1: r-`:                          func(_ *fleet.Config, s *fleet.Snapshot) { s.Members[1] = s.Members[0] },
 		`member 0: 1 bytes behind the record`:   func(_ *fleet.Config, s *fleet.Snapshot) { s.Members[0].Record = append(s.Members[0].Record, 0) },
 	} {
--- a/internal/pure/fleet/spread.go
+++ b/internal/pure/fleet/spread.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// item is news: a record that is told so many times more.
-type item struct {
+// queuedUpdate is news: a record that is told so many times more.
+type queuedUpdate struct {
 	Record
-	left, sent int
+	remaining, sent int
 }
 
-// maxNews bounds the news that wait; the exchange of views makes good what was dropped.
-const maxNews = 512
+// maxQueuedUpdates bounds the news that wait; the exchange of views makes good what was dropped.
+const maxQueuedUpdates = 512
 
-// tell has a record ride on messages to come.
-func (m *Machine) tell(r Record) {
-	if len(m.news) >= maxNews && m.news[r.Name] == nil {
+// queueUpdate has a record ride on messages to come.
+func (m *Machine) queueUpdate(r Record) {
+	if len(m.updates) >= maxQueuedUpdates && m.updates[r.Name] == nil {
 		return
 	}
-	n := float64(len(m.order) + 1)
-	m.news[r.Name] = &item{Record: r, left: 3 + int(math.Ceil(math.Log2(n+1)))}
+	n := float64(len(m.probeOrder) + 1)
+	m.updates[r.Name] = &queuedUpdate{Record: r, remaining: 3 + int(math.Ceil(math.Log2(n+1)))}
 }
 
-// maxPicked is more records than a message holds.
-const maxPicked = 8
+// maxUpdatesPerMessage is more records than a message holds.
+const maxUpdatesPerMessage = 8
 
-// pick are the records that are told next, those first that were told least.
-func (m *Machine) pick(but []Record) []Record {
-	var best [maxPicked + 1]*item
+// selectUpdates are the records that are told next, those first that were told least.
+func (m *Machine) selectUpdates(but []Record) []Record {
+	var best [maxUpdatesPerMessage + 1]*queuedUpdate
 	n := 0
-	for _, it := range m.news {
+	for _, it := range m.updates {
 		if slices.ContainsFunc(but, func(r Record) bool { return r.Name == it.Name }) {
 			continue
 		}
@@ -39,7 +39,7 @@
 			best[at] = best[at-1]
 		}
 		best[at] = it
-		n = min(n+1, maxPicked)
+		n = min(n+1, maxUpdatesPerMessage)
 	}
 	if n == 0 {
 		return nil
@@ -52,7 +52,7 @@
 }
 
 // before orders news: who was told least, the worse news, by name.
-func (it *item) before(o *item) bool {
+func (it *queuedUpdate) before(o *queuedUpdate) bool {
 	switch {
 	case it.sent != o.sent:
 		return it.sent < o.sent
@@ -62,37 +62,37 @@
 	return it.Name < o.Name
 }
 
-// told counts what went out.
-func (m *Machine) told(rs []Record) {
+// countTransmissions counts what went out.
+func (m *Machine) countTransmissions(rs []Record) {
 	for _, r := range rs {
-		it := m.news[r.Name]
+		it := m.updates[r.Name]
 		if it == nil {
 			continue
 		}
 		it.sent++
-		if it.left--; it.left <= 0 {
-			delete(m.news, r.Name)
+		if it.remaining--; it.remaining <= 0 {
+			delete(m.updates, r.Name)
 		}
 	}
 }
 
-// agrees is told that a member has the same view: that is as good as having told it all news.
-func (m *Machine) agrees() {
-	for name, it := range m.news {
-		if it.left--; it.left <= 0 {
-			delete(m.news, name)
+// handleEqualView is told that a member has the same view: that is as good as having told it all news.
+func (m *Machine) handleEqualView() {
+	for name, it := range m.updates {
+		if it.remaining--; it.remaining <= 0 {
+			delete(m.updates, name)
 		}
 	}
 }
 
-// spread sends news to a few at once while there are any that nobody has heard often.
-func (m *Machine) spread() {
-	if m.now < m.burstAt || len(m.order) == 0 {
+// sendGossip sends news to a few at once while there are any that nobody has heard often.
+func (m *Machine) sendGossip() {
+	if m.now < m.nextGossipAt || len(m.probeOrder) == 0 {
 		return
 	}
 	fresh := false
-	for _, it := range m.news {
-		if it.sent < it.left { // the first half of its tellings is hurried
+	for _, it := range m.updates {
+		if it.sent < it.remaining { // the first half of its tellings is hurried
 			fresh = true
 			break
 		}
@@ -100,23 +100,23 @@
 	if !fresh {
 		return
 	}
-	m.burstAt = m.now + burst
-	for _, mem := range m.some(fanout, func(o *member) bool { return o.State.heard() }) {
-		m.send(mem.Addr, message{Kind: gossip}, MaxMessage)
+	m.nextGossipAt = m.now + gossipIntervalMS
+	for _, mem := range m.randomMembers(gossipFanout, func(o *member) bool { return o.State.responsive() }) {
+		m.send(mem.Addr, message{Type: gossip}, MaxMessage)
 	}
 }
 
-// askAround asks addresses to join by, and members that are silent or gone: two halves that were apart find each other by that.
-func (m *Machine) askAround() {
-	if m.now < m.lostAt {
+// reconnect asks addresses to join by, and members that are silent or gone: two halves that were apart find each other by that.
+func (m *Machine) reconnect() {
+	if m.now < m.nextReconnectAt {
 		return
 	}
-	m.lostAt = m.now + askLost*(0.75+0.5*m.rng.Float64())
+	m.nextReconnectAt = m.now + reconnectIntervalMS*(0.75+0.5*m.rng.Float64())
 	var lost []Addr
 	known := map[Addr]bool{m.self.Addr: true}
-	for _, mem := range m.order {
+	for _, mem := range m.probeOrder {
 		known[mem.Addr] = true
-		if !mem.State.heard() {
+		if !mem.State.responsive() {
 			lost = append(lost, mem.Addr)
 		}
 	}
@@ -127,33 +127,33 @@
 	}
 	for range 2 {
 		if len(lost) > 0 {
-			m.askAt(lost[m.rng.IntN(len(lost))])
+			m.pingAddr(lost[m.rng.IntN(len(lost))])
 		}
 	}
-	for _, name := range m.asides { // those that still have a part come first
-		if mem := m.members[name]; mem.State == Gone && !mem.shown {
-			m.lookAgain(mem)
+	for _, name := range m.departed { // those that still have a part come first
+		if mem := m.members[name]; mem.State == Dead && !mem.verifiedDown {
+			m.recheckDead(mem)
 			return
 		}
 	}
-	if len(m.asides) > 0 && m.rng.IntN(4) == 0 {
-		if mem := m.members[m.asides[m.rng.IntN(len(m.asides))]]; mem.State == Gone {
-			m.askAt(mem.Addr)
+	if len(m.departed) > 0 && m.rng.IntN(4) == 0 {
+		if mem := m.members[m.departed[m.rng.IntN(len(m.departed))]]; mem.State == Dead {
+			m.pingAddr(mem.Addr)
 		}
 	}
 }
 
-// askAt asks whoever is at an address, and tells it what is said of a member that was there.
-func (m *Machine) askAt(to Addr) {
-	q := message{Kind: ping, Seq: m.newSeq()}
-	for _, mem := range m.order {
+// pingAddr asks whoever is at an address, and tells it what is said of a member that was there.
+func (m *Machine) pingAddr(to Addr) {
+	q := message{Type: ping, Seq: m.newSeq()}
+	for _, mem := range m.probeOrder {
 		if mem.Addr == to {
-			q.News = append(q.News, mem.Record)
+			q.Updates = append(q.Updates, mem.Record)
 			break
 		}
 	}
-	m.host.Send(to, m.seal(q, MaxMessage, true))
+	m.host.Send(to, m.encodeWithUpdates(q, MaxMessage, true))
 }
 
-// Rejoin takes other addresses to join by.
-func (m *Machine) Rejoin(join []Addr) { m.cfg.Join = join }
+// SetJoinAddrs takes other addresses to join by.
+func (m *Machine) SetJoinAddrs(join []Addr) { m.cfg.Join = join }
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -78,8 +78,8 @@
 		t.Errorf("got %q", got)
 	}
 	look(l, func() {
-		if n := l.Size(); n.Requests+n.Open > 0 || n.Far > 0 || n.Timers > 150 || l.Held.Used() != 0 || l.Queued.Used() != 0 {
-			t.Errorf("%+v, %d and %d bytes", n, l.Held.Used(), l.Queued.Used())
+		if n := l.Size(); n.Requests+n.Open > 0 || n.FarTimers > 0 || n.Timers > 150 || l.HeldBytes.Used() != 0 || l.QueuedBytes.Used() != 0 {
+			t.Errorf("%+v, %d and %d bytes", n, l.HeldBytes.Used(), l.QueuedBytes.Used())
 		}
 	})
 }
@@ -232,7 +232,7 @@
 		first = append(first, c)
 	}
 	for full := false; !full; {
-		look(l, func() { full = l.Held.Full() })
+		look(l, func() { full = l.HeldBytes.Full() })
 	}
 	c := dial(t, addr)
 	write(c, 99)
@@ -252,13 +252,13 @@
 // Answers that a client does not take are bounded too: what comes beyond is refused before it is asked for.
 func TestUntakenAnswersAreBounded(t *testing.T) {
 	l, addr := parts(t, 16, 10, originAt("127.0.0.1:1"))
-	l.Queued.Add(int(l.Queued.Limit()))
+	l.QueuedBytes.Reserve(int(l.QueuedBytes.Limit()))
 	c := dial(t, addr)
 	if got := c.ask(read("a1", 2000)); got != "SERVER_ERROR busy" {
 		t.Errorf("got %q", got)
 	}
 	look(l, func() {
-		if l.Size().Taken != 0 {
+		if l.Size().Accepted != 0 {
 			t.Error("the request reached the module")
 		}
 	})
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -67,7 +67,7 @@
 func (c *Control) Demands() (out []Demand) {
 	pools, _ := c.all()
 	for _, d := range pools {
-		out = append(out, Demand{Pool: d.pool, Demand: d.counts().Demand})
+		out = append(out, Demand{Pool: d.pool, Demand: d.counts().Arrivals})
 	}
 	return out
 }
@@ -79,12 +79,12 @@
 }
 
 // Line tells a pool what the fleet serves while it can't serve all, until a time.
-func (c *Control) Line(pool string, l decide.Line, until time.Time) {
+func (c *Control) Line(pool string, l decide.AdmissionThreshold, until time.Time) {
 	pools, _ := c.all()
 	for _, d := range pools {
 		if d.pool == pool {
 			d.rs.each(func(r *router) {
-				if err := r.Line(l, until); err != nil {
+				if err := r.SetAdmissionThreshold(l, until); err != nil {
 					slog.Error("what is told of the line of worth is not taken", "pool", pool, "err", err)
 				}
 			})
@@ -199,10 +199,10 @@
 	known, avoided := 0, 0
 	for _, r := range d.rs {
 		c := r.Counts()
-		known, avoided = max(known, c.Known), max(avoided, c.Avoided)
+		known, avoided = max(known, c.KnownServers), max(avoided, c.AvoidedServers)
 		c.Classes = slices.DeleteFunc(slices.Clone(c.Classes), func(k engine.ClassCounts) bool { return r.own(k.Class) })
 		sum.Add(c)
 	}
-	sum.Known, sum.Avoided = known, avoided
+	sum.KnownServers, sum.AvoidedServers = known, avoided
 	return sum
 }
--- a/internal/router/control_test.go
+++ b/internal/router/control_test.go
@@ -202,7 +202,7 @@
 	var got engine.Counts
 	until(t, "the figures to be those of the test", func() bool {
 		got = control.Counts()
-		return fmt.Sprint(got.Classes) == fmt.Sprint(want) && got.Tries == tries && got.Open == 1 && got.Known == 1 && got.Avoided == 0
+		return fmt.Sprint(got.Classes) == fmt.Sprint(want) && got.Attempts == tries && got.Open == 1 && got.KnownServers == 1 && got.AvoidedServers == 0
 	})
 	if t.Failed() {
 		t.Errorf("got %+v, want %+v and %d tries", got, want, tries)
--- a/internal/router/cores_test.go
+++ b/internal/router/cores_test.go
@@ -446,7 +446,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		held, queued = held+e.Held.Limit(), queued+e.Queued.Limit()
+		held, queued = held+e.HeldBytes.Limit(), queued+e.QueuedBytes.Limit()
 	}
 	if memory := cfg.Limits.MemoryMB << 20; held > memory/16 || queued > memory/8 || held == 0 {
 		t.Errorf("%d and %d of %d bytes", held, queued, memory)
--- a/internal/router/hands_test.go
+++ b/internal/router/hands_test.go
@@ -23,7 +23,7 @@
 }
 
 func ask(name string, generation uint32) *engine.Request {
-	return &engine.Request{Tenant: name, Of: generation, Class: "read"}
+	return &engine.Request{Tenant: name, TenantGeneration: generation, Class: "read"}
 }
 
 func named(name string, generation uint32, l tenant.Limits) config.TenantLimits {
@@ -41,36 +41,36 @@
 	for range 1000 { // each answer is long, and none is taken
 		q := ask("slow", 1)
 		s, again := l.Arrived(now, 1, q)
-		if s == decide.Beyond {
+		if s == decide.QuotaDenied {
 			if again != handBack {
 				t.Errorf("come again after %v", again)
 			}
 			break
 		}
-		l.Over(now, q)
-		parties = append(parties, l.Owes(q, 60<<10))
+		l.Finished(now, q)
+		parties = append(parties, l.ReserveAnswer(q, 60<<10))
 	}
 	if held := 60 << 10 * len(parties); held < all/2 || held > all*3/4 {
 		t.Errorf("%d of %d bytes held by one", held, all)
 	}
-	if s, _ := l.Arrived(now, 1, ask("other", 1)); s != decide.Within {
+	if s, _ := l.Arrived(now, 1, ask("other", 1)); s != decide.QuotaGuaranteed {
 		t.Errorf("the other stands %v", s)
 	}
 	change(now, named("slow", 2, tenant.Limits{}), named("other", 1, tenant.Limits{Floor: 100}))
-	if s, _ := l.Arrived(now, 1, ask("slow", 1)); s != decide.Beyond {
+	if s, _ := l.Arrived(now, 1, ask("slow", 1)); s != decide.QuotaDenied {
 		t.Errorf("what was sent by the one before stands %v", s)
 	}
 	fresh := ask("slow", 2)
-	if s, _ := l.Arrived(now, 1, fresh); s == decide.Beyond {
+	if s, _ := l.Arrived(now, 1, fresh); s == decide.QuotaDenied {
 		t.Error("the next one of the name has the hand of the one before")
 	}
 	if a, b := l.usage.InHand(Lifetime{"slow", 1}), l.usage.InHand(Lifetime{"slow", 2}); a != 0 || b != 1 {
 		t.Errorf("in hand: %d and %d", a, b)
 	}
 	for _, p := range parties {
-		l.Paid(p, 60<<10)
+		l.ReleaseAnswer(p, 60<<10)
 	}
-	l.Over(now, fresh)
+	l.Finished(now, fresh)
 	if l.hands.pool.Used() != 0 || len(l.counted) != 1 { // the other's request
 		t.Errorf("%d bytes, %d requests left", l.hands.pool.Used(), len(l.counted))
 	}
@@ -80,21 +80,21 @@
 // the engine has not heard of yet are taken, and what is known of the past is forgotten.
 func TestRequestsOfTenantsThatComeAndGo(t *testing.T) {
 	l, change := bookedLimits(t, 1<<20, named("t", 3, tenant.Limits{Floor: 10}))
-	stands := func(now float64, name string, generation uint32) decide.Standing {
+	stands := func(now float64, name string, generation uint32) decide.QuotaStatus {
 		s, _ := l.Arrived(now, 1, ask(name, generation))
 		return s
 	}
 	for generation, taken := range map[uint32]bool{3: true, 2: false, 4: true} {
-		if s := stands(1000, "t", generation); (s != decide.Beyond) != taken {
+		if s := stands(1000, "t", generation); (s != decide.QuotaDenied) != taken {
 			t.Errorf("generation %d of 3 stands %v", generation, s)
 		}
 	}
 	change(2000)
-	if a, b, c := stands(2000, "t", 3), stands(2000, "t", 4), stands(2000, "unheard", 1); a != decide.Beyond || b == decide.Beyond || c == decide.Beyond {
+	if a, b, c := stands(2000, "t", 3), stands(2000, "t", 4), stands(2000, "unheard", 1); a != decide.QuotaDenied || b == decide.QuotaDenied || c == decide.QuotaDenied {
 		t.Errorf("gone %v, made again %v, new %v", a, b, c)
 	}
 	change(2001, named("t", 4, tenant.Limits{Floor: 10}))
-	if a, b := stands(2001, "t", 3), stands(2001, "t", 4); a != decide.Beyond || b != decide.Within {
+	if a, b := stands(2001, "t", 3), stands(2001, "t", 4); a != decide.QuotaDenied || b != decide.QuotaGuaranteed {
 		t.Errorf("the old one %v, the new one %v", a, b)
 	}
 	for i := range 100 {
@@ -123,16 +123,16 @@
 		q.Write = x.write
 		l.Arrived(1000, 1, q)
 		for range x.ways {
-			l.Fetches(1000, q)
+			l.FetchStarted(1000, q)
 		}
-		l.Over(1000, q)
+		l.Finished(1000, q)
 		left := 0
 		for range 20 {
 			more := ask("t", 1)
-			if s, _ := l.Arrived(1000, 1, more); s == decide.Within {
+			if s, _ := l.Arrived(1000, 1, more); s == decide.QuotaGuaranteed {
 				left++
 			}
-			l.Over(1000, more)
+			l.Finished(1000, more)
 		}
 		if left != x.left {
 			t.Errorf("%s: %d left", name, left)
@@ -156,12 +156,12 @@
 	for i := 0; b.Loop(); i++ {
 		q := qs[i%len(qs)]
 		now += 0.001
-		if s, _ := l.Arrived(now, 1, q); s == decide.Beyond {
+		if s, _ := l.Arrived(now, 1, q); s == decide.QuotaDenied {
 			beyond++
 			continue
 		}
-		l.Over(now, q)
-		l.Paid(l.Owes(q, 200), 200)
+		l.Finished(now, q)
+		l.ReleaseAnswer(l.ReserveAnswer(q, 200), 200)
 	}
 	b.ReportMetric(float64(beyond)/float64(b.N), "beyond/op")
 }
--- a/internal/router/room.go
+++ b/internal/router/room.go
@@ -32,8 +32,8 @@
 		p.SetLimit(int(float64(d.room.links) * part))
 	}
 	for _, r := range d.rs {
-		r.Post(func() { r.Share(processes) })
-		for _, b := range []*engine.Budget{&r.Held, &r.Queued} {
+		r.Post(func() { r.SetProcesses(processes) })
+		for _, b := range []*engine.Budget{&r.HeldBytes, &r.QueuedBytes} {
 			b.SetLimit(int64(float64(b.Limit()) * part / d.room.part))
 		}
 	}
@@ -147,25 +147,25 @@
 	for i, r := range rs {
 		r.Post(func() {
 			if len(cfg.Handed) == len(rs) {
-				err := r.Adopt(cfg.Handed[i])
+				err := r.ImportState(cfg.Handed[i])
 				if err == nil {
 					return
 				}
 				slog.Warn("handover: the list is not taken", "why", err)
 			}
-			r.list(decide.Remembered, cfg.Known)
+			r.list(decide.Restored, cfg.Known)
 		})
 	}
 }
 
 // Hand is what the engines of all pools have to hand over, by pool. It returns when ctx ends at the latest, with nothing.
-func (c *Control) Hand(ctx context.Context) (out [][]engine.Handed) {
+func (c *Control) Hand(ctx context.Context) (out [][]engine.HandoverState) {
 	pools, _ := c.all()
 	for _, d := range pools {
-		var of []engine.Handed
+		var of []engine.HandoverState
 		for _, r := range d.rs {
-			got := make(chan engine.Handed, 1)
-			r.Post(func() { got <- r.Hand() })
+			got := make(chan engine.HandoverState, 1)
+			r.Post(func() { got <- r.ExportState() })
 			select {
 			case h := <-got:
 				of = append(of, h)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -45,7 +45,7 @@
 	Control *Control                                 // how operators reach the pool; nil = they don't
 	Elder   <-chan struct{}                          // closed when the process that this one takes over from is gone; nil = clients are taken at once
 	Part    float64                                  // of the limits that may be used at first: another process of the router lives; 0 = all
-	Handed  []engine.Handed                          // what its engines have handed over; others than these engines would have are not taken
+	Handed  []engine.HandoverState                   // what its engines have handed over; others than these engines would have are not taken
 }
 
 // Open opens the server file that a configuration names. Without one, discovery tells of servers. Links to them carry TLS where
@@ -80,7 +80,7 @@
 	var rs engines
 	var pools []*backend.Pool
 	cfg.guard = &guard.Guard{}
-	defer cfg.guard.Log()
+	defer cfg.guard.LogCounts()
 	var fronts []*front.Clients
 	for i := range n {
 		links := newLinks(cfg, max(1, attempts/n))
@@ -150,7 +150,7 @@
 		defer close(ended)
 		told = time.Now()
 		by := told.Add(rs.longest() + answersAfter)
-		rs.each(func(r *router) { r.EndBy(by) })
+		rs.each(func(r *router) { r.SetShutdownDeadline(by) })
 	})
 	cfg.Control.add(d)
 	d.run(ctx)
@@ -181,7 +181,7 @@
 // longest is the longest that a client waits.
 func (rs engines) longest() (d time.Duration) {
 	for _, r := range rs {
-		d = max(d, r.Longest())
+		d = max(d, r.MaxDeadline())
 	}
 	return d
 }
@@ -277,8 +277,8 @@
 // share is what one engine of a pool has of it. To the module each engine is one more router of the tier.
 type share struct {
 	i, n  int
-	ids   *engine.IDs  // nil = it is alone
-	store engine.Store // nil = none
+	ids   *engine.RequestIDs // nil = it is alone
+	store engine.Store       // nil = none
 }
 
 // alone is the share of a pool's only engine.
@@ -288,7 +288,7 @@
 func (s Setup) shared(n int) share {
 	out := share{n: n, store: s.store()}
 	if n > 1 {
-		out.ids = engine.NewIDs()
+		out.ids = engine.NewRequestIDs()
 	}
 	return out
 }
@@ -305,8 +305,8 @@
 	m.Routers, m.Me = m.Routers*s.n, m.Me*s.n+s.i // equal parts of all that routers share: cold servers, the origin, quotas
 	// A value is in memory up to three times, as it came and as it goes out.
 	memory := cfg.Limits.MemoryMB << 20 / int64(s.n)
-	return engine.New(engine.Options{Module: m, Store: s.store, Counts: cfg.Control != nil, Tenants: newLimits(cfg, memory/8), IDs: s.ids, Guard: cfg.guard, Rules: s.i == 0, Seed: cfg.SeedNumber + uint64(s.i), Held: memory / 16,
-		Queued: memory / 8, Infers: cfg.Source.Path != "" || cfg.RESP != nil}, b)
+	return engine.New(engine.Options{Config: m, Store: s.store, CollectCounts: cfg.Control != nil, Tenants: newLimits(cfg, memory/8), IDs: s.ids, Guard: cfg.guard, ReportRules: s.i == 0, Seed: cfg.SeedNumber + uint64(s.i), MaxHeldBytes: memory / 16,
+		MaxQueuedBytes: memory / 8, InferStarts: cfg.Source.Path != "" || cfg.RESP != nil}, b)
 }
 
 // unixMS is Unix time in ms that never runs backwards.
@@ -374,7 +374,7 @@
 }
 
 // Link is the way to a server, in the protocol that it speaks.
-func (l *links) Link(s engine.Server) engine.Link {
+func (l *links) Endpoint(s engine.Server) engine.Endpoint {
 	if l.origin != "" && s.Kind == l.origin {
 		return l.pool.Link(s.Addr, l.behind)
 	}
@@ -392,12 +392,12 @@
 		}
 		entries = append(entries, engine.Server{Entry: d, Addr: e.Addr})
 	}
-	r.List(kind, entries)
+	r.UpdateServers(kind, entries)
 }
 
 // follow hears s from now on, and no source before it.
 func (r *router) follow(s *source) {
-	r.Follow(s.watch, r.source != nil)
+	r.SetListSource(s.watch, r.source != nil)
 	r.source = s
 }
 
@@ -502,7 +502,7 @@
 	}
 	d := member.NewDiscovery(cfg.Discovery, ask, known, s.tell, func() {
 		if ask {
-			heard(func(r *router) { r.list(decide.Refused, member.List{}) })
+			heard(func(r *router) { r.list(decide.ListFailed, member.List{}) })
 		}
 	})
 	s.run, s.watch = d.Run, d.Watch
--- a/internal/router/stores.go
+++ b/internal/router/stores.go
@@ -22,20 +22,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case q.Stores:
+	case q.CacheFill:
 		s.table.StoreStarted()
 	case q.Write:
-		s.table.RecordWrite(q.Key, q.Words)
+		s.table.RecordWrite(q.Key, q.Args)
 	default:
 		s.reads[q] = s.table.ReadStarted(q.Key)
 	}
 }
 
 // Over is engine.Store's.
-func (s *stores) Over(q *engine.Request) {
+func (s *stores) Finished(q *engine.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if q.Stores {
+	if q.CacheFill {
 		s.table.StoreFinished()
 	} else if r, ok := s.reads[q]; ok {
 		s.table.ReadFinished(r)
@@ -44,7 +44,7 @@
 }
 
 // Fetched is engine.Store's.
-func (s *stores) Fetched(q *engine.Request, value []byte) *engine.Request {
+func (s *stores) FillRequest(q *engine.Request, value []byte) *engine.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.reads[q]
@@ -56,6 +56,6 @@
 		return nil
 	}
 	id, d := s.table.NewStore(owners)
-	return &engine.Request{ID: id, Class: d.Class, Key: q.Key, Held: len(q.Key) + len(value), Wait: d.Left, Write: d.Write, Owners: owners,
-		Words: s.command(q.Key, value), Stores: d.Stores}
+	return &engine.Request{ID: id, Class: d.Class, Key: q.Key, HeldBytes: len(q.Key) + len(value), Wait: d.Left, Write: d.Write, Owners: owners,
+		Args: s.command(q.Key, value), CacheFill: d.Stores}
 }
--- a/internal/router/tenants.go
+++ b/internal/router/tenants.go
@@ -14,7 +14,7 @@
 // portionEvery is how often, in ms, the part of the service that this engine has is brought up to date.
 const portionEvery = 1000
 
-// limits is an engine.Tenants: what tenants use at one engine, which holds each to its part of the limits. Requests of tenants that
+// limits is an engine.TenantLimiter: what tenants use at one engine, which holds each to its part of the limits. Requests of tenants that
 // nobody has named share one record without a floor: they get what is left. The engine's goroutine alone uses it, but for hands.
 type limits struct {
 	book     *tenant.Book
@@ -51,7 +51,7 @@
 }
 
 // newLimits is nil where no tenant has a limit. answers is the bound on bytes of answers that no client has taken.
-func newLimits(cfg Setup, answers int64) engine.Tenants {
+func newLimits(cfg Setup, answers int64) engine.TenantLimiter {
 	if cfg.Tenants == nil && cfg.Book == nil {
 		return nil
 	}
@@ -133,13 +133,13 @@
 func (l *limits) of(q *engine.Request) (m *resident, ok bool) {
 	m = l.members[q.Tenant]
 	switch {
-	case q.Of == 0 || !l.booked:
-	case m == nil || q.Of > m.Generation:
-		if d, gone := l.departed[q.Tenant]; gone && q.Of <= d.generation {
+	case q.TenantGeneration == 0 || !l.booked:
+	case m == nil || q.TenantGeneration > m.Generation:
+		if d, gone := l.departed[q.Tenant]; gone && q.TenantGeneration <= d.generation {
 			return nil, false
 		}
 		return l.others, true
-	case q.Of < m.Generation:
+	case q.TenantGeneration < m.Generation:
 		return nil, false
 	}
 	if m == nil {
@@ -149,18 +149,18 @@
 }
 
 // standings are the module's, by the tenant's.
-var standings = [...]decide.Standing{tenant.Within: decide.Within, tenant.Borrowed: decide.Borrowed, tenant.Over: decide.Over,
-	tenant.Beyond: decide.Beyond, tenant.Suspended: decide.Beyond}
+var standings = [...]decide.QuotaStatus{tenant.Within: decide.QuotaGuaranteed, tenant.Borrowed: decide.QuotaLeased, tenant.Over: decide.QuotaExceeded,
+	tenant.Beyond: decide.QuotaDenied, tenant.Suspended: decide.QuotaDenied}
 
-// Arrived is engine.Tenants'.
-func (l *limits) Arrived(now, portion float64, q *engine.Request) (decide.Standing, float64) {
+// Arrived is engine.TenantLimiter'.
+func (l *limits) Arrived(now, portion float64, q *engine.Request) (decide.QuotaStatus, float64) {
 	if now-l.portion >= portionEvery {
 		l.portion = now
 		l.book.Portion(now, portion)
 	}
 	m, ok := l.of(q)
 	if !ok {
-		return decide.Beyond, 0 // it came in while its tenant went
+		return decide.QuotaDenied, 0 // it came in while its tenant went
 	}
 	class, ok := l.classes[q.Class]
 	if !ok {
@@ -183,11 +183,11 @@
 		m.used.add(now, v.Standing, taken)
 	}
 	if !taken {
-		return decide.Beyond, v.Again
+		return decide.QuotaDenied, v.Again
 	}
 	l.counted[q] = booked{m, class, v.Standing, paid}
 	if l.off {
-		return decide.Within, 0
+		return decide.QuotaGuaranteed, 0
 	}
 	return standings[v.Standing], v.Again
 }
@@ -201,16 +201,16 @@
 	}
 	l.book.Grow(m.handle, owed-m.owed)
 	m.owed = owed
-	v, err := l.book.Arrive(now, m.handle, class, cost, int64(q.Held))
+	v, err := l.book.Arrive(now, m.handle, class, cost, int64(q.HeldBytes))
 	if err != nil {
 		return tenant.Verdict{Standing: tenant.Beyond}
 	}
 	return v
 }
 
-// Fetches is engine.Tenants'. What a read takes of the origin is known only when it goes there. A write goes there in any case, and has been
+// Fetches is engine.TenantLimiter'. What a read takes of the origin is known only when it goes there. A write goes there in any case, and has been
 // booked as such when it came: only what it takes beyond that is new.
-func (l *limits) Fetches(now float64, q *engine.Request) {
+func (l *limits) FetchStarted(now float64, q *engine.Request) {
 	b, ok := l.counted[q]
 	switch {
 	case !ok || l.off:
@@ -222,17 +222,17 @@
 	}
 }
 
-// Over is engine.Tenants'.
-func (l *limits) Over(_ float64, q *engine.Request) {
+// Over is engine.TenantLimiter'.
+func (l *limits) Finished(_ float64, q *engine.Request) {
 	if b, ok := l.counted[q]; ok {
 		delete(l.counted, q)
-		l.book.Done(b.handle, b.class, int64(q.Held))
+		l.book.Done(b.handle, b.class, int64(q.HeldBytes))
 		b.used.over()
 	}
 }
 
-// Owes is engine.Tenants'.
-func (l *limits) Owes(q *engine.Request, bytes int) (party string) {
+// Owes is engine.TenantLimiter'.
+func (l *limits) ReserveAnswer(q *engine.Request, bytes int) (party string) {
 	m, ok := l.of(q)
 	if !ok { // of a tenant that is no more: nobody's that there is
 		m = l.others
@@ -240,8 +240,8 @@
 	return l.hands.owes(m.hand, bytes)
 }
 
-// Paid is engine.Tenants'.
-func (l *limits) Paid(party string, bytes int) { l.hands.paid(party, bytes) }
+// Paid is engine.TenantLimiter'.
+func (l *limits) ReleaseAnswer(party string, bytes int) { l.hands.paid(party, bytes) }
 
 // bookEvery is how often the limits of the book are looked at: an admin waits for them to count.
 const bookEvery = 20 * time.Millisecond
--- a/internal/router/tiers.go
+++ b/internal/router/tiers.go
@@ -25,7 +25,7 @@
 
 // NewTiers is for pools that have no part of anything before the first word, as the others may not know of them yet.
 func NewTiers(routers int) *Tiers {
-	return &Tiers{last: Tier{Routers: max(1, routers), Parts: fleet.Holding, Then: fleet.Holding}}
+	return &Tiers{last: Tier{Routers: max(1, routers), Parts: fleet.NoShare, Then: fleet.NoShare}}
 }
 
 // Tell tells all pools.
@@ -53,7 +53,7 @@
 func (rs engines) resize(t Tier, p *places) {
 	n := float64(len(rs))
 	rs.each(func(r *router) {
-		if err := r.Tier(t.Routers*len(rs), t.Parts*n, t.Until, t.Then*n); err != nil {
+		if err := r.SetTier(t.Routers*len(rs), t.Parts*n, t.Until, t.Then*n); err != nil {
 			slog.Error("what is told of the tier is not taken", "err", err)
 		}
 	})
--- a/internal/service/fleet.go
+++ b/internal/service/fleet.go
@@ -136,12 +136,12 @@
 
 // shown is a view in the form that operators get.
 func shown(v fleet.View) operator.Fleet {
-	out := operator.Fleet{Name: v.Name, Digest: fmt.Sprintf("%016x", v.Digest), SettledS: v.SettledS, Doubt: v.Doubt, Members: []operator.Member{},
+	out := operator.Fleet{Name: v.Name, Digest: fmt.Sprintf("%016x", v.Digest), SettledS: v.SettledS, Doubt: v.HealthScore, Members: []operator.Member{},
 		Figures: operator.Gossip(v.Figures),
 		Part:    operator.Part{LeftMS: -1, Share: v.Loans.Share, Borrowed: v.Loans.Borrowed, Lent: v.Loans.Lent, Rate: v.Loans.Rate}}
-	if v.Part.Routers < pure.Holding {
-		out.Part.Of, out.Part.Then = v.Part.Routers, v.Part.Then
-		if left := v.Part.Until - v.NowMS; left < 1e12 {
+	if v.Share.Routers < pure.NoShare {
+		out.Part.Of, out.Part.Then = v.Share.Routers, v.Share.RoutersAfter
+		if left := v.Share.Until - v.NowMS; left < 1e12 {
 			out.Part.LeftMS = int64(max(0, left))
 		}
 	}
@@ -150,7 +150,7 @@
 	}
 	for _, m := range v.Members {
 		out.Members = append(out.Members, operator.Member{Name: m.Name, Addr: m.Addr.String(), Site: m.Site, State: m.State.String(), SinceMS: int64(m.SinceMS),
-			By: m.By, Start: m.Start, Counted: m.Counted})
+			By: m.Reporter, Start: m.Start, Counted: m.Counted})
 	}
 	return out
 }
--- a/internal/service/platform.go
+++ b/internal/service/platform.go
@@ -72,8 +72,8 @@
 }
 
 // learned reads what the process before has learned: of one pool. What can't be read is as good as nothing.
-func learned(text []byte) []engine.Handed {
-	var pools [][]engine.Handed
+func learned(text []byte) []engine.HandoverState {
+	var pools [][]engine.HandoverState
 	if err := json.Unmarshal(text, &pools); err != nil {
 		slog.Warn("handover: what was learned is not taken", "why", err)
 		return nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -38,10 +38,10 @@
 }
 
 var listKinds = map[string]decide.ListKind{
-	"changes": decide.Changes, "all": decide.Full, "remembered": decide.Remembered, "refused": decide.Refused,
+	"changes": decide.Changes, "all": decide.Full, "remembered": decide.Restored, "refused": decide.ListFailed,
 }
 
-var states = map[string]decide.State{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+var states = map[string]decide.State{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Removed}
 
 // Run answers batches from in on out until in ends. A malformed batch ends it with an error that names the line.
 func Run(in io.Reader, out io.Writer) error {
@@ -291,13 +291,13 @@
 		do = func(b *decide.Balancer) { b.Request(now, q) }
 	case "VANISHED":
 		q := f.uint("requestId")
-		do = func(b *decide.Balancer) { b.Gone(now, q) }
+		do = func(b *decide.Balancer) { b.ClientGone(now, q) }
 	case "UNDER_WAY":
 		q := f.uint("requestId")
 		f.uint("leg")
 		f.uint("server")
 		f.number("lag", true)
-		do = func(b *decide.Balancer) { b.Started(now, q) }
+		do = func(b *decide.Balancer) { b.StreamStarted(now, q) }
 	case "STATUS_BACK":
 		sv, st := f.uint("server"), oneOf(&f, "outcome", statuses)
 		f.number("lag", true)
@@ -311,7 +311,7 @@
 		} else {
 			f.word()
 		}
-		do = func(b *decide.Balancer) { b.Probed(now, sv, st, l) }
+		do = func(b *decide.Balancer) { b.ProbeResult(now, sv, st, l) }
 	case "MESSAGE":
 		from := int(f.uint("sender"))
 		w := f.word()
@@ -319,7 +319,7 @@
 		if err != nil {
 			f.fail("octets", w)
 		}
-		do = func(b *decide.Balancer) { b.Peer(now, from, data) }
+		do = func(b *decide.Balancer) { b.PeerMessage(now, from, data) }
 	case "SHUTDOWN":
 		if err := f.end(kind); err != nil {
 			return err
@@ -329,7 +329,7 @@
 	case "RETURNED":
 		o := decide.Outcome{ID: f.uint("requestId"), Attempt: int(f.uint("leg")), Server: f.uint("server"),
 			Status: oneOf(&f, "outcome", statuses), Latency: f.number("lag", true), Final: f.bool("final"),
-			Note: int(f.number("note", true))}
+			CacheResult: int(f.number("note", true))}
 		if in != nil {
 			o.Load = f.load(in.columns)
 		} else {
@@ -415,11 +415,11 @@
 func (in *instance) Fail(id uint32)                 { in.line("GIVE_UP", num(id)) }
 func (in *instance) Probe(server uint32)            { in.line("HEALTH_CHECK", num(server)) }
 func (in *instance) Close(server uint32)            { in.line("LET_GO", num(server)) }
-func (in *instance) Watch()                         { in.line("TAIL", "1") }
+func (in *instance) WatchList()                     { in.line("TAIL", "1") }
 func (in *instance) Timer(after float64, tok uint64) {
 	in.line("ARM", ms(after), strconv.FormatUint(tok, 10))
 }
-func (in *instance) Tell(data []byte) {
+func (in *instance) Broadcast(data []byte) {
 	in.line("MEMO_TO", "-1", base64.StdEncoding.EncodeToString(data))
 }
 func (in *instance) Log(text string) { in.line("RECORD", strings.ReplaceAll(text, "\n", " ")) }
