--- a/internal/pure/line/race_off_test.go
+++ /dev/null
@@ -1,6 +0,0 @@
-//go:build !race
-
-package line_test
-
-// maxFleetSize routers are in the largest fleet that is played.
-const maxFleetSize = 100
