--- a/internal/pure/caller/book.go
+++ b/internal/pure/caller/book.go
@@ -45,7 +45,7 @@
 type principal struct {
 	*Principal
 	tenant *Tenant
-	space  tenant.Space
+	space  tenant.Keyspace
 	rights *Rights
 }
 
@@ -150,7 +150,7 @@
 			continue
 		}
 		var err error
-		if q.space, err = tenant.NewSpace(q.tenant.Name, q.tenant.Generation); err != nil {
+		if q.space, err = tenant.NewKeyspace(q.tenant.Name, q.tenant.Generation); err != nil {
 			continue // told at the tenant
 		}
 		q.rights = u.rights(at, p)
--- a/internal/pure/caller/caller.go
+++ b/internal/pure/caller/caller.go
@@ -201,7 +201,7 @@
 type Pass struct {
 	Caller  string
 	Tenant  Tenant
-	Space   tenant.Space
+	Space   tenant.Keyspace
 	Rights  *Rights
 	Key     string  // id of the key or name of the certificate, for the audit
 	Until   float64 // the verdict holds so long, ms
