--- a/internal/pure/tenant/keyspace.go
+++ b/internal/pure/tenant/keyspace.go
@@ -8,17 +8,20 @@
 	"strings"
 )
 
-// MaxNameBytes is the longest name of a tenant, in bytes.
+// MaxNameBytes is the maximum length of a tenant name.
 const MaxNameBytes = 32
 
-// MaxPrefixBytes is how many bytes of a server's key are not the tenant's own: its name, its generation and two marks.
+// MaxPrefixBytes is the maximum length of the prefix that a Keyspace puts before a key: the name, the
+// generation (7 base-36 digits) and two separators.
 const MaxPrefixBytes = MaxNameBytes + 1 + 7 + 1
 
-// Keyspace is the part of the servers' keys that belongs to one tenant, of one generation. No bytes of a key lead out of it: what
-// stands ahead of a key has a mark at its end that neither names nor generations can hold, so none is the beginning of another's.
+// Keyspace is the set of server keys that belong to one tenant of one generation. A tenant cannot address a
+// key of another keyspace: every server key starts with a prefix whose final separator occurs in neither
+// names nor generations, so no prefix is a prefix of another.
 type Keyspace struct{ prefix string }
 
-// CheckName says what is wrong with a tenant's name: 1 to MaxNameBytes of a to z, 0 to 9 and -, none of them - at an end.
+// CheckName returns an error if a tenant name is invalid: it must have 1 to MaxNameBytes bytes of a to z, 0
+// to 9 and -, and neither start nor end with -.
 func CheckName(name string) error {
 	if name == "" || len(name) > MaxNameBytes {
 		return fmt.Errorf("name: %d bytes: 1 to %d are right", len(name), MaxNameBytes)
@@ -31,7 +34,8 @@
 	return nil
 }
 
-// NewKeyspace is the space of a tenant. The generation tells it from earlier tenants of its name, whose keys may not be purged yet.
+// NewKeyspace returns the keyspace of a tenant. The generation separates it from earlier tenants of the
+// same name, whose keys may not have been purged yet.
 func NewKeyspace(name string, generation uint32) (Keyspace, error) {
 	if err := CheckName(name); err != nil {
 		return Keyspace{}, err
@@ -39,50 +43,54 @@
 	return Keyspace{name + "." + strconv.FormatUint(uint64(generation), 36) + ":"}, nil
 }
 
-// ServerKey is a tenant's key as the servers know it. most is the longest key that they take, in bytes; an error tells how long the
-// tenant's may be.
-func (s Keyspace) ServerKey(key string, most int) (string, error) {
-	if key == "" || len(s.prefix)+len(key) > most {
-		return "", fmt.Errorf("key: %d bytes: 1 to %d are right", len(key), max(0, most-len(s.prefix)))
+// ServerKey returns the server key of a tenant's key. maxBytes is the longest key that the servers accept;
+// the error states how long the tenant's key may be.
+func (s Keyspace) ServerKey(key string, maxBytes int) (string, error) {
+	if key == "" || len(s.prefix)+len(key) > maxBytes {
+		return "", fmt.Errorf("key: %d bytes: 1 to %d are right", len(key), max(0, maxBytes-len(s.prefix)))
 	}
 	return s.prefix + key, nil
 }
 
-// TenantKey is the tenant's key of a server's, or not ok where that is in another space.
+// TenantKey returns the tenant's key of a server key; ok is false if the server key belongs to another
+// keyspace.
 func (s Keyspace) TenantKey(serverKey string) (key string, ok bool) {
 	key, ok = strings.CutPrefix(serverKey, s.prefix)
 	return key, ok && key != "" && s.prefix != ""
 }
 
-// ID is a name within the space, for what must differ between tenants though it is no key: ids of requests and idempotency keys.
-// It is the same at every router, and most bytes long at most, which must be 32 or more: the name behind the space's beginning or,
-// where that is too long, 32 hex digits: 128 bits of SHA-256, so that no tenant finds another's. Such digits begin no other's.
-func (s Keyspace) ID(name string, most int) string {
-	if len(s.prefix)+len(name) <= most {
+// ID returns an identifier that is unique to the tenant, for names other than keys, such as request IDs and
+// idempotency keys. It is the same at every router and has at most maxBytes bytes, which must be 32 or
+// more: the prefix followed by the name or, if that is too long, the first 128 bits of its SHA-256 as 32
+// hex digits, which no other tenant can reproduce. Those digits contain no separator, so they never equal a
+// prefixed name.
+func (s Keyspace) ID(name string, maxBytes int) string {
+	if len(s.prefix)+len(name) <= maxBytes {
 		return s.prefix + name
 	}
-	sum := sha256.Sum256([]byte(s.prefix + name)) // the prefix has its end mark
+	sum := sha256.Sum256([]byte(s.prefix + name)) // unambiguous, since the prefix ends in a separator
 	return hex.EncodeToString(sum[:16])
 }
 
-// CheckPath says whether a key may stand in the path of a URL behind a space: one with a segment of one or two dots would lead out of it
-// at an origin that resolves them (RFC 3986, 5.2.4).
+// CheckPath returns an error if a key must not be used in a URL path after a keyspace prefix: an origin
+// that resolves "." and ".." segments (RFC 3986, 5.2.4) would leave the keyspace.
 func CheckPath(key string) error {
-	for part := range strings.SplitSeq(key, "/") {
-		if part == "." || part == ".." {
-			return fmt.Errorf("key: no part between slashes may be %s", part)
+	for segment := range strings.SplitSeq(key, "/") {
+		if segment == "." || segment == ".." {
+			return fmt.Errorf("key: no part between slashes may be %s", segment)
 		}
 	}
 	return nil
 }
 
-// SlotKey is a tenant's key as the servers of a cluster of slots know it: as Key, with a hash tag ahead that gives it the slot that
-// the tenant's own key has, as its clients count. tag is that tag, without braces.
-func (s Keyspace) SlotKey(key, tag string, most int) (string, error) {
+// SlotKey returns the server key of a tenant's key in a cluster with slots. It is like ServerKey, with a
+// hash tag before the key that maps it to the slot which clients compute from the tenant's own key. tag is
+// that hash tag without braces.
+func (s Keyspace) SlotKey(key, tag string, maxBytes int) (string, error) {
 	prefix := s.prefix[:max(0, len(s.prefix)-1)]
-	n := len(s.prefix) + len(tag) + 2
-	if prefix == "" || n+len(key) > most {
-		return "", fmt.Errorf("key: %d bytes: 0 to %d are right", len(key), max(0, most-n))
+	overhead := len(s.prefix) + len(tag) + 2
+	if prefix == "" || overhead+len(key) > maxBytes {
+		return "", fmt.Errorf("key: %d bytes: 0 to %d are right", len(key), max(0, maxBytes-overhead))
 	}
 	return prefix + "{" + tag + "}:" + key, nil
 }
--- a/internal/pure/tenant/limits.go
+++ b/internal/pure/tenant/limits.go
@@ -1,6 +1,8 @@
-// Package tenant says where a tenant's request stands with its limits: within its floor, borrowed from what others leave, over,
-// beyond a hard limit, or suspended. It refuses nothing; the module that decides gets the standing as a fact. It has no clock,
-// goroutine or input: each method gets the time, in ms, which must not go back. docs/design/tenants.md compares the ways.
+// Package tenant classifies each request of a tenant by the tenant's limits: within the guaranteed rate
+// (its floor), on capacity leased from idle tenants, above both, above a hard limit, or of a suspended
+// tenant. It rejects nothing itself: the module that decides takes the status as an input. It has no clock,
+// goroutine or I/O: each method takes the time in ms, which must not decrease. docs/design/tenants.md
+// compares the alternatives.
 package tenant
 
 import (
@@ -9,27 +11,27 @@
 	"math"
 )
 
-// QuotaStatus is where a request stands.
+// QuotaStatus classifies a request by its tenant's limits.
 type QuotaStatus int
 
-// The standings, the best first.
+// The statuses, best first.
 const (
-	Guaranteed  QuotaStatus = iota // its tenant's floor has room: it is served before all others
-	Leased                         // the tenant is over its floor, and others leave that much
-	Exceeded                       // nobody leaves it any more: the first to be refused
-	HardLimited                    // a hard limit is reached: it is not to be taken at all
-	Suspended                      // nor is this
+	Guaranteed  QuotaStatus = iota // within the tenant's floor: served before all others
+	Leased                         // above the floor, on capacity that others leave unused
+	Exceeded                       // above the floor with no capacity to lease: the first to be shed
+	HardLimited                    // above a hard limit: must not be accepted
+	Suspended                      // of a suspended tenant: must not be accepted
 )
 
-// String is the standing as figures and logs name it.
+// String returns the name of the status in metrics and logs.
 func (s QuotaStatus) String() string {
 	return [...]string{"within", "borrowed", "over", "beyond", "suspended"}[s]
 }
 
-// LimitKind is what kept a request from standing better.
+// LimitKind names the limit that kept a request from a better status.
 type LimitKind int
 
-// The limits.
+// The kinds of limits.
 const (
 	NoLimit LimitKind = iota
 	RateLimit
@@ -39,35 +41,36 @@
 	ClassOpenLimit
 )
 
-// String is the limit as refusals name it.
+// String returns the name of the limit in error replies.
 func (l LimitKind) String() string {
 	return [...]string{"", "rate", "open requests", "bytes in hand", "rate of the class", "open requests of the class"}[l]
 }
 
-// Limits are what a tenant may use of the whole service; a router holds it to its part. 0 = no such limit, but for the floor.
+// Limits bound a tenant's use of the whole service; each router enforces its share of them. 0 = no such
+// limit, except for Floor, where it means no guaranteed rate.
 type Limits struct {
-	Floor   float64 // cost a second that it always gets while it asks
-	Weight  float64 // its part of what others leave, beside other borrowers; 0 = 1
-	Burst   float64 // seconds of floor and of hard rates that may be saved up; 0 = 1, 60 at most
-	Most    float64 // cost a second
-	Open    int     // requests at once
-	Bytes   int64   // bytes of requests and answers in hand
-	Conns   int     // connections; the fronts count them
+	Floor   float64 // guaranteed cost per second
+	Weight  float64 // relative share of leased capacity among the lessees; 0 = 1
+	Burst   float64 // bucket depth of the floor and the hard rates, in seconds; 0 = 1, 60 at most
+	Most    float64 // hard limit on the cost per second
+	Open    int     // requests in flight
+	Bytes   int64   // bytes of requests and responses in memory
+	Conns   int     // connections, enforced by the protocol front ends
 	Classes []ClassLimits
 }
 
-// ClassLimits are those of requests of one class, by its number.
+// ClassLimits bound the requests of one class. Limits.Classes is indexed by class number.
 type ClassLimits struct {
-	Most float64 // cost a second
-	Open int     // requests at once
+	Most float64 // hard limit on the cost per second
+	Open int     // requests in flight
 }
 
 const (
-	maxBurstSeconds = 60 // seconds that are saved up
+	maxBurstSeconds = 60
 	maxClasses      = 64
 )
 
-// Check says what is wrong with limits, by the name of the field.
+// Check returns an error that names the first invalid field, or nil.
 func (l *Limits) Check() error {
 	for _, f := range []struct {
 		name  string
@@ -93,27 +96,27 @@
 	return nil
 }
 
-// Handle names a tenant from its creation to its end. A tenant of the same name that is created later has another: nothing of
-// the old one reaches it.
+// Handle identifies a tenant from its creation to its deletion. A tenant that is created later under the
+// same name gets a different handle, so it is not affected by the earlier one.
 type Handle struct{ index, generation uint32 }
 
-// Assessment is where a request stands, and why it does not stand better.
+// Assessment is the status of a request and the limit that kept it from a better one.
 type Assessment struct {
 	QuotaStatus
 	Limit      LimitKind
-	RetryAfter float64 // ms after which it would stand better, if all else stays; 0 = not known
+	RetryAfter float64 // ms after which the status would improve if nothing else changes; 0 = unknown
 }
 
-// tokenBucket is a token bucket: what has been saved up at a time.
+// tokenBucket holds the level of a token bucket at the time updatedAt (ms).
 type tokenBucket struct{ level, updatedAt float64 }
 
-// refill brings the level up to now; what is over the depth is lost.
+// refill adds the tokens accumulated until now, at rate per second; tokens above depth are discarded.
 func (b *tokenBucket) refill(now, rate, depth float64) {
 	b.level = min(depth, b.level+rate*(now-b.updatedAt)/1000)
 	b.updatedAt = now
 }
 
-// lookup is a tenant's.
+// tenantState is the state of one tenant.
 type tenantState struct {
 	limits         Limits
 	generation     uint32
@@ -121,55 +124,56 @@
 	suspended      bool
 	floorBucket    tokenBucket
 	rateBucket     tokenBucket
-	fullAt         float64 // when the floor's bucket will be full, if nothing is taken from it
-	heapPos        int32   // place among those whose bucket is not full, from 1 on; 0 = it is full
-	virtualTime    float64 // virtual time up to which it has borrowed, see Book.virtual
-	leaseAttemptAt float64 // when it last wanted to borrow
-	lesseePos      int32   // place among those that want to borrow, from 1 on; 0 = it does not
+	fullAt         float64 // when the floor bucket will be full if nothing more is taken from it
+	heapPos        int32   // 1-based index in Limiter.refillHeap; 0 = the floor bucket is full
+	virtualTime    float64 // virtual time up to which it has leased, see Limiter.virtualTime
+	leaseAttemptAt float64 // time of its last attempt to lease
+	lesseePos      int32   // 1-based index in Limiter.lessees; 0 = not a lessee
 	open           int
 	bytes          int64
 	classes        []classState
 }
 
+// classState is the state of one class of a tenant's requests.
 type classState struct {
 	rateBucket tokenBucket
 	open       int
 }
 
-// Limiter keeps what all tenants of a router use. What it holds is bounded by the tenants.
+// Limiter tracks what all tenants of a router use. Its memory is bounded by the number of tenants.
 type Limiter struct {
-	capacity        float64 // cost a second of the service; 0 = the sum of floors
-	share           float64 // this router's part of the service, 0 to 1
+	capacity        float64 // cost per second of the service; 0 = the sum of floors
+	share           float64 // this router's share of the service, 0 to 1
 	tenants         []tenantState
 	freeIndexes     []uint32
-	floorSum        float64     // sum of all,
-	idleFloorSum    float64     // and of those whose buckets are full: what they leave
-	refillHeap      []uint32    // the others, the first to be full on top
-	leasePool       tokenBucket // what may be borrowed
-	virtualTime     float64     // of the pool: cost handed out for each unit of weight
-	lessees         []uint32    // who wants to borrow
-	lesseeWeightSum float64     // sum of theirs
+	floorSum        float64     // sum of all floors
+	idleFloorSum    float64     // sum of the floors whose buckets are full, which can be leased
+	refillHeap      []uint32    // min-heap of tenants whose floor buckets are not full, by fullAt
+	leasePool       tokenBucket // capacity that can be leased
+	virtualTime     float64     // cost leased so far per unit of weight, as in fair queueing
+	lessees         []uint32    // tenants with a recent attempt to lease
+	lesseeWeightSum float64     // sum of the weights of lessees
 	lesseesSweptAt  float64
 }
 
 const (
-	leasePoolSeconds    = 0.1  // seconds of what is left that may be saved up: more would let a herd through at once
-	maxLeaseLeadSeconds = 0.05 // seconds of its part that a borrower may be ahead of the others
-	lesseeTimeoutMS     = 250  // ms for which who wanted to borrow has its part kept
-	minBucketDepth      = 1    // cost that every bucket can hold, or a dear request would never be within
+	leasePoolSeconds    = 0.1  // depth of the lease pool; a deeper one lets large bursts through at once
+	maxLeaseLeadSeconds = 0.05 // how far a lessee may be ahead of its fair share
+	lesseeTimeoutMS     = 250  // how long a lessee keeps its share after its last attempt to lease
+	minBucketDepth      = 1    // minimum cost that fits in a bucket, so that expensive requests fit
 )
 
-// NewLimiter is one for a router that is the whole service; Portion tells otherwise. capacity is the cost a second that the service
-// can do; 0 = the sum of the floors.
+// NewLimiter returns a Limiter for a router that is the whole service; SetShare sets a smaller share.
+// capacity is the cost per second that the service can handle; 0 = the sum of the floors.
 func NewLimiter(capacity float64) *Limiter { return &Limiter{capacity: capacity, share: 1} }
 
-// SetCapacity sets the cost a second that the service can do; 0 = the sum of the floors.
+// SetCapacity sets the cost per second that the service can handle; 0 = the sum of the floors.
 func (b *Limiter) SetCapacity(now, capacity float64) {
 	b.advance(now)
 	b.capacity = capacity
 }
 
-// SetShare sets this router's part of the service from now on.
+// SetShare sets this router's share of the service, 0 to 1, from now on.
 func (b *Limiter) SetShare(now, portion float64) {
 	b.advance(now)
 	for _, i := range b.refillHeap {
@@ -183,10 +187,10 @@
 	}
 }
 
-// ErrDeleted tells of a handle whose tenant is no more.
-var ErrDeleted = errors.New("the tenant is no more")
+// ErrDeleted is returned for a handle whose tenant has been deleted.
+var ErrDeleted = errors.New("the tenant has been deleted")
 
-// Create makes a tenant.
+// Create adds a tenant with full buckets. It fails if the limits are invalid.
 func (b *Limiter) Create(now float64, l Limits) (Handle, error) {
 	if err := l.Check(); err != nil {
 		return Handle{}, err
@@ -208,7 +212,9 @@
 	return Handle{i, r.generation}, nil
 }
 
-// applyLimits books limits, of which nothing is booked.
+// applyLimits stores a tenant's limits and adds its floor to the sum. The caller has subtracted the floor
+// of the previous limits. Classes keep their counts of requests in flight when their limits are removed, so
+// r.classes never shrinks.
 func (b *Limiter) applyLimits(now float64, r *tenantState, l Limits) {
 	if l.Weight == 0 {
 		l.Weight = 1
@@ -217,13 +223,13 @@
 		l.Burst = 1
 	}
 	r.limits = l
-	for i := len(r.classes); i < len(l.Classes); i++ { // what is in hand of a class is counted on when its limits go
+	for i := len(r.classes); i < len(l.Classes); i++ { // counts outlive limits
 		r.classes = append(r.classes, classState{rateBucket: tokenBucket{b.bucketDepth(l.Classes[i].Most, l.Burst), now}})
 	}
 	b.floorSum += l.Floor
 }
 
-// SetLimits changes a tenant's limits. What is in hand stays, though it may be over them.
+// SetLimits changes a tenant's limits. Requests in flight continue even if they exceed the new limits.
 func (b *Limiter) SetLimits(now float64, h Handle, l Limits) error {
 	r := b.lookup(h)
 	if r == nil {
@@ -251,17 +257,17 @@
 	return nil
 }
 
-// SetSuspended has all requests of a tenant stand as suspended from now on, or no longer.
-func (b *Limiter) SetSuspended(h Handle, on bool) error {
+// SetSuspended suspends a tenant, so that all its new requests have status Suspended, or resumes it.
+func (b *Limiter) SetSuspended(h Handle, suspended bool) error {
 	r := b.lookup(h)
 	if r == nil {
 		return ErrDeleted
 	}
-	r.suspended = on
+	r.suspended = suspended
 	return nil
 }
 
-// Delete ends a tenant. What it has in hand is nobody's from now on: Done for it does nothing.
+// Delete removes a tenant. Its requests in flight are no longer counted: Release does nothing for them.
 func (b *Limiter) Delete(now float64, h Handle) error {
 	r := b.lookup(h)
 	if r == nil {
@@ -282,7 +288,7 @@
 	return nil
 }
 
-// lookup is a handle's, nil where its tenant is no more.
+// lookup returns the tenant of a handle, or nil if it has been deleted.
 func (b *Limiter) lookup(h Handle) *tenantState {
 	if int(h.index) >= len(b.tenants) {
 		return nil
@@ -293,17 +299,18 @@
 	return nil
 }
 
-// bucketDepth is how much a bucket holds.
+// bucketDepth returns the depth of a bucket with this rate per second and burst in seconds.
 func (b *Limiter) bucketDepth(rate, burst float64) float64 {
 	return max(minBucketDepth, rate*b.share*burst)
 }
 
-// leasableRate is the cost a second that may be borrowed at this router.
+// leasableRate returns the cost per second that can be leased at this router.
 func (b *Limiter) leasableRate() float64 {
 	return max(0, b.idleFloorSum+max(0, b.capacity-b.floorSum)) * b.share
 }
 
-// advance brings the pool up to now: floors that nobody uses flow into it, from the moment at which their buckets are full.
+// advance brings the lease pool up to now. The floor of an idle tenant flows into the pool from the moment
+// at which the tenant's floor bucket is full.
 func (b *Limiter) advance(now float64) {
 	for len(b.refillHeap) > 0 && b.tenants[b.refillHeap[0]].fullAt <= now {
 		r := &b.tenants[b.refillHeap[0]]
@@ -323,7 +330,7 @@
 	}
 }
 
-// refillLeasePool lets what is left flow into the pool until a time.
+// refillLeasePool fills the lease pool up to the given time and advances the virtual time.
 func (b *Limiter) refillLeasePool(until float64) {
 	if until <= b.leasePool.updatedAt {
 		return
@@ -335,7 +342,7 @@
 	b.leasePool.refill(until, rate, max(minBucketDepth, rate*leasePoolSeconds))
 }
 
-// refillBuckets brings a tenant's own buckets up to now.
+// refillBuckets fills a tenant's own buckets up to now.
 func (b *Limiter) refillBuckets(now float64, r *tenantState) {
 	l := &r.limits
 	r.floorBucket.refill(now, l.Floor*b.share, b.bucketDepth(l.Floor, l.Burst))
@@ -344,8 +351,9 @@
 	}
 }
 
-// Acquire says where a request stands, and books it unless that is Beyond or Suspended: Done must be told of it then. class is its
-// number, cost what it uses of rates, above 0, and bytes what it has in hand.
+// Acquire returns the status of a request and counts the request, unless the status is HardLimited or
+// Suspended; the caller must call Release for each counted request. class is the number of the request's
+// class, cost (above 0) what it uses of rate limits, and bytes what it holds in memory.
 func (b *Limiter) Acquire(now float64, h Handle, class int, cost float64, bytes int64) (Assessment, error) {
 	r := b.lookup(h)
 	if r == nil {
@@ -372,7 +380,7 @@
 	return Assessment{Exceeded, RateLimit, refillDelay(cost-r.floorBucket.level, r.limits.Floor*b.share)}, nil
 }
 
-// refillDelay is how long a bucket takes to get so much, in ms; 0 = for ever.
+// refillDelay returns the time in ms that a bucket takes to accumulate missing tokens; 0 = never.
 func refillDelay(missing, rate float64) float64 {
 	if rate <= 0 {
 		return 0
@@ -380,10 +388,11 @@
 	return max(1, missing/rate*1000)
 }
 
-// shareOf is this router's part of a count, 1 at least.
+// shareOf returns this router's share of a service-wide count, at least 1.
 func (b *Limiter) shareOf(n float64) float64 { return max(1, n*b.share) }
 
-// checkHardLimits says whether a hard limit is reached.
+// checkHardLimits returns status HardLimited with the limit that the request would exceed, or the zero
+// Assessment.
 func (b *Limiter) checkHardLimits(now float64, r *tenantState, class int, cost float64, bytes int64) Assessment {
 	l := &r.limits
 	switch {
@@ -410,7 +419,7 @@
 	return Assessment{}
 }
 
-// recordRequest books a request that is taken.
+// recordRequest counts an accepted request and debits the hard rate limits.
 func (b *Limiter) recordRequest(r *tenantState, class int, cost float64, bytes int64) {
 	r.open++
 	r.bytes += bytes
@@ -426,8 +435,8 @@
 	}
 }
 
-// AddBytes books more bytes that a request has in hand, such as of its answer, or with less than 0 fewer. It says whether they are
-// within the limit; they are booked either way.
+// AddBytes adds bytes that a request holds, such as those of its response; a negative number subtracts.
+// Reports whether the tenant is within its byte limit; the bytes are counted in either case.
 func (b *Limiter) AddBytes(h Handle, bytes int64) bool {
 	r := b.lookup(h)
 	if r == nil {
@@ -437,9 +446,10 @@
 	return r.limits.Bytes == 0 || float64(r.bytes) <= b.shareOf(float64(r.limits.Bytes))
 }
 
-// Charge books what a request that was taken turns out to cost beyond what it was booked as, such as a fetch of what it did not find: to the
-// floor, where it stands within that, or to what it has borrowed. So a floor may be in debt, by as much as it holds, and is repaid before
-// anything stands within it again. What stands over has nobody's to spend.
+// Charge debits what an accepted request turns out to cost beyond the cost passed to Acquire, such as a
+// fetch after a miss: from the floor if its status is Guaranteed, or from the lease pool if it is Leased. A
+// floor bucket can go negative by its own depth and must recover before another request is Guaranteed.
+// Requests with status Exceeded use no reserved capacity, so nothing is debited for them.
 func (b *Limiter) Charge(now float64, h Handle, s QuotaStatus, cost float64) {
 	r := b.lookup(h)
 	if r == nil || !(cost > 0) {
@@ -457,7 +467,7 @@
 	}
 }
 
-// Release ends a request that Arrive has booked, with all its bytes.
+// Release ends a request counted by Acquire; bytes are all the bytes that it holds.
 func (b *Limiter) Release(h Handle, class int, bytes int64) {
 	r := b.lookup(h)
 	if r == nil {
@@ -470,8 +480,9 @@
 	}
 }
 
-// tryLease takes from what others leave, if there is enough and the tenant has had no more than its part beside others. What nobody
-// else wants is anybody's: then the pool is full.
+// tryLease takes cost from the lease pool if the pool has enough and the tenant has not exceeded its fair
+// share among the lessees. A full pool means that the other lessees leave capacity unused: then the fair
+// share does not apply.
 func (b *Limiter) tryLease(now float64, i uint32, r *tenantState, cost float64) bool {
 	w := r.limits.Weight
 	if r.leaseAttemptAt = now; r.lesseePos == 0 {
@@ -484,8 +495,8 @@
 	if b.leasePool.level < cost {
 		return false
 	}
-	inTurn := r.virtualTime <= b.virtualTime+max(maxLeaseLeadSeconds*rate/b.lesseeWeightSum, cost/w)
-	if !inTurn && b.leasePool.level < max(minBucketDepth, rate*leasePoolSeconds)-1e-9 {
+	withinFairShare := r.virtualTime <= b.virtualTime+max(maxLeaseLeadSeconds*rate/b.lesseeWeightSum, cost/w)
+	if !withinFairShare && b.leasePool.level < max(minBucketDepth, rate*leasePoolSeconds)-1e-9 {
 		return false
 	}
 	b.leasePool.level -= cost
@@ -493,7 +504,7 @@
 	return true
 }
 
-// removeLessee takes a tenant from those that want to borrow.
+// removeLessee removes a tenant from the lessees.
 func (b *Limiter) removeLessee(r *tenantState) {
 	last := len(b.lessees) - 1
 	moved := b.lessees[last]
@@ -502,11 +513,12 @@
 	b.lessees = b.lessees[:last]
 	r.lesseePos = 0
 	if b.lesseeWeightSum -= r.limits.Weight; last == 0 {
-		b.lesseeWeightSum = 0 // no rest of rounding
+		b.lesseeWeightSum = 0 // discards the rounding error
 	}
 }
 
-// updateRefillHeap books that something was taken from a floor's bucket: while that fills up again its tenant leaves nothing to others.
+// updateRefillHeap updates the heap after a debit from a tenant's floor bucket. While that bucket refills,
+// the tenant's floor cannot be leased to others.
 func (b *Limiter) updateRefillHeap(now float64, i uint32, r *tenantState) {
 	if r.limits.Floor <= 0 || r.floorBucket.level >= b.bucketDepth(r.limits.Floor, r.limits.Burst) {
 		return
@@ -519,10 +531,10 @@
 		b.siftUp(len(b.refillHeap) - 1)
 		return
 	}
-	b.siftDown(int(r.heapPos) - 1) // it will be full later than it would have been
+	b.siftDown(int(r.heapPos) - 1) // a debit only delays fullAt
 }
 
-// floorFullAt is when a floor's bucket will be full, if nothing is taken from it.
+// floorFullAt returns the time in ms at which a floor bucket will be full if nothing more is taken from it.
 func (b *Limiter) floorFullAt(now float64, r *tenantState) float64 {
 	rate := r.limits.Floor * b.share
 	if rate <= 0 {
@@ -531,7 +543,7 @@
 	return now + max(0, b.bucketDepth(r.limits.Floor, r.limits.Burst)-r.floorBucket.level)/rate*1000
 }
 
-// removeFromRefillHeap takes a tenant out of the heap of those whose buckets are not full.
+// removeFromRefillHeap removes a tenant from the heap of those whose floor buckets are not full.
 func (b *Limiter) removeFromRefillHeap(r *tenantState) {
 	at, last := int(r.heapPos)-1, len(b.refillHeap)-1
 	b.swapHeapEntries(at, last)
@@ -549,6 +561,7 @@
 	b.tenants[f[i]].heapPos, b.tenants[f[j]].heapPos = int32(i+1), int32(j+1)
 }
 
+// fullsBefore reports whether the bucket at heap index i will be full before that at index j.
 func (b *Limiter) fullsBefore(i, j int) bool {
 	return b.tenants[b.refillHeap[i]].fullAt < b.tenants[b.refillHeap[j]].fullAt
 }
@@ -577,13 +590,13 @@
 	}
 }
 
-// InFlight is what a tenant has in hand.
+// InFlight is what a tenant's requests in flight use.
 type InFlight struct {
 	Open  int
 	Bytes int64
 }
 
-// InFlight gives it.
+// InFlight returns the number of requests of a tenant that are in flight and the bytes that they hold.
 func (b *Limiter) InFlight(h Handle) (InFlight, error) {
 	r := b.lookup(h)
 	if r == nil {
--- a/internal/pure/tenant/usage.go
+++ b/internal/pure/tenant/usage.go
@@ -1,21 +1,22 @@
 package tenant
 
-// Usage counts what a tenant's requests were, by minute. Its memory is that of the minutes it keeps, whatever is counted; who counts
-// from several goroutines guards it.
+// Usage counts a tenant's requests per minute and status, in constant memory. It is not safe for concurrent
+// use.
 type Usage struct {
-	minutes [usageMinutes]Minute // by minute modulo their number
+	minutes [usageMinutes]Minute // ring buffer, indexed by minute modulo usageMinutes
 }
 
-// usageMinutes are kept: an hour, and the minute that runs.
+// usageMinutes is the number of minutes kept: the last hour and the current minute.
 const usageMinutes = 61
 
-// Minute is one minute's requests by their standing. Refused ones that were within limits are not told apart here: the module refuses.
+// Minute counts the requests of one minute by status. Requests that were within the limits but refused by
+// the deciding module are not counted separately.
 type Minute struct {
 	At     int64 // minutes since 1970
 	Counts [Suspended + 1]uint64
 }
 
-// Add counts a request at a time in ms.
+// Add counts a request at the time now, in ms since 1970.
 func (u *Usage) Add(now float64, s QuotaStatus) {
 	at := int64(now / 60e3)
 	m := &u.minutes[at%usageMinutes]
@@ -25,11 +26,12 @@
 	m.Counts[s]++
 }
 
-// Since gives the minutes of the last hour in which anything was counted, oldest first, and the one that runs last.
+// Since returns the non-empty minutes of the last hour, oldest first, up to and including the current
+// minute.
 func (u *Usage) Since(now float64) (out []Minute) {
 	at := int64(now / 60e3)
-	for back := int64(usageMinutes - 1); back >= 0; back-- {
-		if m := u.minutes[(at-back)%usageMinutes]; m.At == at-back && m.Counts != ([Suspended + 1]uint64{}) {
+	for minutesAgo := int64(usageMinutes - 1); minutesAgo >= 0; minutesAgo-- {
+		if m := u.minutes[(at-minutesAgo)%usageMinutes]; m.At == at-minutesAgo && m.Counts != ([Suspended + 1]uint64{}) {
 			out = append(out, m)
 		}
 	}
