--- a/internal/pure/background/background_test.go
+++ b/internal/pure/background/background_test.go
@@ -21,7 +21,8 @@
 	return s
 }
 
-// runSteps grants steps for some seconds, each taking 1 ms, and counts them by kind and the longest time that a kind waited.
+// runSteps grants and completes steps from one time to another (ms), retrying every ms. It returns the
+// number of steps and the longest time without a step in ms, by kind.
 func runSteps(t testing.TB, s *Scheduler, from, to float64, each func(now float64)) (counts map[string]int, longest map[string]float64) {
 	t.Helper()
 	counts, longest = map[string]int{}, map[string]float64{}
@@ -37,7 +38,7 @@
 			g, wait, ok := s.Next(now)
 			if !ok {
 				if wait <= 0 {
-					t.Fatalf("nothing is granted, and asking again after %v ms", wait)
+					t.Fatalf("no grant, and a wait of %v ms", wait)
 				}
 				break
 			}
@@ -52,8 +53,8 @@
 	return counts, longest
 }
 
-// By priority, by weight within one, and nothing starves: a kind of the lowest priority waits for its bound and no longer, whatever the others
-// have to do.
+// Kinds run by priority and, within a priority, by weight. A kind of the lowest priority is not starved: it
+// waits for its MaxWait and no longer, however much work the others have.
 func TestOrderAndStarvation(t *testing.T) {
 	s := newScheduler(t, []JobKind{{Name: "move", Priority: 2, Weight: 3, Cost: map[Resource]float64{CPU: 1}}, {Name: "store", Priority: 2, Cost: map[Resource]float64{CPU: 1}},
 		{Name: "purge", Priority: 1, MaxWait: 700, Cost: map[Resource]float64{CPU: 1}}}, map[Resource]Budget{CPU: {MaxRate: 100, Burst: 1}})
@@ -67,18 +68,18 @@
 	counts, longest := runSteps(t, s, 0, 60e3, nil)
 	total := counts["move"] + counts["store"] + counts["purge"]
 	if total < 5900 || total > 6010 {
-		t.Errorf("%d steps of 6000", total)
+		t.Errorf("%d steps, want about 6000", total)
 	}
 	if r := float64(counts["move"]) / float64(counts["store"]); math.Abs(r-3) > 0.1 {
-		t.Errorf("by weight 3 to 1: %v", counts)
+		t.Errorf("not in the ratio 3 to 1 of the weights: %v", counts)
 	}
 	if longest["purge"] > 700+2*10+1 || counts["purge"] > 100 {
-		t.Errorf("the lowest waited %v ms and had %d steps", longest["purge"], counts["purge"])
+		t.Errorf("the kind of the lowest priority waited up to %v ms and had %d steps", longest["purge"], counts["purge"])
 	}
 }
 
-// Under pressure background work yields within 100 ms, to nothing at once where a resource is full, and comes back slowly; a resource that is
-// full holds up only those that need it.
+// Under pressure, background work reduces its rate within 100 ms, stops at once where a resource is
+// saturated, and recovers slowly. A saturated resource delays only the kinds that need it.
 func TestYieldsAndRecovers(t *testing.T) {
 	kinds := []JobKind{{Name: "fetch", Cost: map[Resource]float64{Origin: 1, CPU: 0.1}}, {Name: "compact", Cost: map[Resource]float64{Disk: 1}}}
 	s := newScheduler(t, kinds, map[Resource]Budget{Origin: {MaxRate: 200, Burst: 4, RecoverySeconds: 5}, CPU: {MaxRate: 1000, Burst: 10}, Disk: {MaxRate: 100, Burst: 2}})
@@ -89,18 +90,18 @@
 			}
 		}
 	}
-	calm, _ := runSteps(t, s, 0, 2000, nil)
+	normal, _ := runSteps(t, s, 0, 2000, nil)
 	s.SetPressure(2000, Origin, Saturated)
-	full, _ := runSteps(t, s, 2000, 4000, nil)
+	saturated, _ := runSteps(t, s, 2000, 4000, nil)
 	s.SetPressure(4000, Origin, Normal)
-	first, _ := runSteps(t, s, 4000, 5000, nil)
+	recovering, _ := runSteps(t, s, 4000, 5000, nil)
 	runSteps(t, s, 5000, 10000, nil)
-	back, _ := runSteps(t, s, 10000, 11000, nil)
-	if calm["fetch"] < 390 || full["fetch"] > 0 || full["compact"] < 190 {
-		t.Errorf("calm %v, full %v", calm, full)
+	recovered, _ := runSteps(t, s, 10000, 11000, nil)
+	if normal["fetch"] < 390 || saturated["fetch"] > 0 || saturated["compact"] < 190 {
+		t.Errorf("normal pressure: %v, saturated: %v", normal, saturated)
 	}
-	if first["fetch"] > 40 || first["fetch"] < 5 || back["fetch"] < 190 {
-		t.Errorf("back: %v in the first second, %v later", first, back)
+	if recovering["fetch"] > 40 || recovering["fetch"] < 5 || recovered["fetch"] < 190 {
+		t.Errorf("recovery: %v in the first second, %v later", recovering, recovered)
 	}
 	busy, _ := runSteps(t, s, 11000, 12000, func(now float64) {
 		if int(now)%20 == 0 {
@@ -108,20 +109,21 @@
 		}
 	})
 	if busy["fetch"] > 50 {
-		t.Errorf("busy for a second: %v", busy)
+		t.Errorf("during a second of pressure Busy: %v", busy)
 	}
 	later, _ := runSteps(t, s, 12000, 13000, nil)
 	if later["fetch"] > 2 {
-		t.Errorf("after a second of it: %v", later)
+		t.Errorf("after a second of pressure Busy: %v", later)
 	}
 	s.SetDraining(true)
-	if none, _ := runSteps(t, s, 13000, 14000, nil); len(none) > 0 {
-		t.Errorf("while draining: %v", none)
+	if drained, _ := runSteps(t, s, 13000, 14000, nil); len(drained) > 0 {
+		t.Errorf("while draining: %v", drained)
 	}
 }
 
-// A step that fails is tried again later each time, one that goes well begins anew; the earliest deadline comes first; a job that is cancelled
-// gets nothing more; what is kept brings the jobs back where they were.
+// A failed step is retried with increasing delays; a successful one resets the delay. The earliest deadline
+// comes first, a cancelled job gets no further step, and a scheduler restored from Jobs holds the same
+// jobs.
 func TestJobs(t *testing.T) {
 	kinds := []JobKind{{Name: "k", Cost: map[Resource]float64{CPU: 1}}}
 	budgets := map[Resource]Budget{CPU: {MaxRate: 1e6, Burst: 1e3}}
@@ -135,55 +137,55 @@
 	for range 3 {
 		g, _, ok := s.Next(1)
 		if !ok {
-			t.Fatal("nothing")
+			t.Fatal("no grant")
 		}
 		order = append(order, g.ID)
 	}
 	if got := strings.Join(order, " "); got != "soon late none" {
-		t.Errorf("%s", got)
+		t.Errorf("order by deadline: %s", got)
 	}
 	if err := errors.Join(s.Done(1, "soon", StepFailed, nil, ""), s.Done(1, "late", StepDone, nil, "half"), s.Done(1, "none", JobFinished, nil, "")); err != nil {
 		t.Fatal(err)
 	}
 	g, _, _ := s.Next(2)
 	if g.ID != "late" || g.Cursor != "half" {
-		t.Errorf("%+v", g)
+		t.Errorf("grant %+v, want the job late at its cursor", g)
 	}
 	if _, wait, ok := s.Next(2); ok || math.Abs(wait-374) > 1 {
-		t.Errorf("the failed one again: %v, after %v ms", ok, wait)
+		t.Errorf("retry of the failed step: granted %v, wait %v ms", ok, wait)
 	}
 	s.Cancel("late")
 	if err := s.Done(3, "late", StepDone, nil, ""); !errors.Is(err, ErrNoStepInFlight) {
-		t.Errorf("a cancelled one: %v", err)
+		t.Errorf("Done for a cancelled job: %v", err)
 	}
-	now, was := 3.0, 0.0
+	now, previous := 3.0, 0.0
 	for range 12 {
 		_, wait, _ := s.Next(now)
-		if now += wait; wait < was || wait > maxRetryDelayMS {
-			t.Errorf("%v ms after %v", wait, was)
+		if now += wait; wait < previous || wait > maxRetryDelayMS {
+			t.Errorf("retry delay of %v ms after one of %v ms", wait, previous)
 		}
-		was = wait
+		previous = wait
 		g, _, ok := s.Next(now)
 		if !ok || g.ID != "soon" {
-			t.Fatalf("%+v at %v", g, now)
+			t.Fatalf("grant %+v at %v, want the job soon", g, now)
 		}
 		if err := s.Done(now, "soon", StepFailed, nil, ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	again := newScheduler(t, kinds, budgets)
+	restored := newScheduler(t, kinds, budgets)
 	for _, j := range s.Jobs() {
-		if err := again.Add(now, j); err != nil {
+		if err := restored.Add(now, j); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if a, b := fmt.Sprint(s.Jobs()), fmt.Sprint(again.Jobs()); a != b || len(s.Jobs()) != 1 {
-		t.Errorf("%s and %s", a, b)
+	if a, b := fmt.Sprint(s.Jobs()), fmt.Sprint(restored.Jobs()); a != b || len(s.Jobs()) != 1 {
+		t.Errorf("jobs %s, restored as %s", a, b)
 	}
 }
 
-// Whatever is asked in whatever order: no budget is overdrawn beyond what a step was told to take, each job has one step out at most, and what
-// is wrong is refused.
+// For random sequences of calls, steps never use more than the budget allows and each job has at most one
+// step in flight. Invalid configurations and jobs are rejected.
 func TestBudgetsHold(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		most := rapid.Float64Range(1, 1000).Draw(rt, "most")
@@ -192,50 +194,50 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		now, cpu := 0.0, 0.0
-		out := map[string]bool{}
+		now, cpuUsed := 0.0, 0.0
+		inFlight := map[string]bool{}
 		for i := range rapid.IntRange(1, 150).Draw(rt, "steps") {
 			now += rapid.Float64Range(0, 50).Draw(rt, "ms")
 			switch rapid.IntRange(0, 4).Draw(rt, "what") {
 			case 0:
-				s.Add(now, Job{ID: fmt.Sprint(i), Kind: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "kind")}) //nolint:errcheck // ids are new
+				s.Add(now, Job{ID: fmt.Sprint(i), Kind: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "kind")}) //nolint:errcheck // new IDs
 			case 1, 2:
 				g, wait, ok := s.Next(now)
-				if ok && out[g.ID] || !ok && wait <= 0 {
-					rt.Fatalf("%+v %v", g, wait)
+				if ok && inFlight[g.ID] || !ok && wait <= 0 {
+					rt.Fatalf("grant %+v, wait %v", g, wait)
 				}
 				if ok {
-					out[g.ID], cpu = true, cpu+g.Cost[CPU]
+					inFlight[g.ID], cpuUsed = true, cpuUsed+g.Cost[CPU]
 				}
 			case 3:
-				for id := range out {
+				for id := range inFlight {
 					r := rapid.SampledFrom([]StepResult{StepDone, JobFinished, StepFailed}).Draw(rt, "result")
 					if err := s.Done(now, id, r, nil, ""); err != nil {
 						rt.Fatal(err)
 					}
-					delete(out, id)
+					delete(inFlight, id)
 					break
 				}
 			case 4:
 				s.SetPressure(now, rapid.SampledFrom([]Resource{CPU, Disk}).Draw(rt, "resource"), Pressure(rapid.IntRange(0, 2).Draw(rt, "pressure")))
 			}
-			if limit := 4 + most*now/1000 + 1e-6; cpu > limit {
-				rt.Fatalf("%v ms of processor after %v ms: %v at most", cpu, now, limit)
+			if limit := 4 + most*now/1000 + 1e-6; cpuUsed > limit {
+				rt.Fatalf("%v ms of CPU time used after %v ms, want at most %v", cpuUsed, now, limit)
 			}
 		}
 	})
-	for name, x := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		kinds   []JobKind
 		budgets map[Resource]Budget
 		want    string
 	}{
-		"no name":           {[]JobKind{{Cost: map[Resource]float64{CPU: 1}}}, map[Resource]Budget{CPU: {MaxRate: 1, Burst: 1}}, "a name of its own"},
-		"costs nothing":     {[]JobKind{{Name: "k"}}, nil, "what a step costs"},
-		"more than a burst": {[]JobKind{{Name: "k", Cost: map[Resource]float64{CPU: 2}}}, map[Resource]Budget{CPU: {MaxRate: 1, Burst: 1}}, "up to the burst"},
+		"no name":           {[]JobKind{{Cost: map[Resource]float64{CPU: 1}}}, map[Resource]Budget{CPU: {MaxRate: 1, Burst: 1}}, "name must be set and unique"},
+		"costs nothing":     {[]JobKind{{Name: "k"}}, nil, "cost of a step must be set"},
+		"more than a burst": {[]JobKind{{Name: "k", Cost: map[Resource]float64{CPU: 2}}}, map[Resource]Budget{CPU: {MaxRate: 1, Burst: 1}}, "at most the burst"},
 		"no such resource":  {[]JobKind{{Name: "k", Cost: map[Resource]float64{ServerResource(3): 2}}}, nil, "server 3"},
 		"a budget of none":  {nil, map[Resource]Budget{CPU: {}}, "budget of cpu"},
 	} {
-		if _, err := New(x.kinds, x.budgets, 0, constantJitter); err == nil || !strings.Contains(err.Error(), x.want) {
+		if _, err := New(testCase.kinds, testCase.budgets, 0, constantJitter); err == nil || !strings.Contains(err.Error(), testCase.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -247,6 +249,6 @@
 		t.Error(err)
 	}
 	if err := s.Add(0, Job{ID: "y", Kind: "k", Cursor: strings.Repeat("c", maxCursorBytes+1)}); err == nil {
-		t.Error("a long cursor")
+		t.Error("a cursor that is too long was accepted")
 	}
 }
--- a/internal/pure/tenant/limits.go
+++ b/internal/pure/tenant/limits.go
@@ -160,7 +160,7 @@
 	leasePoolSeconds    = 0.1  // depth of the lease pool; a deeper one lets large bursts through at once
 	maxLeaseLeadSeconds = 0.05 // how far a lessee may be ahead of its fair share
 	lesseeTimeoutMS     = 250  // how long a lessee keeps its share after its last attempt to lease
-	minBucketDepth      = 1    // minimum cost that fits in a bucket, so that expensive requests fit
+	minBucketDepth      = 1    // minimum depth; below it an expensive request would never be Guaranteed
 )
 
 // NewLimiter returns a Limiter for a router that is the whole service; SetShare sets a smaller share.
@@ -174,12 +174,12 @@
 }
 
 // SetShare sets this router's share of the service, 0 to 1, from now on.
-func (b *Limiter) SetShare(now, portion float64) {
+func (b *Limiter) SetShare(now, share float64) {
 	b.advance(now)
 	for _, i := range b.refillHeap {
 		b.refillBuckets(now, &b.tenants[i])
 	}
-	b.share = min(1, max(0, portion))
+	b.share = min(1, max(0, share))
 	for n, i := range b.refillHeap {
 		r := &b.tenants[i]
 		r.fullAt = b.floorFullAt(now, r)
@@ -223,7 +223,7 @@
 		l.Burst = 1
 	}
 	r.limits = l
-	for i := len(r.classes); i < len(l.Classes); i++ { // counts outlive limits
+	for i := len(r.classes); i < len(l.Classes); i++ { // counts stay when limits go
 		r.classes = append(r.classes, classState{rateBucket: tokenBucket{b.bucketDepth(l.Classes[i].Most, l.Burst), now}})
 	}
 	b.floorSum += l.Floor
@@ -484,23 +484,23 @@
 // share among the lessees. A full pool means that the other lessees leave capacity unused: then the fair
 // share does not apply.
 func (b *Limiter) tryLease(now float64, i uint32, r *tenantState, cost float64) bool {
-	w := r.limits.Weight
+	weight := r.limits.Weight
 	if r.leaseAttemptAt = now; r.lesseePos == 0 {
 		b.lessees = append(b.lessees, i)
 		r.lesseePos = int32(len(b.lessees))
-		b.lesseeWeightSum += w
+		b.lesseeWeightSum += weight
 	}
 	rate := b.leasableRate()
 	r.virtualTime = max(r.virtualTime, b.virtualTime)
 	if b.leasePool.level < cost {
 		return false
 	}
-	withinFairShare := r.virtualTime <= b.virtualTime+max(maxLeaseLeadSeconds*rate/b.lesseeWeightSum, cost/w)
+	withinFairShare := r.virtualTime <= b.virtualTime+max(maxLeaseLeadSeconds*rate/b.lesseeWeightSum, cost/weight)
 	if !withinFairShare && b.leasePool.level < max(minBucketDepth, rate*leasePoolSeconds)-1e-9 {
 		return false
 	}
 	b.leasePool.level -= cost
-	r.virtualTime += cost / w
+	r.virtualTime += cost / weight
 	return true
 }
 
