--- a/internal/pure/slots/slots.go
+++ b/internal/pure/slots/slots.go
@@ -1,5 +1,5 @@
-// Package slots knows which server of a cluster owns which slot. It does no input or output and has no clock: maps and
-// redirections come in with their time in milliseconds, owners go out.
+// Package slots tracks which server of a cluster owns which slot. It has no I/O and no clock: the caller
+// passes in slot maps and redirects with the time in ms, and reads the owners.
 package slots
 
 import (
@@ -11,11 +11,12 @@
 // Count is the number of slots of a cluster (redis.io/docs/reference/cluster-spec).
 const Count = 16384
 
-// ForSlot is the slot of a key: CRC16 of the key, or of what stands between its first { and the next }, if anything does.
+// ForKey returns the slot of a key: the CRC16 of the key, or of its hash tag if it has one (the text
+// between the first { and the next }, unless that is empty), modulo Count.
 func ForKey(key []byte) int {
-	if i := bytes.IndexByte(key, '{'); i >= 0 {
-		if j := bytes.IndexByte(key[i+1:], '}'); j > 0 {
-			key = key[i+1 : i+1+j]
+	if open := bytes.IndexByte(key, '{'); open >= 0 {
+		if length := bytes.IndexByte(key[open+1:], '}'); length > 0 {
+			key = key[open+1 : open+1+length]
 		}
 	}
 	crc := uint16(0)
@@ -25,7 +26,7 @@
 	return int(crc) % Count
 }
 
-// crcTable is that of CRC-16/XMODEM, polynomial 0x1021.
+// crcTable is the lookup table of CRC-16/XMODEM, polynomial 0x1021.
 var crcTable = func() (t [256]uint16) {
 	for i := range t {
 		c := uint16(i) << 8
@@ -41,73 +42,73 @@
 	return t
 }()
 
-// Owner is who serves a slot: addresses. An empty primary is a gap.
+// Owner holds the addresses of the servers of a slot. An empty primary means that the slot has no owner.
 type Owner struct {
 	Primary  string
 	Replicas []string
 }
 
-// Range is a run of slots of one owner, as a node tells it.
+// Range is a range of slots with the same owner, as a node reports it.
 type Range struct {
-	From, To int // both within
+	From, To int // inclusive
 	Owner
 }
 
-// Map is what one node says of the cluster at one time.
+// Map is the slot map that one node reports.
 type Map struct {
-	Epoch  uint64 // the cluster's current epoch, as that node knows it
+	Epoch  uint64 // the cluster's current epoch as known to that node
 	Ranges []Range
 }
 
 const (
-	// epochTrustMS is how long an older epoch is refused for, from when a map of the epoch in use came last: a cluster that was
-	// made anew begins at low epochs again.
+	// epochTrustMS is how long a map of an older epoch is rejected after the last map of the current epoch.
+	// After that it is accepted, since a recreated cluster starts at low epochs again.
 	epochTrustMS = 10000
-	// redirectLifetimeMS is how long a redirection stands against maps of the same epoch: they may come from a node that has not
-	// heard.
+	// redirectLifetimeMS is how long a redirect takes precedence over maps of the same epoch, which may
+	// come from a node that does not know of the change yet.
 	redirectLifetimeMS = 2000
-	// maxOwnerFlips is how many times a slot may change hands by redirections within fresh; then they are not believed, and a map
-	// is waited for.
+	// maxOwnerFlips is how many times redirects may change the owner of a slot, each within
+	// redirectLifetimeMS of the one before. Further ones are ignored until a map arrives.
 	maxOwnerFlips = 4
-	// MaxReplicas bounds the replicas of a slot that are kept.
+	// MaxReplicas is the maximum number of replicas kept per slot.
 	MaxReplicas = 5
 )
 
-// redirects is what redirections said of a slot.
+// slotRedirects tracks recent redirects of one slot.
 type slotRedirects struct {
 	changedAt, since float64
 	changes          int
 }
 
-// Table is what is known of the cluster. Its memory is that of its slots.
+// Table is the current knowledge of the slots of a cluster. Its memory is bounded by the number of slots.
 type Table struct {
 	owners      [Count]*Owner
 	redirects   map[int]*slotRedirects // by slot; at most Count
 	epoch       uint64
-	confirmedAt float64 // when a map of the epoch came last
+	confirmedAt float64 // time of the last map of the current epoch
 	hasMap      bool
 	needsMap    bool
 	conflicts   int
 }
 
-// New is a table that knows nothing.
+// New returns an empty table, which needs a map.
 func New() *Table { return &Table{redirects: map[int]*slotRedirects{}, needsMap: true} }
 
-// Change is what a map has changed.
+// Change describes the effect of a map.
 type Change struct {
-	ChangedSlots int    // that have another primary
-	Gaps         int    // slots without an owner
-	Conflicts    int    // slots that two claimed
-	RejectReason string // why the map is not taken; "" = it is
+	ChangedSlots int    // number of slots with a different primary than before
+	Gaps         int    // number of slots without an owner
+	Conflicts    int    // number of conflicting claims
+	RejectReason string // why the map is rejected; "" = accepted
 }
 
-// ApplyMap takes the map that a node tells.
+// ApplyMap applies the map that a node reports, or returns why it is rejected.
 func (t *Table) ApplyMap(now float64, m Map) Change {
 	if err := validateMap(m); err != "" {
 		return Change{RejectReason: err}
 	}
 	if t.hasMap && m.Epoch < t.epoch && now < t.confirmedAt+epochTrustMS {
-		return Change{RejectReason: fmt.Sprintf("epoch %d is older than %d, which is in use", m.Epoch, t.epoch)}
+		return Change{RejectReason: fmt.Sprintf("epoch %d is older than %d, the current epoch", m.Epoch, t.epoch)}
 	}
 	var next [Count]*Owner
 	c := Change{}
@@ -141,7 +142,7 @@
 	return c
 }
 
-// validateMap finds what no map may hold.
+// validateMap returns what is wrong with a map, or "".
 func validateMap(m Map) string {
 	if len(m.Ranges) == 0 {
 		return "the map has no slots"
@@ -149,7 +150,7 @@
 	for _, r := range m.Ranges {
 		switch {
 		case r.From < 0 || r.To >= Count || r.From > r.To:
-			return fmt.Sprintf("slots %d to %d; they run from 0 to %d", r.From, r.To, Count-1)
+			return fmt.Sprintf("slots %d to %d: the valid range is 0 to %d", r.From, r.To, Count-1)
 		case r.Primary == "":
 			return fmt.Sprintf("slots %d to %d have no address", r.From, r.To)
 		}
@@ -157,12 +158,13 @@
 	return ""
 }
 
-// resolveConflict says who owns a slot that two claim: who has had it, else the first by address, so that all routers agree.
+// resolveConflict returns the owner of a slot that two servers claim: the current owner if it is one of
+// them, else the one with the lower address, so that all routers agree.
 func (t *Table) resolveConflict(s int, a, b *Owner) *Owner {
-	switch had := primaryOf(t.owners[s]); {
-	case had == a.Primary:
+	switch previous := primaryOf(t.owners[s]); {
+	case previous == a.Primary:
 		return a
-	case had == b.Primary:
+	case previous == b.Primary:
 		return b
 	case a.Primary < b.Primary:
 		return a
@@ -170,12 +172,13 @@
 	return b
 }
 
-// redirectOverrides says whether a redirection stands against a map.
+// redirectOverrides reports whether a redirect of a slot takes precedence over a map of this epoch.
 func (t *Table) redirectOverrides(now float64, s int, epoch uint64) bool {
 	m := t.redirects[s]
 	return m != nil && m.changes <= maxOwnerFlips && epoch <= t.epoch && now < m.changedAt+redirectLifetimeMS
 }
 
+// primaryOf returns the primary of an owner, or "" for nil.
 func primaryOf(o *Owner) string {
 	if o == nil {
 		return ""
@@ -183,8 +186,8 @@
 	return o.Primary
 }
 
-// ApplyRedirect takes a redirection: a node said that a slot is served at another address. It says whether that is believed; in
-// any case a map is wanted.
+// ApplyRedirect applies a redirect: a node reported that a slot is served at another address. Reports
+// whether the redirect is accepted; unless it is malformed, a new map is needed in either case.
 func (t *Table) ApplyRedirect(now float64, slot int, addr string) bool {
 	if slot < 0 || slot >= Count || addr == "" {
 		return false
@@ -202,23 +205,23 @@
 	if m.changes++; m.changes > maxOwnerFlips {
 		return false
 	}
-	t.owners[slot] = &Owner{Primary: addr} // its replicas are those of before, or not: the next map tells
+	t.owners[slot] = &Owner{Primary: addr} // the replicas are unknown until the next map
 	return true
 }
 
-// RemoveServer takes the news that a server is on no list any more: its slots are gaps until a map gives them an owner. It says
-// how many.
-func (t *Table) RemoveServer(addr string) (n int) {
+// RemoveServer removes a server that is no longer on any list. Its slots have no owner until a map assigns
+// them one. Returns the number of these slots.
+func (t *Table) RemoveServer(addr string) (removed int) {
 	for s, o := range t.owners {
 		if o != nil && o.Primary == addr {
-			t.owners[s], n = nil, n+1
+			t.owners[s], removed = nil, removed+1
 		}
 	}
-	t.needsMap = t.needsMap || n > 0
-	return n
+	t.needsMap = t.needsMap || removed > 0
+	return removed
 }
 
-// Owner is who serves a slot; false = nobody is known.
+// Owner returns the owner of a slot; false if it is unknown or the slot is out of range.
 func (t *Table) Owner(slot int) (Owner, bool) {
 	if slot < 0 || slot >= Count || t.owners[slot] == nil {
 		return Owner{}, false
@@ -226,12 +229,12 @@
 	return *t.owners[slot], true
 }
 
-// Epoch is that of the map in use.
+// Epoch returns the epoch of the current map.
 func (t *Table) Epoch() uint64 { return t.epoch }
 
-// NeedsMap says whether a new map is to be asked for soon.
+// NeedsMap reports whether a new map should be fetched soon.
 func (t *Table) NeedsMap() bool { return t.needsMap }
 
-// Owners are all who serve a slot, by slot, for reading by others while the table goes on. Entries are shared and never
-// change.
+// Owners returns a snapshot of the owners by slot, for use while the table changes. The entries are shared
+// and immutable.
 func (t *Table) Owners() [Count]*Owner { return t.owners }
--- a/internal/pure/slots/tags.go
+++ b/internal/pure/slots/tags.go
@@ -1,30 +1,30 @@
 package slots
 
-// HashTags is a text for each slot that has that slot: four bytes of a small alphabet, found once. What stands as a hash tag ahead
-// of a key gives it the slot, whatever the key holds.
+// HashTags holds one hash tag of four bytes for each slot. A key that starts with that hash tag in braces
+// belongs to the slot, whatever the rest of the key is.
 type HashTags struct{ bySlot [Count][4]byte }
 
-// tagAlphabet holds no brace, blank or byte that a log or URL would have to escape.
+// tagAlphabet contains no braces, spaces or characters that must be escaped in a log or URL.
 const tagAlphabet = "0123456789abcdefghijklmnopqrstuvwxyz-_"
 
-// NewHashTags finds them: 64 KiB, and some milliseconds once.
+// NewHashTags computes all hash tags. This takes some milliseconds and 64 KiB, so call it once.
 func NewHashTags() *HashTags {
 	t := &HashTags{}
-	left := Count
+	missing := Count
 	var b [4]byte
-	for i := 0; left > 0; i++ {
+	for i := 0; missing > 0; i++ {
 		n := i
 		for j := range b {
 			b[j] = tagAlphabet[n%len(tagAlphabet)]
 			n /= len(tagAlphabet)
 		}
-		if at := ForKey(b[:]); t.bySlot[at][0] == 0 {
-			t.bySlot[at] = b
-			left--
+		if slot := ForKey(b[:]); t.bySlot[slot][0] == 0 {
+			t.bySlot[slot] = b
+			missing--
 		}
 	}
 	return t
 }
 
-// ForSlot is the tag of a slot.
+// ForSlot returns the hash tag of a slot.
 func (t *HashTags) ForSlot(slot int) string { return string(t.bySlot[slot][:]) }
