--- a/internal/pure/tenant/keyspace_test.go
+++ b/internal/pure/tenant/keyspace_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// A key that tries to climb out of its space stays in it.
+// No key of a tenant yields a server key in another keyspace, whatever separators it contains.
 func TestKeyCannotEscapeKeyspace(t *testing.T) {
 	mine, err := NewKeyspace("mine", 3)
 	if err != nil {
@@ -42,11 +42,11 @@
 			t.Fatalf("%q: %v", key, err)
 		}
 		if own, ok := mine.TenantKey(at); !ok || own != key {
-			t.Errorf("%q comes back as %q", key, own)
+			t.Errorf("%q is converted back to %q", key, own)
 		}
 		for _, s := range []Keyspace{other, later, longer, {}} {
 			if k, ok := s.TenantKey(at); ok {
-				t.Errorf("%q is %q in another space", key, k)
+				t.Errorf("%q is %q in another keyspace", key, k)
 			}
 		}
 	}
@@ -61,14 +61,14 @@
 		t.Error(err)
 	}
 	if _, err := s.ServerKey(strings.Repeat("k", 251-MaxPrefixBytes), 250); err == nil || err.Error() != "key: 210 bytes: 1 to 209 are right" {
-		t.Errorf("one too long: %v", err)
+		t.Errorf("a key that is one byte too long: %v", err)
 	}
 	if _, err := s.ServerKey("", 250); err == nil {
-		t.Error("no key")
+		t.Error("an empty key was accepted")
 	}
 }
 
-// Two tenants' keys are the same on the servers only where all of it is the same.
+// Server keys of two tenants are equal only if name, generation and key are all equal.
 func FuzzKeyspaces(f *testing.F) {
 	f.Add("a", uint32(1), "k", "a", uint32(11), "k")
 	f.Add("a", uint32(1), "b.1:k", "b", uint32(1), "k")
@@ -88,7 +88,7 @@
 			t.Fatalf("%q", a)
 		}
 		if _, ok := s2.TenantKey(a); ok != (n1 == n2 && g1 == g2) {
-			t.Fatalf("%q in the space of %q, %d: %v", a, n2, g2, ok)
+			t.Fatalf("%q in the keyspace of %q, generation %d: %v", a, n2, g2, ok)
 		}
 	})
 }
--- a/internal/pure/tenant/limits_test.go
+++ b/internal/pure/tenant/limits_test.go
@@ -12,96 +12,100 @@
 	"pgregory.net/rapid"
 )
 
-// simulatedTenant is one tenant of a day: how much it asks at a time.
+// simulatedTenant is a tenant with a request rate that depends on the time.
 type simulatedTenant struct {
 	limits Limits
-	rate   func(ms float64) float64 // requests a second
-	cost   float64                  // of each; 0 = 1
+	rate   func(ms float64) float64 // requests per second
+	cost   float64                  // cost of each request; 0 = 1
 }
 
-// simulate plays some seconds and counts standings, by member. Requests come as by chance, and stay 20 ms.
-func simulate(t testing.TB, b *Limiter, seconds float64, members ...simulatedTenant) (counts [][5]int) {
+// simulate runs random arrivals of requests, which take 20 ms each, for some seconds of simulated time and
+// returns the number of requests by tenant and status.
+func simulate(t testing.TB, b *Limiter, seconds float64, tenants ...simulatedTenant) (counts [][5]int) {
 	t.Helper()
-	rng := rand.New(rand.NewPCG(1, uint64(len(members))))
-	hs := make([]Handle, len(members))
-	for i, m := range members {
-		h, err := b.Create(0, m.limits)
+	rng := rand.New(rand.NewPCG(1, uint64(len(tenants))))
+	handles := make([]Handle, len(tenants))
+	for i, tenant := range tenants {
+		h, err := b.Create(0, tenant.limits)
 		if err != nil {
 			t.Fatal(err)
 		}
-		hs[i] = h
+		handles[i] = h
 	}
-	counts = make([][5]int, len(members))
+	counts = make([][5]int, len(tenants))
 	type end struct {
 		at float64
 		i  int
 	}
-	var ends []end
+	var releases []end
 	for ms := 0.0; ms < seconds*1000; ms += 0.25 {
-		for len(ends) > 0 && ends[0].at <= ms {
-			b.Release(hs[ends[0].i], 0, 10)
-			ends = ends[1:]
+		for len(releases) > 0 && releases[0].at <= ms {
+			b.Release(handles[releases[0].i], 0, 10)
+			releases = releases[1:]
 		}
-		for i, m := range members {
-			if rng.Float64() >= m.rate(ms)/4000 {
+		for i, tenant := range tenants {
+			if rng.Float64() >= tenant.rate(ms)/4000 {
 				continue
 			}
-			v, err := b.Acquire(ms, hs[i], 0, max(1, m.cost), 10)
+			v, err := b.Acquire(ms, handles[i], 0, max(1, tenant.cost), 10)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if counts[i][v.QuotaStatus]++; v.QuotaStatus < HardLimited {
-				ends = append(ends, end{ms + 20, i})
+				releases = append(releases, end{ms + 20, i})
 			}
 		}
 	}
 	return counts
 }
 
+// constantRate returns a request rate that does not depend on the time.
 func constantRate(rate float64) func(float64) float64 { return func(float64) float64 { return rate } }
 
-// checkGuaranteed says that a member's requests stood within its floor, but for so many in a thousand.
-func checkGuaranteed(t *testing.T, who string, c [5]int, perMille int) {
+// checkGuaranteed fails the test if more than maxPerMille of 1000 requests are not Guaranteed.
+func checkGuaranteed(t *testing.T, name string, counts [5]int, maxPerMille int) {
 	t.Helper()
-	all := c[Guaranteed] + c[Leased] + c[Exceeded] + c[HardLimited] + c[Suspended]
-	if all == 0 || (all-c[Guaranteed])*1000 > perMille*all {
-		t.Errorf("%s: %v", who, c)
+	total := counts[Guaranteed] + counts[Leased] + counts[Exceeded] + counts[HardLimited] + counts[Suspended]
+	if total == 0 || (total-counts[Guaranteed])*1000 > maxPerMille*total {
+		t.Errorf("%s: %v", name, counts)
 	}
 }
 
-// One at ten times its floor, three at once, and one that alternates each second: the others stand within, always.
+// The requests of tenants within their floor stay Guaranteed while others flood: one tenant at ten times
+// its floor, three at once, one that alternates each second, and one whose requests are expensive.
 func TestFloodLeavesTheFloorsOfOthers(t *testing.T) {
 	calm := simulatedTenant{Limits{Floor: 100}, constantRate(80), 0}
 	flood := simulatedTenant{Limits{Floor: 100}, constantRate(1000), 0}
-	turns := simulatedTenant{Limits{Floor: 100}, func(ms float64) float64 {
+	alternating := simulatedTenant{Limits{Floor: 100}, func(ms float64) float64 {
 		if int(ms/1000)%2 == 0 {
 			return 1000
 		}
 		return 0
 	}, 0}
-	dear := simulatedTenant{Limits{Floor: 100}, constantRate(200), 10}
-	for name, members := range map[string][]simulatedTenant{
+	expensive := simulatedTenant{Limits{Floor: 100}, constantRate(200), 10}
+	for name, tenants := range map[string][]simulatedTenant{
 		"one":        {calm, calm, calm, flood},
 		"three":      {calm, flood, flood, flood},
-		"alternates": {calm, calm, calm, turns},
-		"dear class": {calm, calm, calm, dear},
+		"alternates": {calm, calm, calm, alternating},
+		"expensive":  {calm, calm, calm, expensive},
 	} {
 		t.Run(name, func(t *testing.T) {
-			counts := simulate(t, NewLimiter(400), 20, members...)
+			counts := simulate(t, NewLimiter(400), 20, tenants...)
 			for i, c := range counts {
-				if members[i].rate(0) == 80 {
+				if tenants[i].rate(0) == 80 {
 					checkGuaranteed(t, fmt.Sprint("member ", i), c, 5)
 					continue
 				}
 				if c[Exceeded] == 0 {
-					t.Errorf("flood %d is never over: %v", i, c)
+					t.Errorf("flood %d never exceeds its quota: %v", i, c)
 				}
 			}
 		})
 	}
 }
 
-// What others leave is borrowed nearly whole, and no more than that; by weight where several want it.
+// Nearly all capacity that others leave unused is leased, and no more than that. Several lessees get shares
+// by weight, and what one of them does not use goes to the others.
 func TestLeasing(t *testing.T) {
 	idle := simulatedTenant{Limits{Floor: 100}, constantRate(0), 0}
 	flood := func(weight float64) simulatedTenant {
@@ -109,44 +113,44 @@
 	}
 	one := simulate(t, NewLimiter(0), 20, idle, idle, idle, flood(0))[3]
 	if n := float64(one[Leased]) / 20; n < 290 || n > 310 {
-		t.Errorf("%v a second borrowed of 300: %v", n, one)
+		t.Errorf("%v per second leased, want about 300: %v", n, one)
 	}
 	two := simulate(t, NewLimiter(0), 20, idle, idle, flood(1), flood(3))
 	a, z := float64(two[2][Leased]), float64(two[3][Leased])
 	if a+z < 20*190 || a+z > 20*210 || z < 2.7*a || z > 3.3*a {
-		t.Errorf("%v and %v borrowed of 4000", a, z)
+		t.Errorf("%v and %v leased, want about 4000 in the ratio 1 to 3", a, z)
 	}
-	// One that asks for little of its part leaves the rest of it to the other.
+	// A lessee that uses little of its share leaves the rest to the other.
 	little := simulatedTenant{Limits{Floor: 100, Weight: 3}, constantRate(120), 0}
 	two = simulate(t, NewLimiter(0), 20, idle, idle, flood(1), little)
 	if n := float64(two[2][Leased]) / 20; n < 165 || n > 200 {
-		t.Errorf("%v a second borrowed of 180", n)
+		t.Errorf("%v per second leased, want about 180", n)
 	}
-	checkGuaranteed(t, "who asks for 20 over its floor", [5]int{Guaranteed: two[3][Guaranteed] + two[3][Leased], Exceeded: two[3][Exceeded]}, 30)
+	checkGuaranteed(t, "tenant at 20 above its floor", [5]int{Guaranteed: two[3][Guaranteed] + two[3][Leased], Exceeded: two[3][Exceeded]}, 30)
 }
 
-// Each router of a tier that shares nothing holds to its part.
+// Each router of a tier that does not communicate enforces its share of a floor.
 func TestShareOfATier(t *testing.T) {
-	all := 0
+	total := 0
 	for range 4 {
 		b := NewLimiter(0)
 		b.SetShare(0, 0.25)
 		c := simulate(t, b, 20, simulatedTenant{Limits{Floor: 400}, constantRate(1000), 0})[0]
-		all += c[Guaranteed] + c[Leased]
+		total += c[Guaranteed] + c[Leased]
 	}
-	if n := float64(all) / 20; n < 390 || n > 430 { // and a second of burst
-		t.Errorf("%v a second of 400", n)
+	if n := float64(total) / 20; n < 390 || n > 430 { // plus one second of burst
+		t.Errorf("%v per second, want about 400", n)
 	}
 }
 
-// Hard limits: each by itself, with the time after which it is worth to come back.
+// Each hard limit applies by itself. Rate limits return the time after which a retry succeeds.
 func TestHardLimits(t *testing.T) {
-	for name, c := range map[string]struct {
-		limits Limits
-		class  int
-		want   LimitKind
-		taken  int
-		again  bool
+	for name, test := range map[string]struct {
+		limits    Limits
+		class     int
+		want      LimitKind
+		accepted  int
+		retryable bool
 	}{
 		"rate":       {Limits{Most: 5}, 0, RateLimit, 5, true},
 		"open":       {Limits{Open: 3}, 0, OpenLimit, 3, false},
@@ -156,34 +160,35 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewLimiter(1000)
-			h, err := b.Create(0, c.limits)
+			h, err := b.Create(0, test.limits)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for i := range c.taken {
-				if v, _ := b.Acquire(0, h, c.class, 1, 10); v.QuotaStatus >= HardLimited {
+			for i := range test.accepted {
+				if v, _ := b.Acquire(0, h, test.class, 1, 10); v.QuotaStatus >= HardLimited {
 					t.Fatalf("request %d: %+v", i, v)
 				}
 			}
-			v, _ := b.Acquire(0, h, c.class, 1, 10)
-			if v.QuotaStatus != HardLimited || v.Limit != c.want || (v.RetryAfter > 0) != c.again {
+			v, _ := b.Acquire(0, h, test.class, 1, 10)
+			if v.QuotaStatus != HardLimited || v.Limit != test.want || (v.RetryAfter > 0) != test.retryable {
 				t.Fatalf("%+v", v)
 			}
-			if u, _ := b.InFlight(h); u.Open != c.taken || u.Bytes != int64(10*c.taken) {
-				t.Errorf("%+v in hand: what is beyond is not booked", u)
+			if u, _ := b.InFlight(h); u.Open != test.accepted || u.Bytes != int64(10*test.accepted) {
+				t.Errorf("%+v in flight: a HardLimited request was counted", u)
 			}
 			now := v.RetryAfter
-			if !c.again {
-				b.Release(h, c.class, 10)
+			if !test.retryable {
+				b.Release(h, test.class, 10)
 			}
-			if v, _ := b.Acquire(now, h, c.class, 1, 10); v.QuotaStatus >= HardLimited {
+			if v, _ := b.Acquire(now, h, test.class, 1, 10); v.QuotaStatus >= HardLimited {
 				t.Errorf("after %v ms: %+v", now, v)
 			}
 		})
 	}
 }
 
-// A limit that is lowered below what is in hand ends nothing, and lets nothing new in until that has gone.
+// Lowering a limit below the number of requests in flight ends none of them, and accepts no new one until
+// the number has dropped below the limit.
 func TestLimitLoweredBelowInFlight(t *testing.T) {
 	b := NewLimiter(1000)
 	h, _ := b.Create(0, Limits{Floor: 100, Open: 10, Classes: []ClassLimits{{Open: 10}}})
@@ -195,23 +200,24 @@
 	}
 	for left := 8; left >= 3; left-- {
 		if v, _ := b.Acquire(2, h, 0, 1, 1); v.Limit != OpenLimit {
-			t.Fatalf("with %d in hand: %+v", left, v)
+			t.Fatalf("with %d in flight: %+v", left, v)
 		}
 		b.Release(h, 0, 1)
 	}
 	if v, _ := b.Acquire(3, h, 0, 1, 1); v.QuotaStatus != Guaranteed {
-		t.Errorf("with 2 in hand: %+v", v)
+		t.Errorf("with 2 in flight: %+v", v)
 	}
-	if err := b.SetLimits(4, h, Limits{Floor: 100, Classes: []ClassLimits{{Open: 4}}}); err != nil { // what was in hand still counts
+	// The count of a class continues although its limits were removed in between.
+	if err := b.SetLimits(4, h, Limits{Floor: 100, Classes: []ClassLimits{{Open: 4}}}); err != nil {
 		t.Fatal(err)
 	}
 	b.Acquire(5, h, 0, 1, 1)
 	if v, _ := b.Acquire(5, h, 0, 1, 1); v.Limit != ClassOpenLimit {
-		t.Errorf("with 4 of the class in hand: %+v", v)
+		t.Errorf("with 4 of the class in flight: %+v", v)
 	}
 }
 
-// A tenant that is created again, by whatever name, meets nothing of the one before.
+// A deleted tenant's handle is invalid and does not affect a tenant that is created later in its place.
 func TestGenerations(t *testing.T) {
 	b := NewLimiter(0)
 	old, _ := b.Create(0, Limits{Floor: 10, Open: 1})
@@ -219,12 +225,12 @@
 	if err := b.Delete(1, old); err != nil {
 		t.Fatal(err)
 	}
-	again, _ := b.Create(1, Limits{Floor: 10, Open: 1})
-	if old == again {
-		t.Fatal("the same handle")
+	recreated, _ := b.Create(1, Limits{Floor: 10, Open: 1})
+	if old == recreated {
+		t.Fatal("the new tenant has the handle of the deleted one")
 	}
-	b.Release(old, 0, 5) // the end of what was in flight
-	if u, err := b.InFlight(again); err != nil || u != (InFlight{}) {
+	b.Release(old, 0, 5) // a request that was in flight at deletion
+	if u, err := b.InFlight(recreated); err != nil || u != (InFlight{}) {
 		t.Errorf("%+v, %v", u, err)
 	}
 	for what, err := range map[string]error{"set": b.SetLimits(2, old, Limits{}), "delete": b.Delete(2, old), "suspend": b.SetSuspended(old, true)} {
@@ -235,13 +241,13 @@
 	if v, err := b.Acquire(2, old, 0, 1, 1); !errors.Is(err, ErrDeleted) || v.QuotaStatus != Suspended {
 		t.Errorf("%+v, %v", v, err)
 	}
-	if v, _ := b.Acquire(2, again, 0, 1, 1); v.QuotaStatus != Guaranteed {
+	if v, _ := b.Acquire(2, recreated, 0, 1, 1); v.QuotaStatus != Guaranteed {
 		t.Errorf("%+v", v)
 	}
-	if err := b.SetSuspended(again, true); err != nil {
+	if err := b.SetSuspended(recreated, true); err != nil {
 		t.Fatal(err)
 	}
-	if v, _ := b.Acquire(3, again, 0, 1, 1); v.QuotaStatus != Suspended {
+	if v, _ := b.Acquire(3, recreated, 0, 1, 1); v.QuotaStatus != Suspended {
 		t.Errorf("%+v", v)
 	}
 }
@@ -263,14 +269,14 @@
 	}
 }
 
-// Whatever comes in whatever order: nobody gets more than there is, who asks for no more than its floor is within it, and the
-// books balance.
+// For random sequences of calls, the accepted cost never exceeds the capacity plus the bucket depths, and
+// the counts of requests and bytes, the sum of idle floors and the heap stay consistent.
 func TestInvariantsUnderRandomSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.SampledFrom([]float64{0, 50, 500}).Draw(t, "capacity")
 		b := NewLimiter(capacity)
-		portion := rapid.SampledFrom([]float64{1, 0.5, 0.01}).Draw(t, "portion")
-		b.SetShare(0, portion)
+		share := rapid.SampledFrom([]float64{1, 0.5, 0.01}).Draw(t, "portion")
+		b.SetShare(0, share)
 		type live struct {
 			h     Handle
 			l     Limits
@@ -278,7 +284,7 @@
 			bytes int64
 		}
 		var all []live
-		now, floors, got := 0.0, 0.0, 0.0
+		now, floors, accepted := 0.0, 0.0, 0.0
 		for range rapid.IntRange(1, 6).Draw(t, "tenants") {
 			l := Limits{Floor: rapid.SampledFrom([]float64{0, 1, 20, 100}).Draw(t, "floor"), Weight: rapid.SampledFrom([]float64{0, 1, 5}).Draw(t, "weight")}
 			h, err := b.Create(0, l)
@@ -301,14 +307,14 @@
 				}
 				x.open, x.bytes = x.open+1, x.bytes+7
 				if v.QuotaStatus != Exceeded {
-					got++
+					accepted++
 				}
 			}
 			if u, _ := b.InFlight(x.h); u.Open != x.open || u.Bytes != x.bytes {
-				t.Fatalf("%+v, not %d and %d", u, x.open, x.bytes)
+				t.Fatalf("%+v in flight, want %d requests and %d bytes", u, x.open, x.bytes)
 			}
 			if b.idleFloorSum < -1e-6 || b.idleFloorSum > floors+1e-6 {
-				t.Fatalf("%v of %v idle", b.idleFloorSum, floors)
+				t.Fatalf("sum of idle floors is %v, of %v in total", b.idleFloorSum, floors)
 			}
 			for at, i := range b.refillHeap {
 				if int(b.tenants[i].heapPos) != at+1 || at > 0 && b.fullsBefore(at, (at-1)/2) {
@@ -316,18 +322,18 @@
 				}
 			}
 		}
-		rate := max(capacity, floors) * portion
+		rate := max(capacity, floors) * share
 		saved := rate*leasePoolSeconds + minBucketDepth
 		for _, x := range all {
 			saved += b.bucketDepth(x.l.Floor, 1)
 		}
-		if most := rate*now/1000 + saved + 1e-6; got > most {
-			t.Fatalf("%v were within or borrowed in %v ms, %v at most", got, now, most)
+		if maxAccepted := rate*now/1000 + saved + 1e-6; accepted > maxAccepted {
+			t.Fatalf("%v were Guaranteed or Leased in %v ms, want at most %v", accepted, now, maxAccepted)
 		}
 	})
 }
 
-// newLargeLimiter is a book of 10,000 tenants, and handles of 50 that are active.
+// newLargeLimiter returns a Limiter with 10,000 tenants, and the handles of 50 active ones.
 func newLargeLimiter(tb testing.TB) (*Limiter, []Handle) {
 	tb.Helper()
 	b := NewLimiter(0)
@@ -365,11 +371,11 @@
 			b.Release(h, 0, 100)
 		}
 	}); n > 0 {
-		t.Errorf("%v allocations for each request", n)
+		t.Errorf("%v allocations per request", n)
 	}
 }
 
-// BenchmarkArrive is the cost of a request with 10,000 tenants of which 50 are active, at 20,000 requests a second.
+// BenchmarkArrive measures a request with 10,000 tenants, 50 of them active, at 20,000 requests per second.
 func BenchmarkArrive(b *testing.B) {
 	book, active := newLargeLimiter(b)
 	now, i := 0.0, 0
@@ -384,55 +390,56 @@
 	}
 }
 
-// What turns out to cost more is charged to what it stood by: a tenant all of whose requests take four times what they were booked as gets a
-// quarter of its floor, and of what it borrows; the floors of others are untouched, and a debt is repaid within the time that its burst takes.
+// Extra cost is debited where the request was counted: a tenant whose requests cost four times what was
+// passed to Acquire gets a quarter of its floor and of its leased capacity. The floors of others are
+// unaffected, and a negative floor bucket recovers within its burst time.
 func TestChargesAreRepaid(t *testing.T) {
 	b := NewLimiter(300)
-	dear, err1 := b.Create(0, Limits{Floor: 100})
+	expensive, err1 := b.Create(0, Limits{Floor: 100})
 	calm, err2 := b.Create(0, Limits{Floor: 100})
 	if err1 != nil || err2 != nil {
 		t.Fatal(err1, err2)
 	}
 	var counts [5]int
-	out := 0
+	notGuaranteed := 0
 	for ms := 0.0; ms < 20e3; ms++ {
-		v, err := b.Acquire(ms, dear, 0, 1, 0)
+		v, err := b.Acquire(ms, expensive, 0, 1, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if counts[v.QuotaStatus]++; v.QuotaStatus < Exceeded {
-			b.Charge(ms, dear, v.QuotaStatus, 3)
+			b.Charge(ms, expensive, v.QuotaStatus, 3)
 		}
-		b.Release(dear, 0, 0)
+		b.Release(expensive, 0, 0)
 		if int(ms)%12 == 0 {
 			if v, _ := b.Acquire(ms, calm, 0, 1, 0); v.QuotaStatus != Guaranteed {
-				out++
+				notGuaranteed++
 			}
 			b.Release(calm, 0, 0)
 		}
 	}
 	within, borrowed := float64(counts[Guaranteed])/20, float64(counts[Leased])/20
 	if within < 24 || within > 32 || borrowed < 20 || borrowed > 40 {
-		t.Errorf("%v a second within, of 100, %v borrowed, of some 110: %v", within, borrowed, counts)
+		t.Errorf("%v per second Guaranteed of a floor of 100, %v Leased of some 110: %v", within, borrowed, counts)
 	}
-	if out > 0 {
-		t.Errorf("the other one is out of its floor %d times", out)
+	if notGuaranteed > 0 {
+		t.Errorf("the other tenant was not Guaranteed %d times", notGuaranteed)
 	}
-	b.Charge(20e3, dear, Guaranteed, 1e9)
-	b.Charge(20e3, dear, Exceeded, 1e9) // nobody's to spend
+	b.Charge(20e3, expensive, Guaranteed, 1e9)
+	b.Charge(20e3, expensive, Exceeded, 1e9) // Exceeded requests are not debited
 	for _, x := range []struct {
 		ms   float64
 		want bool
-	}{{20e3 + 900, false}, {20e3 + 1100, true}} { // a burst of one second, in debt by as much
-		if v, _ := b.Acquire(x.ms, dear, 0, 1, 0); (v.QuotaStatus == Guaranteed) != x.want {
-			t.Errorf("%v ms after the debt: %v", x.ms-20e3, v.QuotaStatus)
+	}{{20e3 + 900, false}, {20e3 + 1100, true}} { // a burst of one second, overdrawn by as much
+		if v, _ := b.Acquire(x.ms, expensive, 0, 1, 0); (v.QuotaStatus == Guaranteed) != x.want {
+			t.Errorf("%v ms after the bucket was overdrawn: %v", x.ms-20e3, v.QuotaStatus)
 		}
 	}
-	if err := b.Delete(30e3, dear); err != nil {
+	if err := b.Delete(30e3, expensive); err != nil {
 		t.Fatal(err)
 	}
-	b.Charge(30e3, dear, Guaranteed, 5) // of one that is no more: nothing
+	b.Charge(30e3, expensive, Guaranteed, 5) // no effect on a deleted tenant
 	if v, _ := b.Acquire(30e3, calm, 0, 1, 0); v.QuotaStatus != Guaranteed {
-		t.Errorf("after all that the other stands %v", v.QuotaStatus)
+		t.Errorf("after the deletion the other tenant has status %v", v.QuotaStatus)
 	}
 }
