--- a/internal/pure/tenant/limits_test.go
+++ b/internal/pure/tenant/limits_test.go
@@ -375,8 +375,8 @@
 	}
 }
 
-// BenchmarkArrive measures a request with 10,000 tenants, 50 of them active, at 20,000 requests per second.
-func BenchmarkArrive(b *testing.B) {
+// BenchmarkAcquire measures a request with 10,000 tenants, 50 of them active, at 20,000 requests per second.
+func BenchmarkAcquire(b *testing.B) {
 	book, active := newLargeLimiter(b)
 	now, i := 0.0, 0
 	b.ReportAllocs()
