--- a/internal/pure/background/background.go
+++ b/internal/pure/background/background.go
@@ -423,10 +423,10 @@
 }
 
 // Jobs returns all jobs ordered by ID, so that the caller can store them for a restart.
-func (s *Scheduler) Jobs() (jobs []Job) {
+func (s *Scheduler) Jobs() (all []Job) {
 	for _, job := range s.jobs {
-		jobs = append(jobs, job.Job)
+		all = append(all, job.Job)
 	}
-	slices.SortFunc(jobs, func(a, b Job) int { return cmp.Compare(a.ID, b.ID) })
-	return jobs
+	slices.SortFunc(all, func(a, b Job) int { return cmp.Compare(a.ID, b.ID) })
+	return all
 }
--- a/internal/pure/slots/slots_test.go
+++ b/internal/pure/slots/slots_test.go
@@ -88,27 +88,27 @@
 		table := New()
 		for i, s := range steps {
 			f := strings.SplitN(s.event, " ", 3)
-			got := ""
+			result := ""
 			switch f[0] {
 			case "map":
 				m := Map{Ranges: parseRanges(f[2])}
 				fmt.Sscan(f[1], &m.Epoch)
 				c := table.ApplyMap(s.at, m)
-				if got = fmt.Sprintf("slots %d gaps %d conflicts %d", c.ChangedSlots, c.Gaps, c.Conflicts); c.RejectReason != "" {
-					got = "rejected: " + c.RejectReason
+				if result = fmt.Sprintf("slots %d gaps %d conflicts %d", c.ChangedSlots, c.Gaps, c.Conflicts); c.RejectReason != "" {
+					result = "rejected: " + c.RejectReason
 				}
 			case "moved":
 				slot := 0
 				fmt.Sscan(f[1], &slot)
-				got = map[bool]string{true: "accepted", false: "ignored"}[table.ApplyRedirect(s.at, slot, f[2])]
+				result = map[bool]string{true: "accepted", false: "ignored"}[table.ApplyRedirect(s.at, slot, f[2])]
 				if !table.NeedsMap() && slot >= 0 && slot < Count {
 					t.Errorf("%s, step %d: no map is needed after a redirect", name, i)
 				}
 			case "remove":
-				got = fmt.Sprintf("slots %d", table.RemoveServer(f[1]))
+				result = fmt.Sprintf("slots %d", table.RemoveServer(f[1]))
 			}
-			if !strings.Contains(got, s.wantResult) {
-				t.Errorf("%s, step %d (%s): %q, want %q", name, i, s.event, got, s.wantResult)
+			if !strings.Contains(result, s.wantResult) {
+				t.Errorf("%s, step %d (%s): %q, want %q", name, i, s.event, result, s.wantResult)
 			}
 			for o := range strings.FieldsSeq(s.wantOwners) {
 				slot, want := 0, ""
--- a/internal/pure/tenant/limits_test.go
+++ b/internal/pure/tenant/limits_test.go
@@ -323,11 +323,11 @@
 			}
 		}
 		rate := max(capacity, floors) * share
-		saved := rate*leasePoolSeconds + minBucketDepth
+		burst := rate*leasePoolSeconds + minBucketDepth
 		for _, x := range all {
-			saved += b.bucketDepth(x.l.Floor, 1)
+			burst += b.bucketDepth(x.l.Floor, 1)
 		}
-		if maxAccepted := rate*now/1000 + saved + 1e-6; accepted > maxAccepted {
+		if maxAccepted := rate*now/1000 + burst + 1e-6; accepted > maxAccepted {
 			t.Fatalf("%v were Guaranteed or Leased in %v ms, want at most %v", accepted, now, maxAccepted)
 		}
 	})
@@ -377,15 +377,15 @@
 
 // BenchmarkAcquire measures a request with 10,000 tenants, 50 of them active, at 20,000 requests per second.
 func BenchmarkAcquire(b *testing.B) {
-	book, active := newLargeLimiter(b)
+	limiter, active := newLargeLimiter(b)
 	now, i := 0.0, 0
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 0.05
 		i++
 		h := active[i%len(active)]
-		if v, _ := book.Acquire(now, h, 0, 1, 100); v.QuotaStatus < HardLimited {
-			book.Release(h, 0, 100)
+		if v, _ := limiter.Acquire(now, h, 0, 1, 100); v.QuotaStatus < HardLimited {
+			limiter.Release(h, 0, 100)
 		}
 	}
 }
@@ -418,9 +418,9 @@
 			b.Release(calm, 0, 0)
 		}
 	}
-	within, borrowed := float64(counts[Guaranteed])/20, float64(counts[Leased])/20
-	if within < 24 || within > 32 || borrowed < 20 || borrowed > 40 {
-		t.Errorf("%v per second Guaranteed of a floor of 100, %v Leased of some 110: %v", within, borrowed, counts)
+	guaranteed, leased := float64(counts[Guaranteed])/20, float64(counts[Leased])/20
+	if guaranteed < 24 || guaranteed > 32 || leased < 20 || leased > 40 {
+		t.Errorf("%v per second Guaranteed of a floor of 100, %v Leased of some 110: %v", guaranteed, leased, counts)
 	}
 	if notGuaranteed > 0 {
 		t.Errorf("the other tenant was not Guaranteed %d times", notGuaranteed)
