--- a/internal/pure/slots/slots_test.go
+++ b/internal/pure/slots/slots_test.go
@@ -34,7 +34,7 @@
 func TestTable(t *testing.T) {
 	type step struct {
 		at         float64
-		event      string // "map EPOCH LIST", "moved SLOT ADDR", "remove ADDR"
+		event      string // "map EPOCH LIST", "moved SLOT ADDR", "gone ADDR"
 		wantResult string // substring of the description of the result
 		wantOwners string // expected owners afterwards: "SLOT=ADDR ..."
 	}
@@ -46,15 +46,15 @@
 		},
 		"a gap": {
 			{0, "map 1 0-99=a,200-16383=c", "gaps 100", "99=a 150= 200=c"},
-			{10, "moved 150 c", "accepted", "150=c"},
+			{10, "moved 150 c", "believed", "150=c"},
 			{20, "map 1 0-99=a,200-16383=c", "gaps 99", "150=c 151="},
 			{5000, "map 1 0-99=a,200-16383=c", "gaps 100", "150="},
 		},
 		"epochs going backwards": {
 			{0, "map 5 0-16383=a", "slots 16384", "7=a"},
-			{10, "map 4 0-16383=b", "rejected: epoch 4 is older than 5", "7=a"},
+			{10, "map 4 0-16383=b", "refused: epoch 4 is older than 5", "7=a"},
 			{9000, "map 5 0-16383=a", "slots 0", "7=a"},
-			{18000, "map 4 0-16383=b", "rejected", "7=a"},
+			{18000, "map 4 0-16383=b", "refused", "7=a"},
 			{19500, "map 1 0-16383=b", "slots 16384", "7=b"}, // recreated cluster: no map of epoch 5 for 10 s
 		},
 		"conflicting claims": {
@@ -65,25 +65,25 @@
 		},
 		"a failover": {
 			{0, "map 1 0-16383=a/b", "slots", "3=a"},
-			{10, "moved 3 b", "accepted", "3=b 4=a"},
+			{10, "moved 3 b", "believed", "3=b 4=a"},
 			{20, "map 1 0-16383=a/b", "slots 0", "3=b 4=a"}, // the old primary still reports its old map
 			{30, "map 2 0-16383=b/a", "slots 16383", "3=b 4=b"},
-			{40, "map 1 0-16383=a/b", "rejected", "3=b"},
-			{50, "moved 3 a", "accepted", "3=a"}, // a redirect takes precedence for 2 s
+			{40, "map 1 0-16383=a/b", "refused", "3=b"},
+			{50, "moved 3 a", "believed", "3=a"}, // a redirect takes precedence for 2 s
 			{60, "map 2 0-16383=b/a", "slots 0", "3=a"},
 			{70, "map 3 0-16383=b/a", "slots 1", "3=b"},
 		},
 		"flapping redirects": {
 			{0, "map 1 0-16383=a", "slots", "3=a"},
-			{1, "moved 3 b", "accepted", "3=b"}, {2, "moved 3 a", "accepted", "3=a"}, {3, "moved 3 b", "accepted", "3=b"},
-			{4, "moved 3 a", "accepted", "3=a"}, {5, "moved 3 b", "ignored", "3=a"}, {6, "moved 3 b", "ignored", "3=a"},
+			{1, "moved 3 b", "believed", "3=b"}, {2, "moved 3 a", "believed", "3=a"}, {3, "moved 3 b", "believed", "3=b"},
+			{4, "moved 3 a", "believed", "3=a"}, {5, "moved 3 b", "doubted", "3=a"}, {6, "moved 3 b", "doubted", "3=a"},
 			{7, "map 1 0-16383=b", "slots 16384", "3=b"},
 		},
-		"redirect to the owner": {{0, "map 1 0-16383=a", "slots", "3=a"}, {1, "moved 3 a", "accepted", "3=a"}},
-		"invalid slots":         {{0, "map 1 0-16383=a", "slots", "3=a"}, {1, "moved -1 b", "ignored", "3=a"}, {1, "moved 16384 b", "ignored", "3=a"}},
-		"removed server":        {{0, "map 1 0-99=a,100-16383=b", "slots", "3=a"}, {1, "remove a", "slots 100", "3= 100=b"}},
-		"a bad map":             {{0, "map 1 0-16384=a", "rejected: slots 0 to 16384", "3="}, {0, "map 1 9-3=a", "rejected", "3="}},
-		"no addresses":          {{0, "map 1 0-16383=", "rejected: slots 0 to 16383 have no address", "3="}},
+		"redirect to the owner": {{0, "map 1 0-16383=a", "slots", "3=a"}, {1, "moved 3 a", "believed", "3=a"}},
+		"nonsense":              {{0, "map 1 0-16383=a", "slots", "3=a"}, {1, "moved -1 b", "doubted", "3=a"}, {1, "moved 16384 b", "doubted", "3=a"}},
+		"removed server":        {{0, "map 1 0-99=a,100-16383=b", "slots", "3=a"}, {1, "gone a", "slots 100", "3= 100=b"}},
+		"a bad map":             {{0, "map 1 0-16384=a", "refused: slots 0 to 16384", "3="}, {0, "map 1 9-3=a", "refused", "3="}},
+		"no addresses":          {{0, "map 1 0-16383=", "refused: slots 0 to 16383 have no address", "3="}},
 	} {
 		table := New()
 		for i, s := range steps {
@@ -95,16 +95,16 @@
 				fmt.Sscan(f[1], &m.Epoch)
 				c := table.ApplyMap(s.at, m)
 				if result = fmt.Sprintf("slots %d gaps %d conflicts %d", c.ChangedSlots, c.Gaps, c.Conflicts); c.RejectReason != "" {
-					result = "rejected: " + c.RejectReason
+					result = "refused: " + c.RejectReason
 				}
 			case "moved":
 				slot := 0
 				fmt.Sscan(f[1], &slot)
-				result = map[bool]string{true: "accepted", false: "ignored"}[table.ApplyRedirect(s.at, slot, f[2])]
+				result = map[bool]string{true: "believed", false: "doubted"}[table.ApplyRedirect(s.at, slot, f[2])]
 				if !table.NeedsMap() && slot >= 0 && slot < Count {
 					t.Errorf("%s, step %d: no map is needed after a redirect", name, i)
 				}
-			case "remove":
+			case "gone":
 				result = fmt.Sprintf("slots %d", table.RemoveServer(f[1]))
 			}
 			if !strings.Contains(result, s.wantResult) {
