--- a/internal/pure/slots/slots_test.go
+++ b/internal/pure/slots/slots_test.go
@@ -69,7 +69,7 @@
 			{20, "map 1 0-16383=a/b", "slots 0", "3=b 4=a"}, // the old primary still reports its old map
 			{30, "map 2 0-16383=b/a", "slots 16383", "3=b 4=b"},
 			{40, "map 1 0-16383=a/b", "refused", "3=b"},
-			{50, "moved 3 a", "believed", "3=a"}, // the old primary still answers; a redirect takes precedence for 2 s
+			{50, "moved 3 a", "believed", "3=a"}, // the old primary still answers; redirects win for 2 s
 			{60, "map 2 0-16383=b/a", "slots 0", "3=a"},
 			{70, "map 3 0-16383=b/a", "slots 1", "3=b"},
 		},
