--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -41,9 +41,9 @@
 
 // keys gives a caller's keys as the servers of the pool know them: in the space of its tenant, and where servers own slots in the
 // slot that the caller counts. The longest is that of the meta dialect, as clients of both may come to one pool.
-func (s Setup) keys() func(p *caller.Pass, key string) (string, error) {
+func (s Setup) keys() func(p *caller.Identity, key string) (string, error) {
 	if s.cluster == nil {
-		return func(p *caller.Pass, key string) (string, error) {
+		return func(p *caller.Identity, key string) (string, error) {
 			if err := tenant.CheckPath(key); err != nil { // it is the origin's path too
 				return "", err
 			}
@@ -51,7 +51,7 @@
 		}
 	}
 	tags, origin := slots.NewTags(), s.RESP.Origin != ""
-	return func(p *caller.Pass, key string) (string, error) {
+	return func(p *caller.Identity, key string) (string, error) {
 		if origin {
 			if err := tenant.CheckPath(key); err != nil {
 				return "", err
