--- a/internal/pure/caller/book.go
+++ b/internal/pure/caller/book.go
@@ -10,28 +10,28 @@
 	"mossproxy.example/mossproxy/internal/pure/tenant"
 )
 
-// Bounds of a book.
+// Limits on the size of a credentials store.
 const (
 	MaxKeys              = 10_000
 	MaxTenants           = 10_000
 	MaxPrincipals        = 100_000
-	MaxNamesPerPrincipal = 64  // subjects, certificates or roles of one principal
-	MaxTextBytes         = 256 // bytes of an id, an issuer, a subject or a certificate's name
+	MaxNamesPerPrincipal = 64  // subjects, certificates or roles of a principal, each
+	MaxTextBytes         = 256 // length of an id, an issuer, a subject or a certificate name
 )
 
-// Contents are what a book is made of.
+// Contents is the input from which a credentials store is built.
 type Contents struct {
-	Version      uint64  // grows with each change
-	Issued       float64 // when it was known to be in force, ms; 0 = whoever reads it says so by Confirm
+	Version      uint64  // increases with each change
+	Issued       float64 // when the contents were last known to be current, ms; 0 = time of loading
 	Policy       Policy
 	Keys         []Key
 	Tenants      []Tenant
 	Principals   []Principal
-	TrustAnchors [][32]byte         // SHA-256 of the certificates of the client bundle; nil = nobody asks
-	Roles        map[string]*Rights // compiled, by name; see Compile
+	TrustAnchors [][32]byte         // SHA-256 of the certificates in the client bundle; nil = not checked
+	Roles        map[string]*Rights // compiled rules by role name; see Compile
 }
 
-// CredentialStore is what is known of callers at one version. It does not change.
+// CredentialStore holds the keys, tenants and callers of one version. It is immutable.
 type CredentialStore struct {
 	contents     Contents
 	keys         map[string]*Key
@@ -49,12 +49,13 @@
 	rights *Rights
 }
 
-// ValidationError is one thing that is wrong with a book's contents: where, as a path like key[2].id, and what.
+// ValidationError describes one error in the contents of a credentials store. Path locates it, as in
+// key[2].id.
 type ValidationError struct{ Path, Message string }
 
-func (f ValidationError) Error() string { return f.Path + ": " + f.Message }
+func (e ValidationError) Error() string { return e.Path + ": " + e.Message }
 
-// maxValidationErrors bounds what is said of one book.
+// maxValidationErrors limits the errors reported for one store.
 const maxValidationErrors = 100
 
 type storeBuilder struct {
@@ -62,144 +63,147 @@
 	errs  []ValidationError
 }
 
-func (u *storeBuilder) errorf(at, format string, args ...any) {
-	if len(u.errs) < maxValidationErrors {
-		u.errs = append(u.errs, ValidationError{at, fmt.Sprintf(format, args...)})
+func (b *storeBuilder) errorf(path, format string, args ...any) {
+	if len(b.errs) < maxValidationErrors {
+		b.errs = append(b.errs, ValidationError{path, fmt.Sprintf(format, args...)})
 	}
 }
 
-// NewCredentialStore checks contents whole. With faults there is no book.
+// NewCredentialStore validates all of the contents and builds a store. If there are errors, the store is nil.
 func NewCredentialStore(c Contents) (*CredentialStore, []ValidationError) {
-	u := storeBuilder{store: &CredentialStore{contents: c, keys: map[string]*Key{}, tenants: map[string]*Tenant{}, principals: map[string]*resolvedPrincipal{},
+	b := storeBuilder{store: &CredentialStore{contents: c, keys: map[string]*Key{}, tenants: map[string]*Tenant{}, principals: map[string]*resolvedPrincipal{},
 		subjects: map[Subject]*resolvedPrincipal{}, certificates: map[string]*resolvedPrincipal{}, anchors: map[[32]byte]bool{}}}
 	for _, n := range []struct {
-		what      string
-		has, most int
+		what         string
+		count, limit int
 	}{{"key", len(c.Keys), MaxKeys}, {"tenant", len(c.Tenants), MaxTenants}, {"caller", len(c.Principals), MaxPrincipals}} {
-		if n.has > n.most {
-			u.errorf(n.what, "%d of them; %d at most", n.has, n.most)
-			return nil, u.errs
+		if n.count > n.limit {
+			b.errorf(n.what, "%d of them; %d at most", n.count, n.limit)
+			return nil, b.errs
 		}
 	}
-	u.checkPolicy()
-	u.addTenants()
-	u.addPrincipals()
-	u.addKeys()
+	b.checkPolicy()
+	b.addTenants()
+	b.addPrincipals()
+	b.addKeys()
 	for _, a := range c.TrustAnchors {
-		u.store.anchors[a] = true
+		b.store.anchors[a] = true
 	}
-	if u.errs != nil {
-		return nil, u.errs
+	if b.errs != nil {
+		return nil, b.errs
 	}
-	return u.store, nil
+	return b.store, nil
 }
 
-func (u *storeBuilder) checkPolicy() {
-	p := &u.store.contents.Policy
+func (b *storeBuilder) checkPolicy() {
+	p := &b.store.contents.Policy
 	for _, f := range []struct {
 		name  string
 		value float64
 		most  float64
 	}{{"skew_ms", p.Skew, 600e3}, {"longest_token_s", p.Longest / 1000, 86400 * 30}, {"stale_new_s", p.StaleNew / 1000, 86400 * 365}, {"stale_all_s", p.StaleAll / 1000, 86400 * 365}} {
 		if !(f.value >= 0 && f.value <= f.most) {
-			u.errorf(f.name, "%v is out of range; from 0 to %v is right", f.value, f.most)
+			b.errorf(f.name, "%v is out of range; from 0 to %v is right", f.value, f.most)
 		}
 	}
 	if p.StaleNew > 0 && p.StaleAll > 0 && p.StaleAll < p.StaleNew {
-		u.errorf("stale_all_s", "%v s is sooner than stale_new_s; who is known is kept for as long as who is new, or longer", p.StaleAll/1000)
+		b.errorf("stale_all_s", "%v s is sooner than stale_new_s; who is known is kept for as long as who is new, or longer", p.StaleAll/1000)
 	}
 }
 
-// label checks a name that goes into logs and answers: printable, without blanks, and bounded.
-func (u *storeBuilder) checkText(at, v string) bool {
-	if v == "" || len(v) > MaxTextBytes || strings.ContainsFunc(v, func(r rune) bool { return r <= ' ' || r > '~' }) {
-		u.errorf(at, "%.40q is no name; 1 to %d printable characters without blanks are right", v, MaxTextBytes)
+// checkText validates a name that appears in logs and responses: 1 to MaxTextBytes printable ASCII characters
+// without blanks.
+func (b *storeBuilder) checkText(path, value string) bool {
+	if value == "" || len(value) > MaxTextBytes || strings.ContainsFunc(value, func(r rune) bool { return r <= ' ' || r > '~' }) {
+		b.errorf(path, "%.40q is no name; 1 to %d printable characters without blanks are right", value, MaxTextBytes)
 		return false
 	}
 	return true
 }
 
-func (u *storeBuilder) addTenants() {
-	for i := range u.store.contents.Tenants {
-		t, at := &u.store.contents.Tenants[i], fmt.Sprintf("tenant[%d]", i)
+func (b *storeBuilder) addTenants() {
+	for i := range b.store.contents.Tenants {
+		t, path := &b.store.contents.Tenants[i], fmt.Sprintf("tenant[%d]", i)
 		if err := tenant.CheckName(t.Name); err != nil {
-			u.errorf(at+".name", "%s", strings.TrimPrefix(err.Error(), "name: "))
-		} else if u.store.tenants[t.Name] != nil {
-			u.errorf(at+".name", "%q is there twice", t.Name)
+			b.errorf(path+".name", "%s", strings.TrimPrefix(err.Error(), "name: "))
+		} else if b.store.tenants[t.Name] != nil {
+			b.errorf(path+".name", "%q is there twice", t.Name)
 		}
-		u.store.tenants[t.Name] = t
+		b.store.tenants[t.Name] = t
 	}
 }
 
-func (u *storeBuilder) addPrincipals() {
-	for i := range u.store.contents.Principals {
-		p, at := &u.store.contents.Principals[i], fmt.Sprintf("caller[%d]", i)
-		if !u.checkText(at+".name", p.Name) {
+func (b *storeBuilder) addPrincipals() {
+	for i := range b.store.contents.Principals {
+		p, path := &b.store.contents.Principals[i], fmt.Sprintf("caller[%d]", i)
+		if !b.checkText(path+".name", p.Name) {
 			continue
 		}
-		if u.store.principals[p.Name] != nil {
-			u.errorf(at+".name", "%q is there twice", p.Name)
+		if b.store.principals[p.Name] != nil {
+			b.errorf(path+".name", "%q is there twice", p.Name)
 		}
 		if len(p.Subjects) > MaxNamesPerPrincipal || len(p.Certificates) > MaxNamesPerPrincipal || len(p.Roles) > MaxNamesPerPrincipal {
-			u.errorf(at, "%d subjects, %d certificates and %d roles; %d at most of each", len(p.Subjects), len(p.Certificates), len(p.Roles), MaxNamesPerPrincipal)
+			b.errorf(path, "%d subjects, %d certificates and %d roles; %d at most of each", len(p.Subjects), len(p.Certificates), len(p.Roles), MaxNamesPerPrincipal)
 			continue
 		}
-		q := &resolvedPrincipal{Principal: p, tenant: u.store.tenants[p.Tenant]}
-		if q.tenant == nil {
-			u.errorf(at+".tenant", "%.40q is no tenant", p.Tenant)
+		resolved := &resolvedPrincipal{Principal: p, tenant: b.store.tenants[p.Tenant]}
+		if resolved.tenant == nil {
+			b.errorf(path+".tenant", "%.40q is no tenant", p.Tenant)
 			continue
 		}
 		var err error
-		if q.space, err = tenant.NewSpace(q.tenant.Name, q.tenant.Generation); err != nil {
-			continue // told at the tenant
+		if resolved.space, err = tenant.NewSpace(resolved.tenant.Name, resolved.tenant.Generation); err != nil {
+			continue // already reported for the tenant
 		}
-		q.rights = u.joinRoles(at, p)
-		u.store.principals[p.Name] = q
-		u.indexNames(at, q)
+		resolved.rights = b.joinRoles(path, p)
+		b.store.principals[p.Name] = resolved
+		b.indexNames(path, resolved)
 	}
 }
 
-// joinRoles joins those of a caller's roles, in their order.
-func (u *storeBuilder) joinRoles(at string, p *Principal) *Rights {
-	var of []*Rights
+// joinRoles returns the combined rights of a caller's roles, in the order of the roles.
+func (b *storeBuilder) joinRoles(path string, p *Principal) *Rights {
+	var roles []*Rights
 	for j, name := range p.Roles {
-		r := u.store.contents.Roles[name]
+		r := b.store.contents.Roles[name]
 		if r == nil {
-			u.errorf(fmt.Sprintf("%s.roles[%d]", at, j), "%.40q is no role", name)
+			b.errorf(fmt.Sprintf("%s.roles[%d]", path, j), "%.40q is no role", name)
 			continue
 		}
-		of = append(of, r)
+		roles = append(roles, r)
 	}
-	return Join(of...)
+	return Join(roles...)
 }
 
-// indexNames books what stands for a caller. One name for two callers is a fault: nobody could say whose keys it may read.
-func (u *storeBuilder) indexNames(at string, q *resolvedPrincipal) {
-	for j, s := range q.Subjects {
-		here := fmt.Sprintf("%s.subjects[%d]", at, j)
-		if !u.checkText(here, s.Issuer) || !u.checkText(here, s.Name) {
+// indexNames registers the subjects and certificate names that identify a caller. A name that identifies two
+// callers is an error, because it would be ambiguous whose keys it may access.
+func (b *storeBuilder) indexNames(path string, resolved *resolvedPrincipal) {
+	for j, s := range resolved.Subjects {
+		itemPath := fmt.Sprintf("%s.subjects[%d]", path, j)
+		if !b.checkText(itemPath, s.Issuer) || !b.checkText(itemPath, s.Name) {
 			continue
 		}
-		if other := u.store.subjects[s]; other != nil {
-			u.errorf(here, "%q of %q stands for caller %q already: %s", s.Name, s.Issuer, other.Name, describeConflict(other, q))
+		if other := b.store.subjects[s]; other != nil {
+			b.errorf(itemPath, "%q of %q stands for caller %q already: %s", s.Name, s.Issuer, other.Name, describeConflict(other, resolved))
 			continue
 		}
-		u.store.subjects[s] = q
+		b.store.subjects[s] = resolved
 	}
-	for j, c := range q.Certificates {
-		here := fmt.Sprintf("%s.certificates[%d]", at, j)
-		if kind, rest, _ := strings.Cut(c, ":"); !u.checkText(here, c) || kind != "uri" && kind != "dns" && kind != "sha256" || rest == "" {
-			u.errorf(here, "%.60q is no certificate's name; uri:…, dns:… and sha256:… are", c)
+	for j, c := range resolved.Certificates {
+		itemPath := fmt.Sprintf("%s.certificates[%d]", path, j)
+		if kind, rest, _ := strings.Cut(c, ":"); !b.checkText(itemPath, c) || kind != "uri" && kind != "dns" && kind != "sha256" || rest == "" {
+			b.errorf(itemPath, "%.60q is no certificate's name; uri:…, dns:… and sha256:… are", c)
 			continue
 		}
-		if other := u.store.certificates[c]; other != nil {
-			u.errorf(here, "%q stands for caller %q already: %s", c, other.Name, describeConflict(other, q))
+		if other := b.store.certificates[c]; other != nil {
+			b.errorf(itemPath, "%q stands for caller %q already: %s", c, other.Name, describeConflict(other, resolved))
 			continue
 		}
-		u.store.certificates[c] = q
+		b.store.certificates[c] = resolved
 	}
 }
 
+// describeConflict explains why two callers cannot share a name.
 func describeConflict(a, b *resolvedPrincipal) string {
 	if a.Tenant != b.Tenant {
 		return fmt.Sprintf("one would be two tenants, %q and %q", a.Tenant, b.Tenant)
@@ -207,65 +211,65 @@
 	return "one would be two callers"
 }
 
-func (u *storeBuilder) addKeys() {
-	for i := range u.store.contents.Keys {
-		k, at := &u.store.contents.Keys[i], fmt.Sprintf("key[%d]", i)
-		if !u.checkText(at+".id", k.ID) {
+func (b *storeBuilder) addKeys() {
+	for i := range b.store.contents.Keys {
+		k, path := &b.store.contents.Keys[i], fmt.Sprintf("key[%d]", i)
+		if !b.checkText(path+".id", k.ID) {
 			continue
 		}
-		if u.store.keys[k.ID] != nil {
-			u.errorf(at+".id", "%q is there twice", k.ID)
+		if b.store.keys[k.ID] != nil {
+			b.errorf(path+".id", "%q is there twice", k.ID)
 		}
 		switch k.Algorithm {
 		case EdDSA, ES256:
-			u.checkText(at+".issuer", k.Issuer)
+			b.checkText(path+".issuer", k.Issuer)
 			if len(k.PublicDER) == 0 {
-				u.errorf(at+".jwk", "missing; %s keys need their public key", k.Algorithm)
+				b.errorf(path+".jwk", "missing; %s keys need their public key", k.Algorithm)
 			}
 		case Secret:
-			if u.store.principals[k.Caller] == nil {
-				u.errorf(at+".caller", "%.40q is no caller; a secret is one caller's", k.Caller)
+			if b.store.principals[k.Caller] == nil {
+				b.errorf(path+".caller", "%.40q is no caller; a secret is one caller's", k.Caller)
 			}
 			if k.Digest == ([32]byte{}) {
-				u.errorf(at+".secret_hash", "missing; cottonyoke key create makes one")
+				b.errorf(path+".secret_hash", "missing; cottonyoke key create makes one")
 			}
 		default:
-			u.errorf(at+".algorithm", "%.40q is no algorithm; EdDSA, ES256 and secret are", k.Algorithm)
+			b.errorf(path+".algorithm", "%.40q is no algorithm; EdDSA, ES256 and secret are", k.Algorithm)
 		}
-		u.checkLifecycle(at, k.Lifecycle)
-		u.store.keys[k.ID] = k
+		b.checkLifecycle(path, k.Lifecycle)
+		b.store.keys[k.ID] = k
 	}
 }
 
-// checkLifecycle checks that the states follow one another.
-func (u *storeBuilder) checkLifecycle(at string, l Lifecycle) {
-	last, name := 0.0, ""
+// checkLifecycle checks that the scheduled states are in order.
+func (b *storeBuilder) checkLifecycle(path string, l Lifecycle) {
+	lastTime, lastState := 0.0, ""
 	for _, s := range []struct {
 		name string
 		at   float64
 	}{{"active", l.Active}, {"retiring", l.Retiring}, {"retired", l.Retired}} {
 		if !(s.at >= 0) || math.IsInf(s.at, 1) {
-			u.errorf(at+"."+s.name, "%v is no time", s.at)
+			b.errorf(path+"."+s.name, "%v is no time", s.at)
 		}
 		if s.at > 0 {
-			if s.at < last {
-				u.errorf(at+"."+s.name, "lies before %s", name)
+			if s.at < lastTime {
+				b.errorf(path+"."+s.name, "lies before %s", lastState)
 			}
-			last, name = s.at, s.name
+			lastTime, lastState = s.at, s.name
 		}
 	}
 }
 
-// Version is the book's.
+// Version returns the version of the store.
 func (b *CredentialStore) Version() uint64 { return b.contents.Version }
 
-// IssuedAt is when the book was known to be in force, ms.
+// Issued returns the time at which the contents were known to be current, in ms; 0 = not known.
 func (b *CredentialStore) Issued() float64 { return b.contents.Issued }
 
-// CredentialName is the key of an id, nil where there is none. It must not be changed.
+// Key returns the key with the given id, or nil. The caller must not modify it.
 func (b *CredentialStore) Key(id string) *Key { return b.keys[id] }
 
-// Keys are all keys, in the order of their ids. They must not be changed.
+// Keys returns all keys sorted by id. The caller must not modify them.
 func (b *CredentialStore) Keys() []*Key {
 	out := make([]*Key, 0, len(b.keys))
 	for _, k := range b.keys {
@@ -275,20 +279,23 @@
 	return out
 }
 
-// Contents are what the book is made of. They must not be changed.
+// Contents returns the contents of the store. The caller must not modify them.
 func (b *CredentialStore) Contents() Contents { return b.contents }
 
-// Skew is how far clocks may differ, ms.
+// Skew returns the tolerated clock difference, in ms.
 func (b *CredentialStore) Skew() float64 { return b.contents.Policy.Skew }
 
-// Stale says whether a book that was confirmed at a time is too old, for callers that are new and for all.
+// Stale reports whether a store that was last confirmed at the given time is too old for new callers and for
+// all callers.
 func (b *CredentialStore) Stale(confirmed, now float64) (forNew, forAll bool) {
 	age := now - confirmed
 	p := b.contents.Policy
 	return p.StaleNew > 0 && age > p.StaleNew || p.StaleAll > 0 && age > p.StaleAll, p.StaleAll > 0 && age > p.StaleAll
 }
 
-// CheckKeyState says whether a key may check anything at a time, before the work of doing so. What signed is judged by Token and Secret.
+// CheckKeyState returns None if a key may be used at the given time, or the reason why not. It runs before
+// the verification, so that unusable keys cost no work. AuthenticateToken also checks when a retiring key
+// signed.
 func (b *CredentialStore) CheckKeyState(k *Key, now float64) Reason {
 	switch k.Lifecycle.StateAt(now) {
 	case Revoked:
@@ -303,7 +310,7 @@
 	return None
 }
 
-// AuthenticateToken judges a token whose signature the key in it has checked.
+// AuthenticateToken authenticates a token whose signature has been verified with the key named in its claims.
 func (b *CredentialStore) AuthenticateToken(now float64, c Claims) (*Identity, Reason) {
 	k := b.keys[c.KeyID]
 	if k == nil || k.Algorithm == Secret || k.Digest != c.KeyDigest {
@@ -315,18 +322,19 @@
 	if !slices.ContainsFunc(c.Audience, func(a string) bool { return slices.Contains(b.contents.Policy.Audiences, a) }) {
 		return nil, WrongAudience
 	}
-	longest := b.contents.Policy.Longest
-	begins := max(c.IssuedAt, c.NotBefore)
+	maxLifetime := b.contents.Policy.Longest
+	notBefore := max(c.IssuedAt, c.NotBefore)
 	switch {
-	case c.ExpiresAt <= 0 || c.IssuedAt <= 0 || longest > 0 && c.ExpiresAt-c.IssuedAt > longest:
-		return nil, TooLong // also one that never ends, or does not say when it began
+	case c.ExpiresAt <= 0 || c.IssuedAt <= 0 || maxLifetime > 0 && c.ExpiresAt-c.IssuedAt > maxLifetime:
+		return nil, TooLong // also a token without an expiry or an issue time
 	case c.ExpiresAt <= c.IssuedAt:
 		return nil, Expired
 	}
-	return b.authenticate(now, credential{kind: tokenCredential, keyID: c.KeyID, digest: c.KeyDigest, issuer: c.Issuer, subject: c.Subject, issuedAt: c.IssuedAt, notBefore: begins, expiresAt: c.ExpiresAt})
+	return b.authenticate(now, credential{kind: tokenCredential, keyID: c.KeyID, digest: c.KeyDigest, issuer: c.Issuer, subject: c.Subject, issuedAt: c.IssuedAt, notBefore: notBefore, expiresAt: c.ExpiresAt})
 }
 
-// AuthenticateSecret judges a secret whose keyed hash is that of the key of an id.
+// AuthenticateSecret authenticates a shared secret, given as its keyed hash, against the key with the given
+// id.
 func (b *CredentialStore) AuthenticateSecret(now float64, id string, hash [32]byte) (*Identity, Reason) {
 	k := b.keys[id]
 	if k == nil || k.Algorithm != Secret {
@@ -335,95 +343,97 @@
 	return b.authenticate(now, credential{kind: secretCredential, keyID: id, digest: hash, expiresAt: math.Inf(1)})
 }
 
-// AuthenticateCertificate judges a client certificate whose chain has been checked.
+// AuthenticateCertificate authenticates a client certificate whose chain has been verified.
 func (b *CredentialStore) AuthenticateCertificate(now float64, c Certificate) (*Identity, Reason) {
 	return b.authenticate(now, credential{kind: certificateCredential, names: c.Names, digest: c.TrustAnchor, notBefore: c.NotBefore, expiresAt: c.NotAfter})
 }
 
-// Reauthenticate judges a pass again. A tenant that was made anew since is another: its callers say again who they are.
-func (b *CredentialStore) Reauthenticate(now float64, p *Identity) (*Identity, Reason) {
-	next, why := b.authenticate(now, p.credential)
-	if why == None && next.Tenant.Generation != p.Tenant.Generation {
+// Reauthenticate evaluates an identity again. A tenant that has since been recreated is a different tenant,
+// so its callers must present their credentials again.
+func (b *CredentialStore) Reauthenticate(now float64, id *Identity) (*Identity, Reason) {
+	renewed, reason := b.authenticate(now, id.credential)
+	if reason == None && renewed.Tenant.Generation != id.Tenant.Generation {
 		return nil, NoTenant
 	}
-	return next, why
+	return renewed, reason
 }
 
-// authenticate judges what was shown, whose proof has been checked by the material that it names.
-func (b *CredentialStore) authenticate(now float64, s credential) (*Identity, Reason) {
-	until := math.Inf(1)
-	var who *resolvedPrincipal
-	var why Reason
-	name := s.keyID
-	if s.kind == certificateCredential {
-		who, name, why = b.findByCertificate(&s)
+// authenticate evaluates a credential that has been verified with the key or trust anchor of its digest.
+func (b *CredentialStore) authenticate(now float64, cred credential) (*Identity, Reason) {
+	validUntil := math.Inf(1)
+	var caller *resolvedPrincipal
+	var reason Reason
+	credentialName := cred.keyID
+	if cred.kind == certificateCredential {
+		caller, credentialName, reason = b.findByCertificate(&cred)
 	} else {
-		who, until, why = b.findByKey(now, &s)
+		caller, validUntil, reason = b.findByKey(now, &cred)
 	}
-	if why != None {
-		return nil, why
+	if reason != None {
+		return nil, reason
 	}
 	skew := b.contents.Policy.Skew
-	if s.kind == certificateCredential {
-		skew = 0 // the handshake has none either
+	if cred.kind == certificateCredential {
+		skew = 0 // the TLS handshake tolerates no clock difference either
 	}
 	switch {
-	case now+skew < s.notBefore:
+	case now+skew < cred.notBefore:
 		return nil, NotYetValid
-	case now >= s.expiresAt+skew:
+	case now >= cred.expiresAt+skew:
 		return nil, Expired
-	case who.tenant.Suspended:
+	case caller.tenant.Suspended:
 		return nil, NoTenant
 	}
-	return &Identity{Caller: who.Name, Tenant: *who.tenant, Space: who.space, Rights: who.rights, CredentialName: name, ValidUntil: min(until, s.expiresAt+skew),
-		Version: b.contents.Version, credential: s}, None
+	return &Identity{Caller: caller.Name, Tenant: *caller.tenant, Space: caller.space, Rights: caller.rights, CredentialName: credentialName, ValidUntil: min(validUntil, cred.expiresAt+skew),
+		Version: b.contents.Version, credential: cred}, None
 }
 
-// findByKey finds the caller of what a key has checked, and until when the key's state stays.
-func (b *CredentialStore) findByKey(now float64, s *credential) (*resolvedPrincipal, float64, Reason) {
-	k := b.keys[s.keyID]
+// findByKey returns the caller of a credential that a key verified, and the time of the key's next state
+// change.
+func (b *CredentialStore) findByKey(now float64, cred *credential) (*resolvedPrincipal, float64, Reason) {
+	k := b.keys[cred.keyID]
 	if k == nil {
 		return nil, 0, UnknownKey
 	}
-	if why := b.CheckKeyState(k, now); why != None {
-		return nil, 0, why
+	if reason := b.CheckKeyState(k, now); reason != None {
+		return nil, 0, reason
 	}
-	if k.Digest != s.digest { // another key of the same id: it has checked nothing
-		if s.kind == secretCredential {
+	if k.Digest != cred.digest { // the key was replaced under the same id and did not verify this credential
+		if cred.kind == secretCredential {
 			return nil, 0, BadSignature
 		}
 		return nil, 0, UnknownKey
 	}
-	if s.kind == secretCredential {
+	if cred.kind == secretCredential {
 		return b.principals[k.Caller], k.Lifecycle.NextChange(now), None
 	}
-	if r := k.Lifecycle.Retiring; r > 0 && s.issuedAt > r+b.contents.Policy.Skew { // it signs nothing new
+	if retiring := k.Lifecycle.Retiring; retiring > 0 && cred.issuedAt > retiring+b.contents.Policy.Skew { // signs no new tokens
 		return nil, 0, KeyRetired
 	}
-	who := b.subjects[Subject{s.issuer, s.subject}]
-	if who == nil {
+	caller := b.subjects[Subject{cred.issuer, cred.subject}]
+	if caller == nil {
 		return nil, 0, NoTenant
 	}
-	return who, k.Lifecycle.NextChange(now), None
+	return caller, k.Lifecycle.NextChange(now), None
 }
 
-// findByCertificate finds the one caller that a certificate's names stand for.
-func (b *CredentialStore) findByCertificate(s *credential) (who *resolvedPrincipal, name string, why Reason) {
-	if len(b.anchors) > 0 && !b.anchors[s.digest] {
-		return nil, "", KeyRevoked // what vouched for it was withdrawn
+// findByCertificate returns the only caller that a certificate's names identify, and the name that did.
+func (b *CredentialStore) findByCertificate(cred *credential) (caller *resolvedPrincipal, name string, reason Reason) {
+	if len(b.anchors) > 0 && !b.anchors[cred.digest] {
+		return nil, "", KeyRevoked // the trust anchor was removed from the bundle
 	}
-	for _, n := range s.names {
+	for _, n := range cred.names {
 		p := b.certificates[n]
 		switch {
 		case p == nil:
-		case who != nil && who != p:
+		case caller != nil && caller != p:
 			return nil, "", TwoTenants
 		default:
-			who, name = p, n
+			caller, name = p, n
 		}
 	}
-	if who == nil {
+	if caller == nil {
 		return nil, "", UnknownKey
 	}
-	return who, name, None
+	return caller, name, None
 }
--- a/internal/pure/caller/caller.go
+++ b/internal/pure/caller/caller.go
@@ -1,9 +1,12 @@
-// Package caller settles who is calling: which key, token or certificate stands for which tenant and rights, until when, and why
-// not. It has no clock, socket or file: each method gets the time, in ms of Unix time. docs/design/callers.md compares the ways.
+// Package caller authenticates and authorizes callers. It maps a key, token or certificate to a tenant and
+// its rights, with an expiry time, or gives the reason for a rejection. It uses no clock, socket or file:
+// each method is passed the time, in milliseconds of Unix time. docs/design/callers.md compares the ways to
+// authenticate.
 //
-// What is known stands in a Book, which never changes; a new one takes its place whole. A Pass is a verdict that was good: it
-// says until when it holds, and of which version of the book it is. Past either, Book.Renew judges it again, without a signature
-// being checked anew: the key must still be the very key that checked it.
+// The credentials are held in a CredentialStore, which is immutable and is replaced as a whole. A successful
+// authentication yields an Identity, which records how long it is valid and for which version of the store.
+// Once it expires or the version changes, CredentialStore.Reauthenticate evaluates it again. The signature is
+// not verified again; instead, the key must still be the same one that verified it.
 package caller
 
 import (
@@ -12,38 +15,39 @@
 	"mossproxy.example/mossproxy/internal/pure/tenant"
 )
 
-// Reason is why a caller is not taken. Its name is stable: logs, answers and figures bear it.
+// Reason says why a caller or a request was rejected. Its name is stable: logs, responses and metrics contain
+// it.
 type Reason uint8
 
-// The reasons.
+// The reasons. None means accepted.
 const (
-	None          Reason = iota // it is taken
-	NoCaller                    // nobody has said who calls
-	UnknownKey                  // no key of that id, or no caller of that certificate
-	KeyRetired                  // the key has been retired, or it was retiring when it signed
-	KeyRevoked                  //
-	Expired                     // the token's or certificate's time is over
-	NotYetValid                 // it has not come, or the key's has not
-	WrongAudience               // the token is meant for others
-	WrongIssuer                 // the key is another issuer's
-	BadSignature                // or a wrong secret
-	BadAlgorithm                // not the one of its key
-	TwoTenants                  // what was shown stands for more than one caller
-	NoTenant                    // the caller's tenant is no more, or it is another one of that name
-	NoRight                     // no rule allows it, or not now
-	TooLong                     // a token beyond the bound in bytes, or one that lives too long
-	Malformed                   // no token at all
-	StaleKeys                   // the book is too old to be believed
-	Throttled                   // too many wrong ones came from there
-	OverRate                    // the right is there, its rate is used up
-	Connections                 // the tenant has all the connections that it may
-	numReasons                  // their number
+	None          Reason = iota // accepted
+	NoCaller                    // no credentials were presented
+	UnknownKey                  // no key with that id, or no caller for that certificate
+	KeyRetired                  // the key is retired, or was already retiring when it signed the token
+	KeyRevoked                  // the key, or the trust anchor of the certificate, has been withdrawn
+	Expired                     // the token or certificate has expired
+	NotYetValid                 // the token, certificate or key is not valid yet
+	WrongAudience               // the token is for another audience
+	WrongIssuer                 // the key belongs to another issuer
+	BadSignature                // the signature or the secret is wrong
+	BadAlgorithm                // the token's algorithm differs from the key's
+	TwoTenants                  // the credential identifies more than one caller
+	NoTenant                    // no caller for the subject, or the tenant is suspended or recreated
+	NoRight                     // no rule allows the request, or none at this time
+	TooLong                     // the token or secret exceeds the size limit, or the token lives too long
+	Malformed                   // the text cannot be parsed as a token
+	StaleKeys                   // the credentials store is too old to be trusted
+	Throttled                   // too many authentication failures, or no capacity for further checks
+	OverRate                    // a rule allows the request, but its rate limit is reached
+	Connections                 // the tenant has reached its connection limit
+	numReasons                  // number of reasons
 )
 
 var reasonNames = [numReasons]string{"none", "no_caller", "unknown_key", "key_retired", "key_revoked", "expired", "not_yet_valid", "wrong_audience", "wrong_issuer",
 	"bad_signature", "algorithm", "two_tenants", "no_tenant", "no_right", "too_long", "malformed", "stale_keys", "throttled", "over_rate", "too_many_connections"}
 
-// String is the reason's stable name.
+// String returns the stable name of the reason.
 func (r Reason) String() string {
 	if int(r) < len(reasonNames) {
 		return reasonNames[r]
@@ -51,7 +55,7 @@
 	return "unknown"
 }
 
-// Reasons gives all reasons, for tables of figures.
+// Reasons returns all reasons, for tables of metrics.
 func Reasons() (out []Reason) {
 	for r := range numReasons {
 		out = append(out, r)
@@ -59,37 +63,37 @@
 	return out
 }
 
-// Algorithm is what a key checks by. It is the key's, never the token's to say.
+// Algorithm is how a key verifies a credential. It is taken from the key, never from the token.
 type Algorithm string
 
-// The algorithms.
+// The supported algorithms.
 const (
 	EdDSA  Algorithm = "EdDSA"
 	ES256  Algorithm = "ES256"
-	Secret Algorithm = "secret" // no signature: a secret is shown, and the book has its keyed hash
+	Secret Algorithm = "secret" // shared secret without a signature; the store has its keyed hash
 )
 
-// State is a key's place in its life.
+// State is a stage in the lifecycle of a key.
 type State uint8
 
-// The states, in their order.
+// The states, in the order in which a key passes through them.
 const (
-	Announced State = iota // routers know it, nobody uses it yet
+	Announced State = iota // known to the routers, not in use yet
 	Active
-	Retiring // what it signed before still counts; nothing new does
+	Retiring // tokens signed earlier stay valid; new ones are rejected
 	Retired
 	Revoked
 )
 
-// String is the state as commands and logs name it.
+// String returns the state's name as used in commands and logs.
 func (s State) String() string {
 	return [...]string{"announced", "active", "retiring", "retired", "revoked"}[s]
 }
 
-// Lifecycle is when a key goes from one state to the next, in ms; 0 = that is not planned.
+// Lifecycle holds the times at which a key enters each state, in ms of Unix time; 0 = not scheduled.
 type Lifecycle struct{ Active, Retiring, Retired, Revoked float64 }
 
-// StateAt is the state at a time.
+// StateAt returns the state at the given time.
 func (l Lifecycle) StateAt(now float64) State {
 	due := func(at float64) bool { return at > 0 && now >= at }
 	switch {
@@ -105,7 +109,7 @@
 	return Announced
 }
 
-// NextChange is when the state changes next after a time; +Inf = never.
+// NextChange returns the time of the first state change after now, or +Inf if none is scheduled.
 func (l Lifecycle) NextChange(now float64) float64 {
 	next := math.Inf(1)
 	for _, at := range []float64{l.Active, l.Retiring, l.Retired, l.Revoked} {
@@ -116,49 +120,49 @@
 	return next
 }
 
-// CredentialName is one key of the book.
+// Key is a verification key or a shared secret in the credentials store.
 type Key struct {
 	ID        string
 	Algorithm Algorithm
-	Issuer    string   // whose tokens it checks; "" for secrets
-	Caller    string   // whose secret it is; "" for keys of issuers
-	Digest    [32]byte // SHA-256 of the public key's DER form, or the keyed hash of the secret
-	PublicDER []byte   // the public key in PKIX DER form; nil for secrets
+	Issuer    string   // issuer whose tokens the key verifies; "" for secrets
+	Caller    string   // principal that the secret belongs to; "" for issuer keys
+	Digest    [32]byte // SHA-256 of PublicDER, or the keyed hash of the secret
+	PublicDER []byte   // public key in PKIX DER encoding; nil for secrets
 	Lifecycle Lifecycle
 }
 
-// Tenant is one that callers may stand for.
+// Tenant is a tenant that callers can belong to.
 type Tenant struct {
 	Name       string
-	Generation uint32 // tells it from earlier ones of its name
+	Generation uint32 // distinguishes the tenant from earlier ones with the same name
 	Suspended  bool
 }
 
-// Principal is a caller.
+// Principal is a caller as configured in the credentials store.
 type Principal struct {
 	Name         string
 	Tenant       string
 	Roles        []string
-	Subjects     []Subject // whose tokens stand for it
-	Certificates []string  // names of certificates that do: uri:…, dns:…, sha256:… of the whole certificate in hex
+	Subjects     []Subject // token subjects that identify the principal
+	Certificates []string  // certificate names that do: uri:…, dns:… or sha256:… (certificate hash in hex)
 }
 
-// Subject is the subject of one issuer's tokens.
+// Subject identifies a token's subject together with its issuer.
 type Subject struct{ Issuer, Name string }
 
-// Policy is what a book holds callers to beside its keys.
+// Policy holds the limits that apply to all callers, in addition to the keys.
 type Policy struct {
-	Audiences []string // of this router; a token must name one of them
-	Skew      float64  // ms by which clocks may differ
-	Longest   float64  // ms that a token may live
-	StaleNew  float64  // ms of age from which nobody new is taken; 0 = never
-	StaleAll  float64  // ms of age from which nobody is; 0 = never
+	Audiences []string // audiences of this router; a token must name one of them
+	Skew      float64  // tolerated clock difference, ms
+	Longest   float64  // longest lifetime of a token, ms; 0 = no limit
+	StaleNew  float64  // store age above which new callers are rejected, ms; 0 = never
+	StaleAll  float64  // store age above which all callers are rejected, ms; 0 = never
 }
 
-// Claims are what a token says, once its signature has been checked by the key. Times are in ms; 0 = it does not say.
+// Claims are the contents of a token whose signature has been verified. Times are in ms; 0 = not set.
 type Claims struct {
 	KeyID     string
-	KeyDigest [32]byte // of the key that has checked it
+	KeyDigest [32]byte // digest of the key that verified the signature
 	Issuer    string
 	Subject   string
 	Audience  []string
@@ -167,16 +171,17 @@
 	ExpiresAt float64
 }
 
-// AuthenticateCertificate is what a client certificate says, once its chain has been checked.
+// Certificate describes a client certificate whose chain has been verified. Times are in ms of Unix time.
 type Certificate struct {
 	Names     []string // uri:…, dns:…, sha256:…
 	NotBefore float64
 	NotAfter  float64
-	// TrustAnchor is the SHA-256 of the bundle's certificate that the chain ends at: with that withdrawn, the pass is over.
+	// TrustAnchor is the SHA-256 of the certificate in the client bundle at which the chain ends. Identities
+	// that depend on it become invalid when it is removed from the bundle.
 	TrustAnchor [32]byte
 }
 
-// credential is what a pass rests on. It is compact, as each connection keeps one.
+// credential is the verified credential behind an identity. Every connection holds one, so it is kept small.
 type credential struct {
 	kind      credentialKind
 	keyID     string
@@ -197,19 +202,20 @@
 	certificateCredential
 )
 
-// Identity is a caller that was taken. It does not change and may be read from any goroutine.
+// Identity is an authenticated caller. It is immutable and safe for concurrent use.
 type Identity struct {
 	Caller         string
 	Tenant         Tenant
 	Space          tenant.Space
 	Rights         *Rights
-	CredentialName string  // id of the key or name of the certificate, for the audit
-	ValidUntil     float64 // the verdict holds so long, ms
-	Version        uint64  // and with this version of the book alone
+	CredentialName string  // key id or certificate name, for the audit log
+	ValidUntil     float64 // end of validity, ms of Unix time
+	Version        uint64  // the only version of the credentials store for which it is valid
 	credential     credential
 }
 
-// Valid says whether the verdict still counts with a book of that version. It costs two comparisons.
-func (p *Identity) Valid(version uint64, now float64) bool {
-	return p.Version == version && now < p.ValidUntil
+// Valid reports whether the identity is still valid for the given version of the store. It costs two
+// comparisons.
+func (id *Identity) Valid(version uint64, now float64) bool {
+	return id.Version == version && now < id.ValidUntil
 }
--- a/internal/pure/caller/limit.go
+++ b/internal/pure/caller/limit.go
@@ -6,135 +6,141 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// AuthLimiter hold a flood of wrong credentials to a bounded share of a core, and keep it from those who are right. Checking a
-// signature that is new costs tens to hundreds of microseconds; what is remembered costs none and is not asked for here.
+// AuthLimiter limits the verification of credentials to a share of a CPU core, so that a flood of invalid
+// credentials does not crowd out legitimate callers. Verifying a new signature costs tens to hundreds of
+// microseconds; cached identities cost nothing and bypass the limiter.
 //
-// Three bounds, in this order: what an address may get wrong; what may be got wrong with one key's id by addresses that never got
-// anything right; and the work of checking for all, of which a half is kept for addresses that did lately. So a flood from
-// everywhere, or one that names a key in use, costs those who are known nothing.
+// Three limits apply, in this order: failures per address; failures per key id by addresses without a recent
+// success; and the total verification work, half of which is reserved for addresses with a recent success. A
+// flood from many addresses, or one that names a key in use, therefore does not affect known addresses. It is
+// not safe for concurrent use.
 type AuthLimiter struct {
-	share      float64 // of a core that checking may take
+	share      float64 // of a core that verification may use, 0 to 1
 	addresses  *simplelru.LRU[string, *addressRecord]
 	keyBudgets *simplelru.LRU[string, *tokenBucket]
-	workBudget tokenBucket // ms of work that may be done now
+	workBudget tokenBucket // ms of work available now
 }
 
-// The bounds of Limits.
+// The limits of AuthLimiter.
 const (
-	addressFailuresPerSecond = 10.0    // a second, with as many saved up
-	keyFailuresPerSecond     = 100.0   // a second, with as many saved up
-	knownAddressMS           = 600e3   // ms for which an address that was right counts as known
-	maxSavedWorkMS           = 250.0   // ms of a core's share that may be saved up
-	maxAddresses             = 1 << 14 // remembered; the one that was seen longest ago is forgotten
-	maxFailedKeys            = 1 << 10
+	addressFailuresPerSecond = 10.0    // also the burst
+	keyFailuresPerSecond     = 100.0   // also the burst
+	knownAddressMS           = 600e3   // how long an address counts as known after a success
+	maxSavedWorkMS           = 250.0   // burst of verification work, before scaling by the share
+	maxAddresses             = 1 << 14 // tracked addresses; the least recently used one is evicted
+	maxFailedKeys            = 1 << 10 // tracked key ids with failures, evicted likewise
 )
 
+// tokenBucket is a token bucket; updatedAt is in ms.
 type tokenBucket struct{ tokens, updatedAt float64 }
 
-func (b *tokenBucket) refill(now, rate, depth float64) {
+// refill adds the tokens for the time since the last update; rate is in tokens per second.
+func (b *tokenBucket) refill(now, rate, capacity float64) {
 	if now > b.updatedAt {
-		b.tokens = min(depth, b.tokens+rate*(now-b.updatedAt)/1000)
+		b.tokens = min(capacity, b.tokens+rate*(now-b.updatedAt)/1000)
 		b.updatedAt = now
 	}
 }
 
 type addressRecord struct {
 	failureBudget tokenBucket
-	lastSuccess   float64 // when it was right last; -Inf = never
+	lastSuccess   float64 // time of the last successful check, ms; -Inf = never
 }
 
-// NewAuthLimiter lets checking take a share of one core, 0 to 1.
+// NewAuthLimiter returns a limiter that lets verification use the given share of one core, 0 to 1.
 func NewAuthLimiter(share float64) *AuthLimiter {
 	return &AuthLimiter{share: share, addresses: newLRU[string, *addressRecord](maxAddresses), keyBudgets: newLRU[string, *tokenBucket](maxFailedKeys),
 		workBudget: tokenBucket{tokens: share * maxSavedWorkMS}}
 }
 
-// Allow says whether a credential from an address, that names a key, is to be checked, which will take so many ms of work. With
-// true, Was must be told how it ended.
-func (l *AuthLimiter) Allow(now float64, from, key string, cost float64) bool {
-	a := l.addressState(now, from)
-	if a.failureBudget.refill(now, addressFailuresPerSecond, addressFailuresPerSecond); a.failureBudget.tokens < 1 {
+// Allow reports whether a credential that names a key and comes from the given address may be verified, which
+// takes costMS of work. If so, RecordResult must be called with the result.
+func (l *AuthLimiter) Allow(now float64, address, keyID string, costMS float64) bool {
+	record := l.addressState(now, address)
+	if record.failureBudget.refill(now, addressFailuresPerSecond, addressFailuresPerSecond); record.failureBudget.tokens < 1 {
 		return false
 	}
-	known := now-a.lastSuccess < knownAddressMS
+	known := now-record.lastSuccess < knownAddressMS
 	if !known {
-		if k, ok := l.keyBudgets.Get(key); ok {
-			if k.refill(now, keyFailuresPerSecond, keyFailuresPerSecond); k.tokens < 1 {
+		if budget, ok := l.keyBudgets.Get(keyID); ok {
+			if budget.refill(now, keyFailuresPerSecond, keyFailuresPerSecond); budget.tokens < 1 {
 				return false
 			}
 		}
 	}
-	depth := l.share * maxSavedWorkMS
-	l.workBudget.refill(now, l.share*1000, depth)
-	least := cost
+	capacity := l.share * maxSavedWorkMS
+	l.workBudget.refill(now, l.share*1000, capacity)
+	required := costMS
 	if !known {
-		least += depth / 2
+		required += capacity / 2
 	}
-	if l.workBudget.tokens < min(least, depth) {
+	if l.workBudget.tokens < min(required, capacity) {
 		return false
 	}
-	l.workBudget.tokens -= cost
+	l.workBudget.tokens -= costMS
 	return true
 }
 
-// RecordResult tells how a check ended. Wrong is one that proves nothing; a good signature by a key that is retired is not wrong.
-func (l *AuthLimiter) RecordResult(now float64, from, key string, wrong bool) {
-	a := l.addressState(now, from)
-	if !wrong {
-		a.lastSuccess = now
+// RecordResult records the result of a verification. Failed means that the credential proved nothing; a valid
+// signature by a retired key is not a failure.
+func (l *AuthLimiter) RecordResult(now float64, address, keyID string, failed bool) {
+	record := l.addressState(now, address)
+	if !failed {
+		record.lastSuccess = now
 		return
 	}
-	a.failureBudget.tokens--
-	k, ok := l.keyBudgets.Get(key)
+	record.failureBudget.tokens--
+	budget, ok := l.keyBudgets.Get(keyID)
 	if !ok {
-		k = &tokenBucket{keyFailuresPerSecond, now}
-		l.keyBudgets.Add(key, k)
+		budget = &tokenBucket{keyFailuresPerSecond, now}
+		l.keyBudgets.Add(keyID, budget)
 	}
-	k.refill(now, keyFailuresPerSecond, keyFailuresPerSecond)
-	k.tokens--
+	budget.refill(now, keyFailuresPerSecond, keyFailuresPerSecond)
+	budget.tokens--
 }
 
-func (l *AuthLimiter) addressState(now float64, from string) *addressRecord {
-	a, ok := l.addresses.Get(from)
+func (l *AuthLimiter) addressState(now float64, address string) *addressRecord {
+	record, ok := l.addresses.Get(address)
 	if !ok {
-		a = &addressRecord{tokenBucket{addressFailuresPerSecond, now}, math.Inf(-1)}
-		l.addresses.Add(from, a)
+		record = &addressRecord{tokenBucket{addressFailuresPerSecond, now}, math.Inf(-1)}
+		l.addresses.Add(address, record)
 	}
-	return a
+	return record
 }
 
-// Size is how many addresses and keys are remembered.
+// Size returns the number of tracked addresses and keys.
 func (l *AuthLimiter) Size() (addresses, keys int) { return l.addresses.Len(), l.keyBudgets.Len() }
 
-// IdentityCache remembers passes by the keyed hash of what was shown, so that a token is checked once. It has no lock and a bound; what
-// was asked for longest ago is forgotten.
+// IdentityCache caches identities by the keyed hash of their credential, so that each token is verified only
+// once. It has a fixed capacity with LRU eviction and is not safe for concurrent use.
 type IdentityCache struct {
 	entries *simplelru.LRU[[32]byte, *Identity]
 }
 
-// NewIdentityCache remembers so many passes, one at least.
-func NewIdentityCache(most int) *IdentityCache {
-	return &IdentityCache{newLRU[[32]byte, *Identity](max(1, most))}
+// NewIdentityCache returns a cache for maxEntries identities, at least one.
+func NewIdentityCache(maxEntries int) *IdentityCache {
+	return &IdentityCache{newLRU[[32]byte, *Identity](max(1, maxEntries))}
 }
 
-// Get gives what is remembered, nil where nothing is. Whether it holds is for the caller to ask.
-func (m *IdentityCache) Get(hash [32]byte) *Identity {
-	p, _ := m.entries.Get(hash)
+// Get returns the cached identity, or nil. The caller must check whether it is still valid.
+func (c *IdentityCache) Get(hash [32]byte) *Identity {
+	p, _ := c.entries.Get(hash)
 	return p
 }
 
-// Put remembers a pass.
-func (m *IdentityCache) Put(hash [32]byte, p *Identity) { m.entries.Add(hash, p) }
+// Put stores an identity.
+func (c *IdentityCache) Put(hash [32]byte, p *Identity) { c.entries.Add(hash, p) }
 
-// Remove forgets one.
-func (m *IdentityCache) Remove(hash [32]byte) { m.entries.Remove(hash) }
+// Remove deletes an identity.
+func (c *IdentityCache) Remove(hash [32]byte) { c.entries.Remove(hash) }
 
-// Size is how many are remembered.
-func (m *IdentityCache) Size() int { return m.entries.Len() }
+// Size returns the number of cached identities.
+func (c *IdentityCache) Size() int { return c.entries.Len() }
 
-// newLRU is a bounded table that forgets what was used longest ago; the size is above 0, which is all that can be wrong with it.
-func newLRU[K comparable, V any](most int) *simplelru.LRU[K, V] {
-	l, err := simplelru.NewLRU[K, V](most, nil)
+// newLRU returns an LRU table of the given size. It panics if the size is not positive, the only possible
+// error.
+func newLRU[K comparable, V any](size int) *simplelru.LRU[K, V] {
+	l, err := simplelru.NewLRU[K, V](size, nil)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/pure/caller/rights.go
+++ b/internal/pure/caller/rights.go
@@ -6,37 +6,38 @@
 	"strings"
 )
 
-// Access is what a request does with its keys.
+// Access says how a request uses its keys.
 type Access uint8
 
-// The accesses.
+// The kinds of access.
 const (
 	Read Access = 1 << iota
 	Write
 )
 
-// ReadWrite is both.
+// ReadWrite is the access of a request that both reads and writes.
 const ReadWrite = Read | Write
 
-// Span is a part of the week in minutes from Monday 00:00 UTC: From until before To.
+// Span is a part of the week in minutes since Monday 00:00 UTC, from From inclusive to To exclusive.
 type Span struct{ From, To int }
 
-// MinutesPerWeek is the minutes of one.
+// MinutesPerWeek is the number of minutes in a week.
 const MinutesPerWeek = 7 * 24 * 60
 
-// Rule allows or denies requests. The first rule that fits a request decides; what none fits is denied.
+// Rule allows or denies requests. The first rule that matches a request decides; a request that matches none
+// is denied.
 type Rule struct {
 	Deny    bool
-	Classes []string // nil = any
-	Prefix  string   // of the client's own key; "" = any
+	Classes []string // nil = any class
+	Prefix  string   // prefix of the client's own key; "" = any key
 	Access  Access
-	Spans   []Span  // nil = always
-	Rate    float64 // requests a second over the whole service; 0 = no bound. Of an allow alone.
-	Line    int     // where it stands, for explanations; a rate is that of all rules of one place
+	Spans   []Span  // when the rule applies; nil = always
+	Rate    float64 // requests per second over all routers; 0 = no limit; allow rules only
+	Line    int     // position in the source; rules with the same position share one rate limit
 	Column  int
 }
 
-// activeAt says whether a time lies in a rule's spans, and minute is that time's.
+// activeAt reports whether the rule applies at a minute of the week.
 func (r *Rule) activeAt(minute int) bool {
 	if r.Spans == nil {
 		return true
@@ -44,45 +45,46 @@
 	return slices.ContainsFunc(r.Spans, func(s Span) bool { return s.From <= minute && minute < s.To })
 }
 
-// minuteOfWeek is the minute of the week of a Unix time in ms, which must not lie before 1970 (a Thursday).
+// minuteOfWeek converts a Unix time in ms, not negative, to the minute of the week. 1970 began on a Thursday.
 func minuteOfWeek(now float64) int { return int(math.Mod(now/60e3+3*24*60, MinutesPerWeek)) }
 
-// shadows says whether a rule decides all that another would.
-func (r *Rule) shadows(o *Rule) bool {
-	return (r.Classes == nil || o.Classes != nil && !slices.ContainsFunc(o.Classes, func(c string) bool { return !slices.Contains(r.Classes, c) })) &&
-		strings.HasPrefix(o.Prefix, r.Prefix) && r.Access&o.Access == o.Access && spansContain(r.Spans, o.Spans)
+// shadows reports whether the rule matches every request that another one matches.
+func (r *Rule) shadows(other *Rule) bool {
+	return (r.Classes == nil || other.Classes != nil && !slices.ContainsFunc(other.Classes, func(c string) bool { return !slices.Contains(r.Classes, c) })) &&
+		strings.HasPrefix(other.Prefix, r.Prefix) && r.Access&other.Access == other.Access && spansContain(r.Spans, other.Spans)
 }
 
-// spansContain says whether every minute of b lies in a. Both are sorted and don't touch within themselves, as Normal makes them.
-func spansContain(a, b []Span) bool {
-	if a == nil {
+// spansContain reports whether outer contains every minute of inner. Both must be normalized by
+// NormalizeSpans.
+func spansContain(outer, inner []Span) bool {
+	if outer == nil {
 		return true
 	}
-	if b == nil {
-		b = []Span{{0, MinutesPerWeek}}
+	if inner == nil {
+		inner = []Span{{0, MinutesPerWeek}}
 	}
-	return !slices.ContainsFunc(b, func(s Span) bool {
-		return !slices.ContainsFunc(a, func(t Span) bool { return t.From <= s.From && s.To <= t.To })
+	return !slices.ContainsFunc(inner, func(s Span) bool {
+		return !slices.ContainsFunc(outer, func(t Span) bool { return t.From <= s.From && s.To <= t.To })
 	})
 }
 
-// NormalizeSpans sorts spans and joins those that touch.
+// NormalizeSpans returns the spans sorted, with empty ones removed and adjacent or overlapping ones merged.
 func NormalizeSpans(spans []Span) []Span {
-	s := slices.Clone(spans)
-	slices.SortFunc(s, func(a, b Span) int { return a.From - b.From })
+	sorted := slices.Clone(spans)
+	slices.SortFunc(sorted, func(a, b Span) int { return a.From - b.From })
 	var out []Span
-	for _, x := range s {
-		if n := len(out); n > 0 && x.From <= out[n-1].To {
-			out[n-1].To = max(out[n-1].To, x.To)
-		} else if x.From < x.To {
-			out = append(out, x)
+	for _, span := range sorted {
+		if n := len(out); n > 0 && span.From <= out[n-1].To {
+			out[n-1].To = max(out[n-1].To, span.To)
+		} else if span.From < span.To {
+			out = append(out, span)
 		}
 	}
 	return out
 }
 
-// ShadowedBy finds the earlier rule because of which a rule never decides anything, -1 where there is none. Only single rules are
-// looked at, not what several cover together.
+// ShadowedBy returns the index of an earlier rule that shadows rule i, so that rule i never decides a
+// request, or -1 if there is none. It considers single rules, not what several of them match together.
 func ShadowedBy(rules []Rule, i int) int {
 	for j := range i {
 		if rules[j].shadows(&rules[i]) {
@@ -92,19 +94,19 @@
 	return -1
 }
 
-// Rights are rules made ready to be asked. They don't change, but for the rates, which their user keeps: see Rates.
+// Rights are compiled rules. They are immutable; the state of the rate limits is kept in a RateLimiter.
 type Rights struct {
 	rules      []Rule
-	classIndex map[string]int // of names to tables
-	classTrees []prefixTrees  // the last one is of all other classes
+	classIndex map[string]int // index in classTrees by class name
+	classTrees []prefixTrees  // the last one is for all other classes
 }
 
-// prefixTrees is what counts for one class: a tree of prefixes for reads and one for writes.
+// prefixTrees holds the rules of one class in two radix trees, for reads and for writes.
 type prefixTrees struct{ read, write node }
 
-// node is a place in a tree of prefixes. Rules of prefixes that a key does not have are never looked at.
+// node is a node of a radix tree of key prefixes. A lookup visits only prefixes of the key.
 type node struct {
-	rules []int // in their order, of keys that begin so
+	rules []int // indexes of the rules for the prefix that ends here, ascending
 	edges []edge
 }
 
@@ -113,11 +115,12 @@
 	child *node
 }
 
-// Compile makes rules ready. Its memory is that of rules times their classes.
+// Compile compiles rules for lookup. The memory used grows with the number of rules times the number of
+// classes.
 func Compile(rules []Rule) *Rights {
 	r := &Rights{rules: slices.Clone(rules), classIndex: map[string]int{}}
-	for _, x := range rules {
-		for _, c := range x.Classes {
+	for _, rule := range rules {
+		for _, c := range rule.Classes {
 			if _, ok := r.classIndex[c]; !ok {
 				r.classIndex[c] = len(r.classIndex)
 			}
@@ -125,70 +128,71 @@
 	}
 	r.classTrees = make([]prefixTrees, len(r.classIndex)+1)
 	for i := range r.rules {
-		x := &r.rules[i]
-		if x.Classes == nil {
+		rule := &r.rules[i]
+		if rule.Classes == nil {
 			for j := range r.classTrees {
-				r.classTrees[j].add(x, i)
+				r.classTrees[j].add(rule, i)
 			}
 		}
-		for _, c := range x.Classes {
-			r.classTrees[r.classIndex[c]].add(x, i)
+		for _, c := range rule.Classes {
+			r.classTrees[r.classIndex[c]].add(rule, i)
 		}
 	}
 	return r
 }
 
-// Join are the rules of several rights, one after the other.
-func Join(of ...*Rights) *Rights {
-	if len(of) == 1 {
-		return of[0]
+// Join returns the concatenated rules of several rights.
+func Join(rights ...*Rights) *Rights {
+	if len(rights) == 1 {
+		return rights[0]
 	}
-	var all []Rule
-	for _, r := range of {
-		all = append(all, r.rules...)
+	var rules []Rule
+	for _, r := range rights {
+		rules = append(rules, r.rules...)
 	}
-	return Compile(all)
+	return Compile(rules)
 }
 
-// Rules are the rules in their order. They must not be changed.
+// Rules returns the rules in order. The caller must not modify them.
 func (r *Rights) Rules() []Rule { return r.rules }
 
-func (t *prefixTrees) add(x *Rule, i int) {
-	if x.Access&Read != 0 {
-		t.read.add(x.Prefix, i)
+func (t *prefixTrees) add(rule *Rule, index int) {
+	if rule.Access&Read != 0 {
+		t.read.add(rule.Prefix, index)
 	}
-	if x.Access&Write != 0 {
-		t.write.add(x.Prefix, i)
+	if rule.Access&Write != 0 {
+		t.write.add(rule.Prefix, index)
 	}
 }
 
-func (n *node) add(prefix string, rule int) {
+func (n *node) add(prefix string, index int) {
 	if prefix == "" {
-		n.rules = append(n.rules, rule)
+		n.rules = append(n.rules, index)
 		return
 	}
 	for i := range n.edges {
 		e := &n.edges[i]
-		same := 0
-		for same < len(prefix) && same < len(e.label) && prefix[same] == e.label[same] {
-			same++
+		common := 0
+		for common < len(prefix) && common < len(e.label) && prefix[common] == e.label[common] {
+			common++
 		}
-		if same == 0 {
+		if common == 0 {
 			continue
 		}
-		if same < len(e.label) { // the edge is split where the two part
-			e.child = &node{edges: []edge{{e.label[same:], e.child}}}
-			e.label = e.label[:same]
+		if common < len(e.label) { // split the edge where the labels differ
+			e.child = &node{edges: []edge{{e.label[common:], e.child}}}
+			e.label = e.label[:common]
 		}
-		e.child.add(prefix[same:], rule)
+		e.child.add(prefix[common:], index)
 		return
 	}
-	to := &node{}
-	to.add("", rule)
-	n.edges = append(n.edges, edge{prefix, to})
+	child := &node{}
+	child.add("", index)
+	n.edges = append(n.edges, edge{prefix, child})
 }
 
-// firstMatch is the first rule of all prefixes of a key that counts at a minute of the week.
+// firstMatch returns the index of the first rule for any prefix of the key that applies at a minute of the
+// week, or -1 if there is none.
 func (n *node) firstMatch(rules []Rule, key string, minute int) int {
 	best := -1
 	for {
@@ -215,23 +219,25 @@
 	}
 }
 
-// DecidingRule gives the rule that decides a request at a time, by its place among Rules; -1 = none fits, so it is denied. What both reads
-// and writes is decided by the rule for writes, if that for reads does not deny it.
+// DecidingRule returns the index in Rules of the rule that decides a request at the given time, or -1 if none
+// matches and the request is denied. A request that reads and writes is decided by the write rule, unless the
+// read is denied.
 func (r *Rights) DecidingRule(now float64, class, key string, access Access) int {
-	t := &r.classTrees[len(r.classTrees)-1]
+	trees := &r.classTrees[len(r.classTrees)-1]
 	if i, ok := r.classIndex[class]; ok {
-		t = &r.classTrees[i]
+		trees = &r.classTrees[i]
 	}
 	minute := minuteOfWeek(now)
 	if access&Read != 0 {
-		if i := t.read.firstMatch(r.rules, key, minute); access == Read || i < 0 || r.rules[i].Deny {
+		if i := trees.read.firstMatch(r.rules, key, minute); access == Read || i < 0 || r.rules[i].Deny {
 			return i
 		}
 	}
-	return t.write.firstMatch(r.rules, key, minute)
+	return trees.write.firstMatch(r.rules, key, minute)
 }
 
-// Allows says whether a request is allowed at a time, and by which rule.
+// Allows reports whether a request is allowed at the given time, and the index of the deciding rule (-1 =
+// none).
 func (r *Rights) Allows(now float64, class, key string, access Access) (rule int, ok bool) {
 	if r == nil {
 		return -1, false
@@ -240,12 +246,13 @@
 	return rule, rule >= 0 && !r.rules[rule].Deny
 }
 
-// RateLimiter keep what callers have used of rules that bound a rate. It has no lock. Its memory is bounded: buckets of which nothing
-// was taken lately are forgotten, as they are full.
+// RateLimiter enforces the rate limits of rules, with a token bucket per caller and rule. Its memory is
+// bounded: buckets that have not been used for some time are deleted, as they are full. It is not safe for
+// concurrent use.
 type RateLimiter struct {
-	share     float64
+	share     float64 // of each rate that this limiter may admit
 	buckets   map[rateKey]*rateBucket
-	lastSweep float64
+	lastSweep float64 // ms
 }
 
 type rateKey struct {
@@ -253,54 +260,58 @@
 	line, column int
 }
 
+// rateBucket is a token bucket; updatedAt is in ms.
 type rateBucket struct{ tokens, updatedAt float64 }
 
-// maxRateBuckets bounds the buckets. Beyond it a rate counts as used up: better than none being kept.
+// maxRateBuckets limits the number of buckets. Beyond it, requests that need a new bucket are rejected, since
+// admitting them would leave their rates unlimited.
 const maxRateBuckets = 1 << 16
 
-// rateBurstSeconds is the seconds of a rate that may be saved up.
+// rateBurstSeconds is the size of a bucket in seconds of its rate.
 const rateBurstSeconds = 1.0
 
-// NewRateLimiter is of a router, or an engine of one, that has this part of the service.
-func NewRateLimiter(portion float64) *RateLimiter {
-	return &RateLimiter{share: min(1, max(1e-6, portion)), buckets: map[rateKey]*rateBucket{}}
+// NewRateLimiter returns the rate limiter of a router, or of one engine of a router, that serves the given
+// share of the service's requests, 0 to 1.
+func NewRateLimiter(share float64) *RateLimiter {
+	return &RateLimiter{share: min(1, max(1e-6, share)), buckets: map[rateKey]*rateBucket{}}
 }
 
-// Allow takes one request of a caller from the rate of the rule that allows it. With false, it says after how many ms there is room.
-func (t *RateLimiter) Take(now float64, caller string, r *Rights, rule int) (again float64, ok bool) {
-	x := &r.rules[rule]
-	if x.Rate <= 0 {
+// Take counts one request of a caller against the rate limit of the rule that allows it. If the limit is
+// reached, it returns false and the time in ms after which a retry can succeed.
+func (l *RateLimiter) Take(now float64, caller string, r *Rights, ruleIndex int) (retryAfterMS float64, ok bool) {
+	rule := &r.rules[ruleIndex]
+	if rule.Rate <= 0 {
 		return 0, true
 	}
-	rate := x.Rate * t.share
-	depth := max(1, rate*rateBurstSeconds)
-	k := rateKey{caller, x.Line, x.Column}
-	b := t.buckets[k]
-	if b == nil {
-		if t.sweep(now); len(t.buckets) >= maxRateBuckets {
+	rate := rule.Rate * l.share
+	burst := max(1, rate*rateBurstSeconds)
+	key := rateKey{caller, rule.Line, rule.Column}
+	bucket := l.buckets[key]
+	if bucket == nil {
+		if l.sweep(now); len(l.buckets) >= maxRateBuckets {
 			return 1000, false
 		}
-		b = &rateBucket{depth, now}
-		t.buckets[k] = b
+		bucket = &rateBucket{burst, now}
+		l.buckets[key] = bucket
 	}
-	b.tokens = min(depth, b.tokens+rate*max(0, now-b.updatedAt)/1000)
-	b.updatedAt = max(b.updatedAt, now)
-	if b.tokens >= 1 {
-		b.tokens--
+	bucket.tokens = min(burst, bucket.tokens+rate*max(0, now-bucket.updatedAt)/1000)
+	bucket.updatedAt = max(bucket.updatedAt, now)
+	if bucket.tokens >= 1 {
+		bucket.tokens--
 		return 0, true
 	}
-	return math.Ceil((1 - b.tokens) / rate * 1000), false
+	return math.Ceil((1 - bucket.tokens) / rate * 1000), false
 }
 
-// sweep forgets, once a second at most, what nobody has used for so long that it is full.
-func (t *RateLimiter) sweep(now float64) {
-	if now-t.lastSweep < 1000 {
+// sweep deletes, at most once per second, the buckets that have been unused for long enough to be full.
+func (l *RateLimiter) sweep(now float64) {
+	if now-l.lastSweep < 1000 {
 		return
 	}
-	t.lastSweep = now
-	for k, b := range t.buckets {
-		if now-b.updatedAt > rateBurstSeconds*1000+1000/t.share {
-			delete(t.buckets, k)
+	l.lastSweep = now
+	for k, b := range l.buckets {
+		if now-b.updatedAt > rateBurstSeconds*1000+1000/l.share {
+			delete(l.buckets, k)
 		}
 	}
 }
--- a/internal/pure/caller/sample.go
+++ b/internal/pure/caller/sample.go
@@ -1,52 +1,54 @@
 package caller
 
-// Sampler bounds what is written of events that come in storms: so many of each kind a second, and the others are counted. Kinds
-// are few and known; their number bounds the memory.
+// Sampler limits the logging of events that arrive in bursts: it allows a fixed number of each kind per
+// second and counts the others. The kinds must be a small fixed set, since the memory grows with their
+// number.
 type Sampler struct {
 	maxPerSecond int
 	kinds        map[string]*kindCounter
 }
 
+// kindCounter holds the counts of one kind in the current window of a second.
 type kindCounter struct {
-	windowStart float64
+	windowStart float64 // ms
 	written     int
-	suppressed  int
+	suppressed  int // not reported yet
 }
 
-// NewSampler lets most of each kind be written each second.
-func NewSampler(most int) *Sampler {
-	return &Sampler{maxPerSecond: most, kinds: map[string]*kindCounter{}}
+// NewSampler returns a sampler that allows maxPerSecond events of each kind per second.
+func NewSampler(maxPerSecond int) *Sampler {
+	return &Sampler{maxPerSecond: maxPerSecond, kinds: map[string]*kindCounter{}}
 }
 
-// Allow says whether an event is to be written, and with it how many of its kind were left out before it.
-func (s *Sampler) Allow(now float64, kind string) (write bool, left int) {
-	k := s.kinds[kind]
-	if k == nil {
-		k = &kindCounter{windowStart: now}
-		s.kinds[kind] = k
+// Allow reports whether an event is to be logged, and if so, how many of its kind were suppressed before it.
+func (s *Sampler) Allow(now float64, kind string) (write bool, suppressed int) {
+	counter := s.kinds[kind]
+	if counter == nil {
+		counter = &kindCounter{windowStart: now}
+		s.kinds[kind] = counter
 	}
-	if now-k.windowStart >= 1000 {
-		k.windowStart, k.written = now, 0
+	if now-counter.windowStart >= 1000 {
+		counter.windowStart, counter.written = now, 0
 	}
-	if k.written >= s.maxPerSecond {
-		k.suppressed++
+	if counter.written >= s.maxPerSecond {
+		counter.suppressed++
 		return false, 0
 	}
-	k.written++
-	left, k.suppressed = k.suppressed, 0
-	return true, left
+	counter.written++
+	suppressed, counter.suppressed = counter.suppressed, 0
+	return true, suppressed
 }
 
-// TakeSuppressed gives how many of each kind were left out and not told of, for seconds that are over, and forgets them: a storm that has
-// passed is told of though no event of its kind follows.
+// TakeSuppressed returns and resets the number of unreported suppressed events by kind, for windows that have
+// ended. It reports a burst that has ended even if no event of its kind follows.
 func (s *Sampler) TakeSuppressed(now float64) map[string]int {
 	var out map[string]int
-	for name, k := range s.kinds {
-		if k.suppressed > 0 && now-k.windowStart >= 1000 {
+	for name, counter := range s.kinds {
+		if counter.suppressed > 0 && now-counter.windowStart >= 1000 {
 			if out == nil {
 				out = map[string]int{}
 			}
-			out[name], k.suppressed = k.suppressed, 0
+			out[name], counter.suppressed = counter.suppressed, 0
 		}
 	}
 	return out
