--- a/internal/pure/rights/rights.go
+++ b/internal/pure/rights/rights.go
@@ -1,5 +1,5 @@
-// Package rights is the language in which operators say what callers may do: roles, and the rules of each. It turns a text into
-// the rules of package caller and says what is wrong in it, with line and column. It does no input or output.
+// Package rights parses the language in which operators define what callers may do, as roles with rules. It
+// compiles a text to the rules of package caller and reports errors with line and column. It performs no I/O.
 //
 //	role dispatcher {
 //	  deny  any on "secret/"
@@ -7,7 +7,8 @@
 //	  allow order-poll on "poll/" write at mon-fri 06:00-22:00 up to 50/s
 //	}
 //
-// In a role the first rule that fits a request decides; what none fits is denied. Times are UTC.
+// Within a role, the first rule that matches a request decides; a request that matches none is denied. Times
+// are UTC.
 package rights
 
 import (
@@ -23,14 +24,14 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// Bounds of a text.
+// Limits on a rights file.
 const (
-	MaxTextBytes     = 1 << 20 // bytes
+	MaxTextBytes     = 1 << 20 // length of the file
 	MaxRoles         = 1000
-	MaxRules         = 10_000 // of all roles, after each list of prefixes has become a rule for each
+	MaxRules         = 10_000 // in all roles, counting each prefix of a rule as a rule
 	maxRatePerSecond = 1e9
 	maxNameBytes     = 64
-	maxPrefixBytes   = 250 // bytes of a prefix: no key is longer
+	maxPrefixBytes   = 250 // length of a prefix; no key is longer
 	maxErrors        = 100
 )
 
@@ -66,7 +67,8 @@
 	Value float64 `parser:"@Number"`
 }
 
-// tokenRules of a text. A word may hold a dash, so days are one: mon-fri.
+// tokenRules defines the tokens of the language. A word may contain dashes, so that mon-fri is a single
+// token.
 var tokenRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
 	{Name: "Time", Pattern: `[0-9]{1,2}:[0-9]{2}`},
@@ -79,75 +81,77 @@
 
 var parser = participle.MustBuild[file](participle.Lexer(tokenRules), participle.Elide("Comment", "Blank"), participle.Unquote("String"), participle.UseLookahead(2))
 
-// ParseError is one thing that is wrong in a text.
+// ParseError describes one syntax or semantic error in a rights file.
 type ParseError struct {
 	File         string
-	Line, Column int // from 1
+	Line, Column int // starting at 1
 	Message      string
 }
 
-func (f ParseError) Error() string {
-	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
+func (e ParseError) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
 
-// ParseErrors are all that is wrong in a text, in its order.
+// ParseErrors lists the errors in a rights file, in the order in which they were found.
 type ParseErrors []ParseError
 
-func (fs ParseErrors) Error() string {
-	lines := make([]string, len(fs))
-	for i, f := range fs {
-		lines[i] = f.Error()
+func (errs ParseErrors) Error() string {
+	lines := make([]string, len(errs))
+	for i, e := range errs {
+		lines[i] = e.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Err is the faults as an error, nil where there are none.
-func (fs ParseErrors) Err() error {
-	if len(fs) == 0 {
+// Err returns the errors as one error, or nil if there are none.
+func (errs ParseErrors) Err() error {
+	if len(errs) == 0 {
 		return nil
 	}
-	return fs
+	return errs
 }
 
-// Parse checks a text whole and compiles its roles. classes are the names that rules may use; nil = nobody knows them here.
-func Parse(name, text string, classes []string) (map[string]*caller.Rights, ParseErrors) {
+// Parse validates a whole rights file and compiles its roles. If there are errors, the roles are nil. classes
+// lists the class names that rules may use; nil = class names are not checked.
+func Parse(fileName, text string, classes []string) (map[string]*caller.Rights, ParseErrors) {
 	if len(text) > MaxTextBytes {
-		return nil, ParseErrors{{name, 1, 1, fmt.Sprintf("over %d bytes", MaxTextBytes)}}
+		return nil, ParseErrors{{fileName, 1, 1, fmt.Sprintf("text is longer than %d bytes", MaxTextBytes)}}
 	}
-	f, err := parser.ParseString("", text)
+	parsed, err := parser.ParseString("", text)
 	if err != nil {
-		var p participle.Error
-		if errors.As(err, &p) {
-			return nil, ParseErrors{{name, p.Position().Line, p.Position().Column, p.Message()}}
+		var syntaxErr participle.Error
+		if errors.As(err, &syntaxErr) {
+			return nil, ParseErrors{{fileName, syntaxErr.Position().Line, syntaxErr.Position().Column, syntaxErr.Message()}}
 		}
-		return nil, ParseErrors{{name, 1, 1, err.Error()}}
+		return nil, ParseErrors{{fileName, 1, 1, err.Error()}}
 	}
-	c := roleCompiler{fileName: name, classes: classes, roles: map[string]*caller.Rights{}, roleLines: map[string]int{}}
-	c.compileFile(f)
+	c := roleCompiler{fileName: fileName, classes: classes, roles: map[string]*caller.Rights{}, roleLines: map[string]int{}}
+	c.compileFile(parsed)
 	if c.errs != nil {
 		return nil, c.errs
 	}
 	return c.roles, nil
 }
 
+// roleCompiler holds the state of compiling one file.
 type roleCompiler struct {
 	fileName  string
 	classes   []string
 	roles     map[string]*caller.Rights
-	roleLines map[string]int // lines of the roles
+	roleLines map[string]int // line of each role by name
 	ruleCount int
 	errs      ParseErrors
 }
 
-func (c *roleCompiler) errorf(at lexer.Position, format string, args ...any) {
+func (c *roleCompiler) errorf(pos lexer.Position, format string, args ...any) {
 	if len(c.errs) < maxErrors {
-		c.errs = append(c.errs, ParseError{c.fileName, at.Line, at.Column, fmt.Sprintf(format, args...)})
+		c.errs = append(c.errs, ParseError{c.fileName, pos.Line, pos.Column, fmt.Sprintf(format, args...)})
 	}
 }
 
 func (c *roleCompiler) compileFile(f *file) {
 	if len(f.Roles) > MaxRoles {
-		c.errorf(f.Roles[MaxRoles].Pos, "over %d roles", MaxRoles)
+		c.errorf(f.Roles[MaxRoles].Pos, "more than %d roles", MaxRoles)
 		return
 	}
 	for _, r := range f.Roles {
@@ -156,155 +160,156 @@
 }
 
 func (c *roleCompiler) compileRole(r *role) {
-	switch line, twice := c.roleLines[r.Name]; {
-	case twice:
-		c.errorf(r.Pos, "role %s is there already, at line %d", r.Name, line)
+	switch line, duplicate := c.roleLines[r.Name]; {
+	case duplicate:
+		c.errorf(r.Pos, "role %s is already defined at line %d", r.Name, line)
 	case len(r.Name) > maxNameBytes:
-		c.errorf(r.Pos, "role %.40s…: over %d characters", r.Name, maxNameBytes)
+		c.errorf(r.Pos, "role name %.40s… is longer than %d characters", r.Name, maxNameBytes)
 	}
 	c.roleLines[r.Name] = r.Pos.Line
 	var rules []caller.Rule
-	var at []lexer.Position
-	for _, x := range r.Rules {
-		for _, y := range c.expandRule(x) {
-			rules, at = append(rules, y), append(at, x.Pos)
+	var positions []lexer.Position
+	for _, source := range r.Rules {
+		for _, compiled := range c.expandRule(source) {
+			rules, positions = append(rules, compiled), append(positions, source.Pos)
 		}
 	}
 	if c.ruleCount += len(rules); c.ruleCount > MaxRules {
-		c.errorf(r.Pos, "over %d rules", MaxRules)
+		c.errorf(r.Pos, "more than %d rules", MaxRules)
 		return
 	}
-	c.reportShadowed(rules, at)
+	c.reportShadowed(rules, positions)
 	c.roles[r.Name] = caller.Compile(rules)
 }
 
-// reportShadowed tells of rules that never decide anything: an operator who wrote one meant something else.
-func (c *roleCompiler) reportShadowed(rules []caller.Rule, at []lexer.Position) {
+// reportShadowed reports rules that can never decide a request, which an operator cannot have intended.
+func (c *roleCompiler) reportShadowed(rules []caller.Rule, positions []lexer.Position) {
 	for i := range rules {
 		j := caller.ShadowedBy(rules, i)
 		switch {
 		case j < 0:
 		case rules[j].Deny != rules[i].Deny:
-			c.errorf(at[i], "contradicts line %d, which says the opposite of all that this rule is about and comes first", at[j].Line)
+			c.errorf(positions[i], "contradicts line %d, which comes first, matches every request that this rule matches, and has the opposite effect", positions[j].Line)
 		default:
-			c.errorf(at[i], "never applies: line %d says the same of all that this rule is about", at[j].Line)
+			c.errorf(positions[i], "never applies: line %d already matches every request that this rule matches, with the same effect", positions[j].Line)
 		}
 	}
 }
 
-// expandRule gives a rule for each prefix.
-func (c *roleCompiler) expandRule(x *rule) []caller.Rule {
-	out := caller.Rule{Deny: x.Effect == "deny", Access: caller.ReadWrite, Line: x.Pos.Line, Column: x.Pos.Column}
-	switch x.Access {
+// expandRule returns one compiled rule for each prefix of a parsed rule.
+func (c *roleCompiler) expandRule(source *rule) []caller.Rule {
+	base := caller.Rule{Deny: source.Effect == "deny", Access: caller.ReadWrite, Line: source.Pos.Line, Column: source.Pos.Column}
+	switch source.Access {
 	case "read":
-		out.Access = caller.Read
+		base.Access = caller.Read
 	case "write":
-		out.Access = caller.Write
+		base.Access = caller.Write
 	}
-	out.Classes = c.ruleClasses(x)
-	out.Spans = c.ruleSpans(x)
-	if x.Rate != nil {
+	base.Classes = c.ruleClasses(source)
+	base.Spans = c.ruleSpans(source)
+	if source.Rate != nil {
 		switch {
-		case out.Deny:
-			c.errorf(x.Rate.Pos, "a rate belongs to allow alone")
-		case !(x.Rate.Value > 0 && x.Rate.Value <= maxRatePerSecond):
-			c.errorf(x.Rate.Pos, "%v is no rate; above 0 and up to %v requests a second are", x.Rate.Value, maxRatePerSecond)
+		case base.Deny:
+			c.errorf(source.Rate.Pos, "only an allow rule can have a rate limit")
+		case !(source.Rate.Value > 0 && source.Rate.Value <= maxRatePerSecond):
+			c.errorf(source.Rate.Pos, "rate %v is out of range; it must be above 0 and at most %v requests per second", source.Rate.Value, maxRatePerSecond)
 		}
-		out.Rate = x.Rate.Value
+		base.Rate = source.Rate.Value
 	}
-	if x.Prefixes == nil {
-		return []caller.Rule{out}
+	if source.Prefixes == nil {
+		return []caller.Rule{base}
 	}
-	var all []caller.Rule
-	for _, p := range x.Prefixes {
-		if p == "" || len(p) > maxPrefixBytes {
-			c.errorf(x.Pos, "%q is no prefix; 1 to %d bytes are, and without on … a rule is about all keys", p[:min(len(p), 40)], maxPrefixBytes)
+	var expanded []caller.Rule
+	for _, prefix := range source.Prefixes {
+		if prefix == "" || len(prefix) > maxPrefixBytes {
+			c.errorf(source.Pos, "invalid prefix %q: must be 1 to %d bytes long; omit on … to match all keys", prefix[:min(len(prefix), 40)], maxPrefixBytes)
 		}
-		y := out
-		y.Prefix = p
-		all = append(all, y)
+		withPrefix := base
+		withPrefix.Prefix = prefix
+		expanded = append(expanded, withPrefix)
 	}
-	return all
+	return expanded
 }
 
-// ruleClasses gives the classes of a rule, nil for any.
-func (c *roleCompiler) ruleClasses(x *rule) []string {
-	if slices.Contains(x.Classes, "any") {
-		if len(x.Classes) > 1 {
-			c.errorf(x.Pos, "any stands alone: it is every class")
+// ruleClasses returns the classes of a rule, or nil for any class.
+func (c *roleCompiler) ruleClasses(source *rule) []string {
+	if slices.Contains(source.Classes, "any") {
+		if len(source.Classes) > 1 {
+			c.errorf(source.Pos, "any cannot be combined with other classes: it already means every class")
 		}
 		return nil
 	}
-	for i, n := range x.Classes {
-		if c.classes != nil && !slices.Contains(c.classes, n) {
-			c.errorf(x.Pos, "%.40q is no class; %s are", n, strings.Join(c.classes, ", "))
+	for i, class := range source.Classes {
+		if c.classes != nil && !slices.Contains(c.classes, class) {
+			c.errorf(source.Pos, "unknown class %.40q; the classes are %s", class, strings.Join(c.classes, ", "))
 		}
-		if slices.Contains(x.Classes[:i], n) {
-			c.errorf(x.Pos, "class %s is there twice", n)
+		if slices.Contains(source.Classes[:i], class) {
+			c.errorf(source.Pos, "class %s is listed twice", class)
 		}
 	}
-	return x.Classes
+	return source.Classes
 }
 
 var weekdays = []string{"mon", "tue", "wed", "thu", "fri", "sat", "sun"}
 
 const minutesPerDay = 24 * 60
 
-// ruleSpans gives the parts of the week of a rule, nil for always.
-func (c *roleCompiler) ruleSpans(x *rule) []caller.Span {
-	var out []caller.Span
-	for _, h := range x.Hours {
-		first, last, ok := parseDays(h.Days)
-		from, ok1 := parseMinutes(h.From)
-		to, ok2 := parseMinutes(h.To)
+// ruleSpans returns the parts of the week in which a rule applies, or nil for always.
+func (c *roleCompiler) ruleSpans(source *rule) []caller.Span {
+	var spans []caller.Span
+	for _, h := range source.Hours {
+		first, last, daysValid := parseDays(h.Days)
+		from, fromValid := parseMinutes(h.From)
+		to, toValid := parseMinutes(h.To)
 		switch {
-		case !ok:
-			c.errorf(h.Pos, "%.20q are no days; mon, mon-fri and sat-sun are", h.Days)
-		case !ok1 || !ok2:
-			c.errorf(h.Pos, "%s-%s: 00:00 to 24:00 are right", h.From, h.To)
+		case !daysValid:
+			c.errorf(h.Pos, "invalid days %.20q; valid examples are mon, mon-fri and sat-sun", h.Days)
+		case !fromValid || !toValid:
+			c.errorf(h.Pos, "invalid time range %s-%s; times must lie between 00:00 and 24:00", h.From, h.To)
 		case from == to:
-			c.errorf(h.Pos, "%s-%s is no time at all", h.From, h.To)
+			c.errorf(h.Pos, "time range %s-%s is empty", h.From, h.To)
 		default:
-			for d := first; ; d = (d + 1) % 7 {
+			for day := first; ; day = (day + 1) % 7 {
 				if from < to {
-					out = append(out, caller.Span{From: d*minutesPerDay + from, To: d*minutesPerDay + to})
-				} else { // over midnight
-					out = append(out, caller.Span{From: d*minutesPerDay + from, To: (d + 1) * minutesPerDay}, caller.Span{From: (d + 1) % 7 * minutesPerDay, To: (d+1)%7*minutesPerDay + to})
+					spans = append(spans, caller.Span{From: day*minutesPerDay + from, To: day*minutesPerDay + to})
+				} else { // past midnight
+					spans = append(spans, caller.Span{From: day*minutesPerDay + from, To: (day + 1) * minutesPerDay}, caller.Span{From: (day + 1) % 7 * minutesPerDay, To: (day+1)%7*minutesPerDay + to})
 				}
-				if d == last {
+				if day == last {
 					break
 				}
 			}
 		}
 	}
-	if out == nil {
+	if spans == nil {
 		return nil
 	}
-	out = caller.NormalizeSpans(out)
-	if len(out) == 1 && out[0] == (caller.Span{From: 0, To: caller.MinutesPerWeek}) {
+	spans = caller.NormalizeSpans(spans)
+	if len(spans) == 1 && spans[0] == (caller.Span{From: 0, To: caller.MinutesPerWeek}) {
 		return nil
 	}
-	return out
+	return spans
 }
 
-// parseDays reads mon or mon-fri; "" is every day.
+// parseDays parses a day or a range of days, such as mon or mon-fri, to indexes in weekdays. "" means every
+// day.
 func parseDays(text string) (first, last int, ok bool) {
 	if text == "" {
 		return 0, 6, true
 	}
-	a, b, ranged := strings.Cut(strings.ToLower(text), "-")
+	firstName, lastName, ranged := strings.Cut(strings.ToLower(text), "-")
 	if !ranged {
-		b = a
+		lastName = firstName
 	}
-	first, last = slices.Index(weekdays, a), slices.Index(weekdays, b)
+	first, last = slices.Index(weekdays, firstName), slices.Index(weekdays, lastName)
 	return first, last, first >= 0 && last >= 0
 }
 
-// parseMinutes reads HH:MM up to 24:00.
+// parseMinutes parses HH:MM, up to 24:00, to minutes since midnight.
 func parseMinutes(text string) (int, bool) {
-	h, m, _ := strings.Cut(text, ":")
-	hour, err := strconv.Atoi(h)
-	minute, err2 := strconv.Atoi(m)
-	n := hour*60 + minute
-	return n, err == nil && err2 == nil && minute < 60 && n <= minutesPerDay
+	hourText, minuteText, _ := strings.Cut(text, ":")
+	hour, hourErr := strconv.Atoi(hourText)
+	minute, minuteErr := strconv.Atoi(minuteText)
+	total := hour*60 + minute
+	return total, hourErr == nil && minuteErr == nil && minute < 60 && total <= minutesPerDay
 }
