--- a/internal/pure/caller/caller_test.go
+++ b/internal/pure/caller/caller_test.go
@@ -27,72 +27,73 @@
 	if change != nil {
 		change(&c)
 	}
-	b, faults := NewCredentialStore(c)
-	if faults != nil {
-		t.Fatal(faults)
+	store, errs := NewCredentialStore(c)
+	if errs != nil {
+		t.Fatal(errs)
 	}
-	return b
+	return store
 }
 
 func testClaims(at float64) Claims {
 	return Claims{KeyID: "k", KeyDigest: [32]byte{1}, Issuer: "i", Subject: "sub", Audience: []string{"x", "r"}, IssuedAt: at, ExpiresAt: at + 10*minuteMS}
 }
 
-// Every reason has its cause, and a token that is taken holds no longer than it, its key's state and the book's version do.
+// Checks the cause of each rejection, and that an identity is valid no longer than its token, the state of
+// its key and the version of the store.
 func TestAuthenticationResults(t *testing.T) {
-	b := newTestStore(t, nil)
+	store := newTestStore(t, nil)
 	for name, c := range map[string]struct {
 		now    float64
 		change func(*Claims)
 		want   Reason
 	}{
-		"taken":                            {150 * minuteMS, func(*Claims) {}, None},
-		"announced key":                    {50 * minuteMS, func(*Claims) {}, NotYetValid},
-		"the signer's clock is ahead":      {100*minuteMS - 900, func(c *Claims) { c.IssuedAt = 100 * minuteMS }, None},
-		"ahead by more than clocks differ": {100*minuteMS - 1100, func(c *Claims) { c.IssuedAt = 100 * minuteMS }, NotYetValid},
-		"retiring: signed before":          {205 * minuteMS, func(c *Claims) { c.IssuedAt = 199 * minuteMS; c.ExpiresAt = 209 * minuteMS }, None},
-		"retiring: signed since":           {205 * minuteMS, func(c *Claims) { c.IssuedAt = 201 * minuteMS }, KeyRetired},
-		"retired":                          {300 * minuteMS, func(c *Claims) { c.IssuedAt = 199 * minuteMS; c.ExpiresAt = 250 * minuteMS }, KeyRetired},
-		"expired":                          {150 * minuteMS, func(c *Claims) { c.IssuedAt, c.ExpiresAt = 130*minuteMS, 149*minuteMS }, Expired},
-		"expired within the skew":          {150 * minuteMS, func(c *Claims) { c.IssuedAt, c.ExpiresAt = 130*minuteMS, 150*minuteMS-500 }, None},
-		"not yet":                          {150 * minuteMS, func(c *Claims) { c.NotBefore = 151 * minuteMS }, NotYetValid},
-		"from the future":                  {150 * minuteMS, func(c *Claims) { c.IssuedAt, c.ExpiresAt = 155*minuteMS, 160*minuteMS }, NotYetValid},
-		"another audience":                 {150 * minuteMS, func(c *Claims) { c.Audience = []string{"x"} }, WrongAudience},
-		"none":                             {150 * minuteMS, func(c *Claims) { c.Audience = nil }, WrongAudience},
-		"another issuer":                   {150 * minuteMS, func(c *Claims) { c.Issuer = "j" }, WrongIssuer},
-		"unknown key":                      {150 * minuteMS, func(c *Claims) { c.KeyID = "x" }, UnknownKey},
-		"a secret's id":                    {150 * minuteMS, func(c *Claims) { c.KeyID = "s" }, UnknownKey},
-		"another key of its id":            {150 * minuteMS, func(c *Claims) { c.KeyDigest = [32]byte{9} }, UnknownKey},
-		"lives too long":                   {150 * minuteMS, func(c *Claims) { c.ExpiresAt = c.IssuedAt + 61*minuteMS }, TooLong},
-		"lives for ever":                   {150 * minuteMS, func(c *Claims) { c.ExpiresAt = 0 }, TooLong},
-		"does not say since when":          {150 * minuteMS, func(c *Claims) { c.IssuedAt = 0 }, TooLong},
-		"ends before it begins":            {150 * minuteMS, func(c *Claims) { c.ExpiresAt = c.IssuedAt - 1 }, Expired},
-		"nobody's subject":                 {150 * minuteMS, func(c *Claims) { c.Subject = "other" }, NoTenant},
+		"accepted":                       {150 * minuteMS, func(*Claims) {}, None},
+		"announced key":                  {50 * minuteMS, func(*Claims) {}, NotYetValid},
+		"the signer's clock is ahead":    {100*minuteMS - 900, func(c *Claims) { c.IssuedAt = 100 * minuteMS }, None},
+		"ahead by more than the skew":    {100*minuteMS - 1100, func(c *Claims) { c.IssuedAt = 100 * minuteMS }, NotYetValid},
+		"retiring: signed before":        {205 * minuteMS, func(c *Claims) { c.IssuedAt = 199 * minuteMS; c.ExpiresAt = 209 * minuteMS }, None},
+		"retiring: signed after":         {205 * minuteMS, func(c *Claims) { c.IssuedAt = 201 * minuteMS }, KeyRetired},
+		"retired":                        {300 * minuteMS, func(c *Claims) { c.IssuedAt = 199 * minuteMS; c.ExpiresAt = 250 * minuteMS }, KeyRetired},
+		"expired":                        {150 * minuteMS, func(c *Claims) { c.IssuedAt, c.ExpiresAt = 130*minuteMS, 149*minuteMS }, Expired},
+		"expired within the skew":        {150 * minuteMS, func(c *Claims) { c.IssuedAt, c.ExpiresAt = 130*minuteMS, 150*minuteMS-500 }, None},
+		"not valid yet":                  {150 * minuteMS, func(c *Claims) { c.NotBefore = 151 * minuteMS }, NotYetValid},
+		"issued in the future":           {150 * minuteMS, func(c *Claims) { c.IssuedAt, c.ExpiresAt = 155*minuteMS, 160*minuteMS }, NotYetValid},
+		"another audience":               {150 * minuteMS, func(c *Claims) { c.Audience = []string{"x"} }, WrongAudience},
+		"no audience":                    {150 * minuteMS, func(c *Claims) { c.Audience = nil }, WrongAudience},
+		"another issuer":                 {150 * minuteMS, func(c *Claims) { c.Issuer = "j" }, WrongIssuer},
+		"unknown key":                    {150 * minuteMS, func(c *Claims) { c.KeyID = "x" }, UnknownKey},
+		"id of a secret":                 {150 * minuteMS, func(c *Claims) { c.KeyID = "s" }, UnknownKey},
+		"key replaced under the same id": {150 * minuteMS, func(c *Claims) { c.KeyDigest = [32]byte{9} }, UnknownKey},
+		"lifetime too long":              {150 * minuteMS, func(c *Claims) { c.ExpiresAt = c.IssuedAt + 61*minuteMS }, TooLong},
+		"no expiry":                      {150 * minuteMS, func(c *Claims) { c.ExpiresAt = 0 }, TooLong},
+		"no issue time":                  {150 * minuteMS, func(c *Claims) { c.IssuedAt = 0 }, TooLong},
+		"expires before it is issued":    {150 * minuteMS, func(c *Claims) { c.ExpiresAt = c.IssuedAt - 1 }, Expired},
+		"unknown subject":                {150 * minuteMS, func(c *Claims) { c.Subject = "other" }, NoTenant},
 	} {
-		c2 := testClaims(c.now)
-		c.change(&c2)
-		p, why := b.AuthenticateToken(c.now, c2)
-		if why != c.want || (p != nil) != (why == None) {
-			t.Errorf("%s: %v, want %v", name, why, c.want)
+		tokenClaims := testClaims(c.now)
+		c.change(&tokenClaims)
+		id, reason := store.AuthenticateToken(c.now, tokenClaims)
+		if reason != c.want || (id != nil) != (reason == None) {
+			t.Errorf("%s: %v, want %v", name, reason, c.want)
 		}
-		if p != nil && (p.ValidUntil > c2.ExpiresAt+1000 || p.Version != 1 || p.Tenant.Generation != 3 || p.Valid(2, c.now) || !p.Valid(1, c.now) || p.Valid(1, p.ValidUntil)) {
-			t.Errorf("%s: %+v", name, p)
+		if id != nil && (id.ValidUntil > tokenClaims.ExpiresAt+1000 || id.Version != 1 || id.Tenant.Generation != 3 || id.Valid(2, c.now) || !id.Valid(1, c.now) || id.Valid(1, id.ValidUntil)) {
+			t.Errorf("%s: %+v", name, id)
 		}
 	}
-	if p, why := b.AuthenticateToken(195*minuteMS, testClaims(195*minuteMS)); why != None || p.ValidUntil != 200*minuteMS {
-		t.Errorf("a key that changes soon: %v, %+v", why, p)
+	if id, reason := store.AuthenticateToken(195*minuteMS, testClaims(195*minuteMS)); reason != None || id.ValidUntil != 200*minuteMS {
+		t.Errorf("a key that retires before the token expires: %v, %+v", reason, id)
 	}
-	if _, why := b.AuthenticateSecret(2*minuteMS, "s", [32]byte{3}); why != BadSignature {
-		t.Error(why)
+	if _, reason := store.AuthenticateSecret(2*minuteMS, "s", [32]byte{3}); reason != BadSignature {
+		t.Error(reason)
 	}
-	if p, why := b.AuthenticateSecret(2*minuteMS, "s", [32]byte{2}); why != None || p.ValidUntil != 400*minuteMS {
-		t.Error(why, p)
+	if id, reason := store.AuthenticateSecret(2*minuteMS, "s", [32]byte{2}); reason != None || id.ValidUntil != 400*minuteMS {
+		t.Error(reason, id)
 	}
-	if _, why := b.AuthenticateSecret(400*minuteMS, "s", [32]byte{2}); why != KeyRevoked {
-		t.Error(why)
+	if _, reason := store.AuthenticateSecret(400*minuteMS, "s", [32]byte{2}); reason != KeyRevoked {
+		t.Error(reason)
 	}
-	if _, why := b.AuthenticateCertificate(1, Certificate{Names: []string{"dns:p", "dns:q"}, NotAfter: minuteMS}); why != TwoTenants {
-		t.Error(why)
+	if _, reason := store.AuthenticateCertificate(1, Certificate{Names: []string{"dns:p", "dns:q"}, NotAfter: minuteMS}); reason != TwoTenants {
+		t.Error(reason)
 	}
 	for _, r := range Reasons() {
 		if r.String() == "" || strings.ContainsAny(r.String(), " ,") {
@@ -101,15 +102,16 @@
 	}
 }
 
-// A router whose clock is a minute off takes what lives long enough where the skew allows for it, and else says why not, both ways.
+// Checks a router whose clock is a minute fast or slow: valid tokens are accepted if the skew covers the
+// difference, and are otherwise rejected as not valid yet or as expired.
 func TestClockOffByOneMinute(t *testing.T) {
 	for _, skew := range []float64{30e3, 90e3} {
-		b := newTestStore(t, func(c *Contents) { c.Policy.Skew = skew })
+		store := newTestStore(t, func(endingClaims *Contents) { endingClaims.Policy.Skew = skew })
 		for _, off := range []float64{-minuteMS, minuteMS} {
 			at := 150 * minuteMS
-			_, fresh := b.AuthenticateToken(at+off, testClaims(at))
-			c := testClaims(at - 10*minuteMS + 30e3) // ends in half a minute
-			_, ending := b.AuthenticateToken(at+off, c)
+			_, fresh := store.AuthenticateToken(at+off, testClaims(at))
+			endingClaims := testClaims(at - 10*minuteMS + 30e3) // expires in half a minute
+			_, ending := store.AuthenticateToken(at+off, endingClaims)
 			wantFresh, wantEnding := None, None
 			if skew < minuteMS {
 				if off < 0 {
@@ -126,56 +128,56 @@
 	}
 }
 
-// A pass is judged again by what the book says now, without its proof being shown again.
+// Checks that Reauthenticate evaluates an identity against the current store without the credential itself.
 func TestRenew(t *testing.T) {
 	at := 150 * minuteMS
-	p, why := newTestStore(t, nil).AuthenticateToken(at, testClaims(at))
-	if why != None {
-		t.Fatal(why)
+	tokenID, reason := newTestStore(t, nil).AuthenticateToken(at, testClaims(at))
+	if reason != None {
+		t.Fatal(reason)
 	}
 	for name, c := range map[string]struct {
 		change func(*Contents)
 		want   Reason
 	}{
-		"another version":          {func(c *Contents) { c.Version = 2 }, None},
-		"revoked":                  {func(c *Contents) { c.Keys[0].Lifecycle.Revoked = at }, KeyRevoked},
-		"another key of its id":    {func(c *Contents) { c.Keys[0].Digest = [32]byte{9} }, UnknownKey},
-		"the key is gone":          {func(c *Contents) { c.Keys = c.Keys[1:] }, UnknownKey},
-		"the tenant was made anew": {func(c *Contents) { c.Tenants[0].Generation++ }, NoTenant},
-		"suspended":                {func(c *Contents) { c.Tenants[0].Suspended = true }, NoTenant},
-		"the caller is gone":       {func(c *Contents) { c.Principals = c.Principals[1:]; c.Keys = c.Keys[:1] }, NoTenant},
+		"another version":                {func(c *Contents) { c.Version = 2 }, None},
+		"revoked":                        {func(c *Contents) { c.Keys[0].Lifecycle.Revoked = at }, KeyRevoked},
+		"key replaced under the same id": {func(c *Contents) { c.Keys[0].Digest = [32]byte{9} }, UnknownKey},
+		"key removed":                    {func(c *Contents) { c.Keys = c.Keys[1:] }, UnknownKey},
+		"tenant recreated":               {func(c *Contents) { c.Tenants[0].Generation++ }, NoTenant},
+		"suspended":                      {func(c *Contents) { c.Tenants[0].Suspended = true }, NoTenant},
+		"caller removed":                 {func(c *Contents) { c.Principals = c.Principals[1:]; c.Keys = c.Keys[:1] }, NoTenant},
 	} {
-		if _, why := newTestStore(t, c.change).Reauthenticate(at, p); why != c.want {
-			t.Errorf("%s: %v, want %v", name, why, c.want)
+		if _, reason := newTestStore(t, c.change).Reauthenticate(at, tokenID); reason != c.want {
+			t.Errorf("%s: %v, want %v", name, reason, c.want)
 		}
 	}
 	anchored := newTestStore(t, func(c *Contents) { c.TrustAnchors = [][32]byte{{5}} })
-	q, why := anchored.AuthenticateCertificate(at, Certificate{Names: []string{"dns:p"}, NotAfter: at + minuteMS, TrustAnchor: [32]byte{5}})
-	if why != None {
-		t.Fatal(why)
+	certificateID, reason := anchored.AuthenticateCertificate(at, Certificate{Names: []string{"dns:p"}, NotAfter: at + minuteMS, TrustAnchor: [32]byte{5}})
+	if reason != None {
+		t.Fatal(reason)
 	}
-	if _, why := newTestStore(t, func(c *Contents) { c.TrustAnchors = [][32]byte{{6}} }).Reauthenticate(at, q); why != KeyRevoked {
-		t.Errorf("what vouched for it was withdrawn: %v", why)
+	if _, reason := newTestStore(t, func(c *Contents) { c.TrustAnchors = [][32]byte{{6}} }).Reauthenticate(at, certificateID); reason != KeyRevoked {
+		t.Errorf("trust anchor removed: %v", reason)
 	}
-	if _, why := anchored.Reauthenticate(at+minuteMS, q); why != Expired {
-		t.Error(why)
+	if _, reason := anchored.Reauthenticate(at+minuteMS, certificateID); reason != Expired {
+		t.Error(reason)
 	}
 }
 
-// How old a book may be is a setting: callers that are new go first, those that are known later, or never.
+// Checks the configured age limits of the store: new callers are rejected first, known ones later or never.
 func TestStale(t *testing.T) {
 	for _, c := range []struct {
 		forNew, forAll, age float64
 		wantNew, wantAll    bool
 	}{{0, 0, 1e12, false, false}, {10, 0, 11, true, false}, {10, 20, 15, true, false}, {10, 20, 21, true, true}, {0, 20, 15, false, false}, {0, 20, 21, true, true}} {
-		b := newTestStore(t, func(x *Contents) { x.Policy.StaleNew, x.Policy.StaleAll = c.forNew, c.forAll })
-		if n, a := b.Stale(1000, 1000+c.age); n != c.wantNew || a != c.wantAll {
-			t.Errorf("%+v: %v, %v", c, n, a)
+		store := newTestStore(t, func(x *Contents) { x.Policy.StaleNew, x.Policy.StaleAll = c.forNew, c.forAll })
+		if staleNew, staleAll := store.Stale(1000, 1000+c.age); staleNew != c.wantNew || staleAll != c.wantAll {
+			t.Errorf("%+v: %v, %v", c, staleNew, staleAll)
 		}
 	}
 }
 
-// What is wrong in a book is told with its place, and there is no book.
+// Checks that errors in the contents are reported with their path and that no store is built.
 func TestFaults(t *testing.T) {
 	for want, change := range map[string]func(*Contents){
 		"key[1].id: \"k\" is there twice":             func(c *Contents) { c.Keys[1].ID = "k" },
@@ -192,19 +194,20 @@
 	} {
 		c := testContents()
 		change(&c)
-		if b, faults := NewCredentialStore(c); b != nil || !strings.Contains(fmt.Sprint(faults), want) {
-			t.Errorf("want %q: %v", want, faults)
+		if b, errs := NewCredentialStore(c); b != nil || !strings.Contains(fmt.Sprint(errs), want) {
+			t.Errorf("want %q: %v", want, errs)
 		}
 	}
 }
 
-// The matcher decides as a plain walk over the rules does, whatever rules, keys and times.
+// Checks the prefix trees against a linear scan of the rules, for arbitrary rules, keys and times. Also
+// checks that a rule reported as shadowed never decides a request.
 func TestRightsAgreeWithLinearScan(t *testing.T) {
-	texts := rapid.SampledFrom([]string{"", "a", "ab", "abc", "b", "a/", "a/b", "ab/c", "{a}b"})
+	prefixes := rapid.SampledFrom([]string{"", "a", "ab", "abc", "b", "a/", "a/b", "ab/c", "{a}b"})
 	rapid.Check(t, func(t *rapid.T) {
 		var rules []Rule
 		for range rapid.IntRange(0, 12).Draw(t, "rules") {
-			r := Rule{Deny: rapid.Bool().Draw(t, "deny"), Prefix: texts.Draw(t, "prefix"), Access: Access(rapid.IntRange(1, 3).Draw(t, "access"))}
+			r := Rule{Deny: rapid.Bool().Draw(t, "deny"), Prefix: prefixes.Draw(t, "prefix"), Access: Access(rapid.IntRange(1, 3).Draw(t, "access"))}
 			if rapid.Bool().Draw(t, "named") {
 				r.Classes = []string{rapid.SampledFrom([]string{"x", "y"}).Draw(t, "class")}
 			}
@@ -216,9 +219,9 @@
 		}
 		rights := Compile(rules)
 		for range 20 {
-			class, key := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "of"), texts.Draw(t, "key")+texts.Draw(t, "more")
+			class, key := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "of"), prefixes.Draw(t, "key")+prefixes.Draw(t, "more")
 			access, now := Access(rapid.IntRange(1, 3).Draw(t, "does")), rapid.Float64Range(0, 1e13).Draw(t, "now")
-			walk := func(a Access) int {
+			scan := func(a Access) int {
 				for i, r := range rules {
 					if (r.Classes == nil || r.Classes[0] == class) && strings.HasPrefix(key, r.Prefix) && r.Access&a != 0 && r.activeAt(minuteOfWeek(now)) {
 						return i
@@ -226,9 +229,9 @@
 				}
 				return -1
 			}
-			want := walk(Write)
+			want := scan(Write)
 			if access&Read != 0 {
-				if i := walk(Read); access == Read || i < 0 || rules[i].Deny {
+				if i := scan(Read); access == Read || i < 0 || rules[i].Deny {
 					want = i
 				}
 			}
@@ -237,79 +240,82 @@
 			}
 			for i := range rules {
 				if j := ShadowedBy(rules, i); j >= 0 && want == i {
-					t.Fatalf("rule %d decides, though %d covers it: %+v", i, j, rules)
+					t.Fatalf("rule %d decides, though rule %d shadows it: %+v", i, j, rules)
 				}
 			}
 		}
 	})
 }
 
-// A flood of wrong credentials has its bounds, and costs neither who was right before nor those who come by another way.
+// Checks that the work spent on a flood of invalid credentials is bounded and that it does not cause
+// rejections for a known address, even if the flood names the key that this address uses.
 func TestFloodOfWrongCredentials(t *testing.T) {
-	l := NewAuthLimiter(0.2)
-	l.RecordResult(0, "good", "k", false)
-	checked, goodOnes, work := 0, 0, 0.0
+	limiter := NewAuthLimiter(0.2)
+	limiter.RecordResult(0, "good", "k", false)
+	checked, legitimate, workMS := 0, 0, 0.0
 	for now := 0.0; now < 60e3; now++ {
-		for i := range 20 { // 20,000 a second from 1,000 addresses, with the id of a key in use
-			from := fmt.Sprint("bad", (int(now)*20+i)%1000)
-			if l.Allow(now, from, "k", 0.1) {
+		for i := range 20 { // 20,000 per second from 1,000 addresses, with the id of a key in use
+			address := fmt.Sprint("bad", (int(now)*20+i)%1000)
+			if limiter.Allow(now, address, "k", 0.1) {
 				checked++
-				work += 0.1
-				l.RecordResult(now, from, "k", true)
+				workMS += 0.1
+				limiter.RecordResult(now, address, "k", true)
 			}
 		}
 		if int(now)%100 == 0 {
-			if l.Allow(now, "good", "k", 0.1) {
-				goodOnes++
-				l.RecordResult(now, "good", "k", false)
+			if limiter.Allow(now, "good", "k", 0.1) {
+				legitimate++
+				limiter.RecordResult(now, "good", "k", false)
 			}
 		}
 	}
-	if goodOnes != 600 {
-		t.Errorf("%d of 600 good ones were checked", goodOnes)
+	if legitimate != 600 {
+		t.Errorf("%d of 600 legitimate credentials were allowed", legitimate)
 	}
-	if work > 0.2*60e3 || checked > 60*keyFailuresPerSecond+2*keyFailuresPerSecond || checked < 1000 {
-		t.Errorf("%d wrong ones were checked, %v ms of work", checked, work)
+	if workMS > 0.2*60e3 || checked > 60*keyFailuresPerSecond+2*keyFailuresPerSecond || checked < 1000 {
+		t.Errorf("%d invalid credentials were allowed, %v ms of work", checked, workMS)
 	}
-	if a, k := l.Size(); a > maxAddresses || k > maxFailedKeys {
-		t.Error(a, k)
+	if addresses, keys := limiter.Size(); addresses > maxAddresses || keys > maxFailedKeys {
+		t.Error(addresses, keys)
 	}
 }
 
-// A rate holds over any stretch of time, and says when there is room again.
+// Checks that a rate limit holds over time, that a rejection gives the time until the next token, and that
+// each caller has its own bucket.
 func TestRates(t *testing.T) {
-	r := Compile([]Rule{{Access: ReadWrite, Rate: 100, Line: 1}})
-	x := NewRateLimiter(0.5)
-	taken := 0
+	rights := Compile([]Rule{{Access: ReadWrite, Rate: 100, Line: 1}})
+	limiter := NewRateLimiter(0.5)
+	admitted := 0
 	for now := 0.0; now < 10e3; now++ {
-		if again, ok := x.Take(now, "p", r, 0); ok {
-			taken++
-		} else if again < 1 || again > 20 {
-			t.Fatalf("again after %v ms", again)
+		if retryAfterMS, ok := limiter.Take(now, "p", rights, 0); ok {
+			admitted++
+		} else if retryAfterMS < 1 || retryAfterMS > 20 {
+			t.Fatalf("retry after %v ms", retryAfterMS)
 		}
 	}
-	if taken < 500 || taken > 551 {
-		t.Errorf("%d in 10 s at 50 a second", taken)
+	if admitted < 500 || admitted > 551 {
+		t.Errorf("%d admitted in 10 s at 50 per second", admitted)
 	}
-	if _, ok := x.Take(10e3, "q", r, 0); !ok {
-		t.Error("another caller's rate is used up")
+	if _, ok := limiter.Take(10e3, "q", rights, 0); !ok {
+		t.Error("the rate of another caller is used up")
 	}
 }
 
-// In a storm some records of each kind are written, and all the others are counted, also when none follows.
+// Checks that in a burst a limited number of events per second is allowed and that all others are counted,
+// even if no event follows the burst.
 func TestSampler(t *testing.T) {
 	s := NewSampler(5)
-	written, left := 0, 0
+	allowed, suppressed := 0, 0
 	for i := range 1000 {
-		w, n := s.Allow(float64(i*10), "a") // 10 s
-		if left += n; w {
-			written++
+		ok, n := s.Allow(float64(i*10), "a") // over 10 s
+		if suppressed += n; ok {
+			allowed++
 		}
 	}
 	for _, n := range s.TakeSuppressed(20e3) {
-		left += n
+		suppressed += n
 	}
-	if written < 50 || written > 55 || written+left != 1000 || s.TakeSuppressed(30e3) != nil {
-		t.Errorf("%d written, %d left out", written, left)
+	if allowed < 50 || allowed > 55 || allowed+suppressed != 1000 || s.TakeSuppressed(30e3) != nil {
+		t.Errorf("%d allowed, %d suppressed", allowed, suppressed)
 	}
 }
