--- a/internal/pure/caller/limit.go
+++ b/internal/pure/caller/limit.go
@@ -31,7 +31,7 @@
 	maxFailedKeys            = 1 << 10 // tracked key ids with failures, evicted likewise
 )
 
-// tokenBucket is a token bucket; updatedAt is in ms.
+// tokenBucket limits a rate; updatedAt is in ms.
 type tokenBucket struct{ tokens, updatedAt float64 }
 
 // refill adds the tokens for the time since the last update; rate is in tokens per second.
@@ -42,6 +42,7 @@
 	}
 }
 
+// addressRecord tracks the failures and the last success of an address.
 type addressRecord struct {
 	failureBudget tokenBucket
 	lastSuccess   float64 // time of the last successful check, ms; -Inf = never
--- a/internal/pure/caller/rights.go
+++ b/internal/pure/caller/rights.go
@@ -260,7 +260,7 @@
 	line, column int
 }
 
-// rateBucket is a token bucket; updatedAt is in ms.
+// rateBucket is the token bucket of one caller and rule; updatedAt is in ms.
 type rateBucket struct{ tokens, updatedAt float64 }
 
 // maxRateBuckets limits the number of buckets. Beyond it, requests that need a new bucket are rejected, since
--- a/internal/pure/caller/store.go
+++ b/internal/pure/caller/store.go
@@ -42,6 +42,7 @@
 	anchors      map[[32]byte]bool
 }
 
+// resolvedPrincipal is a principal with its tenant, key space and combined rights.
 type resolvedPrincipal struct {
 	*Principal
 	tenant *Tenant
@@ -58,6 +59,7 @@
 // maxValidationErrors limits the errors reported for one store.
 const maxValidationErrors = 100
 
+// storeBuilder validates contents, fills a store and collects the errors.
 type storeBuilder struct {
 	store *CredentialStore
 	errs  []ValidationError
@@ -100,10 +102,10 @@
 	for _, f := range []struct {
 		name  string
 		value float64
-		most  float64
+		limit float64
 	}{{"skew_ms", p.Skew, 600e3}, {"longest_token_s", p.Longest / 1000, 86400 * 30}, {"stale_new_s", p.StaleNew / 1000, 86400 * 365}, {"stale_all_s", p.StaleAll / 1000, 86400 * 365}} {
-		if !(f.value >= 0 && f.value <= f.most) {
-			b.errorf(f.name, "%v is out of range; from 0 to %v is right", f.value, f.most)
+		if !(f.value >= 0 && f.value <= f.limit) {
+			b.errorf(f.name, "%v is out of range; from 0 to %v is right", f.value, f.limit)
 		}
 	}
 	if p.StaleNew > 0 && p.StaleAll > 0 && p.StaleAll < p.StaleNew {
