--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -194,9 +194,9 @@
 		return text(resp.AppendError(nil, "LOADING the router has no list of servers yet")), nil
 	}
 	keys := c.keys(args)
-	slot := slots.Of(keys[0])
+	slot := slots.ForKey(keys[0])
 	for _, k := range keys[1:] {
-		if slots.Of(k) != slot {
+		if slots.ForKey(k) != slot {
 			return text(resp.AppendError(nil, "CROSSSLOT Keys in request don't hash to the same slot")), nil
 		}
 	}
--- a/internal/pure/caller/caller.go
+++ b/internal/pure/caller/caller.go
@@ -206,7 +206,7 @@
 type Identity struct {
 	Caller         string
 	Tenant         Tenant
-	Space          tenant.Space
+	Space          tenant.Keyspace
 	Rights         *Rights
 	CredentialName string  // key id or certificate name, for the audit log
 	ValidUntil     float64 // end of validity, ms of Unix time
--- a/internal/pure/caller/store.go
+++ b/internal/pure/caller/store.go
@@ -46,7 +46,7 @@
 type resolvedPrincipal struct {
 	*Principal
 	tenant *Tenant
-	space  tenant.Space
+	space  tenant.Keyspace
 	rights *Rights
 }
 
@@ -154,7 +154,7 @@
 			continue
 		}
 		var err error
-		if resolved.space, err = tenant.NewSpace(resolved.tenant.Name, resolved.tenant.Generation); err != nil {
+		if resolved.space, err = tenant.NewKeyspace(resolved.tenant.Name, resolved.tenant.Generation); err != nil {
 			continue // already reported for the tenant
 		}
 		resolved.rights = b.joinRoles(path, p)
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -47,16 +47,16 @@
 			if err := tenant.CheckPath(key); err != nil { // it is the origin's path too
 				return "", err
 			}
-			return p.Space.Key(key, protocol.MaxKey)
+			return p.Space.ServerKey(key, protocol.MaxKey)
 		}
 	}
-	tags, origin := slots.NewTags(), s.RESP.Origin != ""
+	tags, origin := slots.NewHashTags(), s.RESP.Origin != ""
 	return func(p *caller.Identity, key string) (string, error) {
 		if origin {
 			if err := tenant.CheckPath(key); err != nil {
 				return "", err
 			}
 		}
-		return p.Space.SlotKey(key, tags.Of(slots.Of([]byte(key))), protocol.MaxKey)
+		return p.Space.SlotKey(key, tags.ForSlot(slots.ForKey([]byte(key))), protocol.MaxKey)
 	}
 }
