--- a/internal/keybook/keybook_test.go
+++ b/internal/keybook/keybook_test.go
@@ -296,20 +296,20 @@
 	whole := strings.Index(next, "[end]") + len("[end]")
 	to := &taker{s, bookPart}
 	for n := range next[:whole] {
-		if err := to.Take([]byte(next[:n])); err == nil || g.Book() != was {
+		if err := to.Apply([]byte(next[:n])); err == nil || g.Book() != was {
 			t.Fatalf("cut at byte %d it is taken: %q", n, next[max(0, n-20):n])
 		}
 	}
-	if err := to.Take([]byte(next)); err != nil || g.Book() == was {
+	if err := to.Apply([]byte(next)); err != nil || g.Book() == was {
 		t.Errorf("whole: %v", err)
 	}
-	if err := to.Take([]byte(good)); !errors.Is(err, errOlder) {
+	if err := to.Apply([]byte(good)); !errors.Is(err, errOlder) {
 		t.Errorf("an older one: %v", err)
 	}
-	if err := to.Take([]byte(strings.Replace(next, "acme-e", "acme-f", 2))); err == nil || !strings.Contains(err.Error(), "raise it") {
+	if err := to.Apply([]byte(strings.Replace(next, "acme-e", "acme-f", 2))); err == nil || !strings.Contains(err.Error(), "raise it") {
 		t.Errorf("another content of its version: %v", err)
 	}
-	if err := to.Take([]byte(strings.Replace(next, "12:00:00Z", "13:00:00Z", 1))); err != nil {
+	if err := to.Apply([]byte(strings.Replace(next, "12:00:00Z", "13:00:00Z", 1))); err != nil {
 		t.Errorf("confirmed anew: %v", err)
 	}
 }
@@ -320,14 +320,14 @@
 		_, g, s := opened(t, map[string]string{"book": good, "rights": "role all { allow any }"})
 		was := g.Book()
 		texts := map[int]string{bookPart: strings.Replace(strings.Replace(good, "version = 4", "version = 5", 1), `["all"]`, `["other"]`, 1), rightsPart: "role other { allow any read }"}
-		err := (&taker{s, first}).Take([]byte(texts[first]))
+		err := (&taker{s, first}).Apply([]byte(texts[first]))
 		if err == nil || g.Book() != was {
 			t.Fatalf("alone: %v", err)
 		}
 		if first == bookPart && !strings.Contains(err.Error(), `:9: caller[0].roles[0]: "other" is no role`) {
 			t.Error(err)
 		}
-		if err := (&taker{s, 1 - first}).Take([]byte(texts[1-first])); err != nil || g.Book() == was {
+		if err := (&taker{s, 1 - first}).Apply([]byte(texts[1-first])); err != nil || g.Book() == was {
 			t.Errorf("together: %v", err)
 		}
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -385,7 +385,7 @@
 func (r *router) list(kind decide.ListKind, got member.List) {
 	entries := make([]engine.Server, 0, len(got.Servers))
 	for _, e := range got.Servers {
-		d, err := e.Decided()
+		d, err := e.BalancerEntry()
 		if err != nil {
 			slog.Warn("discovery: entry passed over", "err", err)
 			continue
@@ -505,6 +505,6 @@
 			heard(func(r *router) { r.list(decide.ListFailed, member.List{}) })
 		}
 	})
-	s.run, s.watch = d.Run, d.Watch
+	s.run, s.watch = d.Run, d.RequestWatch
 	return s
 }
