--- a/internal/member/discovery.go
+++ b/internal/member/discovery.go
@@ -52,15 +52,15 @@
 // NewDiscovery is the discovery at addr. With onDemand it calls only once Watch has asked it to, tells broke of each
 // failure, and asks for changes alone where the version of a list is known, not -1; tell takes each list, whole or in changes. Both are
 // called from the goroutine of Run.
-func NewDiscovery(addr string, onAsk bool, known int64, tell func(List), broke func()) *Discovery {
-	p := agentTiming
-	if onAsk {
-		p = sharedTiming
+func NewDiscovery(addr string, onDemand bool, knownVersion int64, onList func(List), onFailure func()) *Discovery {
+	timing := agentTiming
+	if onDemand {
+		timing = sharedTiming
 	} else {
-		known = -1
+		knownVersion = -1
 	}
-	return &Discovery{timing: p, url: "http://" + addr + "/v1/servers", onDemand: onAsk, requested: make(chan struct{}, 1),
-		knownVersion: known, onList: tell, onFailure: broke,
+	return &Discovery{timing: timing, url: "http://" + addr + "/v1/servers", onDemand: onDemand, requested: make(chan struct{}, 1),
+		knownVersion: knownVersion, onList: onList, onFailure: onFailure,
 		client: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, MaxResponseHeaderBytes: maxHeaderBytes,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 }
@@ -105,28 +105,28 @@
 }
 
 // pollUntilError gets the list and the changes after it, until a call fails, and tells whether any went well.
-func (d *Discovery) pollUntilError(ctx context.Context) (heard bool) {
+func (d *Discovery) pollUntilError(ctx context.Context) (succeeded bool) {
 	for {
-		asked := time.Now()
-		url, within := d.url, d.timing.listTimeout
+		start := time.Now()
+		url, timeout := d.url, d.timing.listTimeout
 		if d.knownVersion >= 0 {
 			url = fmt.Sprintf("%s?after=%d&wait_ms=%d", d.url, d.knownVersion, d.timing.pollWait.Milliseconds())
-			within = d.timing.pollWait + d.timing.pollSlack
+			timeout = d.timing.pollWait + d.timing.pollSlack
 		}
-		l, err := d.fetchList(ctx, url, within)
+		l, err := d.fetchList(ctx, url, timeout)
 		if err != nil {
 			if !d.onDemand {
 				d.knownVersion = -1
 			}
-			return heard
+			return succeeded
 		}
-		heard = true
+		succeeded = true
 		if !l.Full && l.Version < d.knownVersion { // it has begun anew, and its changes belong to another list
 			l.Version = -1
 		}
 		d.knownVersion = l.Version
 		d.onList(l)
-		if !l.Full && len(l.Servers) == 0 && time.Since(asked) < minPollInterval {
+		if !l.Full && len(l.Servers) == 0 && time.Since(start) < minPollInterval {
 			select { // an agent that does not wait would be asked without end; a watch bears a pause of 200 ms
 			case <-time.After(minPollInterval):
 			case <-ctx.Done():
@@ -135,8 +135,8 @@
 	}
 }
 
-func (d *Discovery) fetchList(ctx context.Context, url string, within time.Duration) (List, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (d *Discovery) fetchList(ctx context.Context, url string, timeout time.Duration) (List, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var l List
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/internal/member/discovery_test.go
+++ b/internal/member/discovery_test.go
@@ -47,7 +47,7 @@
 // too; the whole comes where the versions have begun anew.
 func TestSharedDiscoveryIsAskedForChangesAlone(t *testing.T) {
 	whole := `{"version":1,"full":true,"servers":[]}`
-	one := `{"version":%d,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`
+	changes := `{"version":%d,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`
 	for name, c := range map[string]struct {
 		onAsk bool
 		known int64
@@ -56,8 +56,8 @@
 	}{
 		"a list is known":              {true, 0, nil, []string{"after=0&wait_ms=10000"}},
 		"none is":                      {true, -1, []string{whole}, []string{"", "after=1&wait_ms=10000"}},
-		"a call has failed":            {true, 4, []string{fmt.Sprintf(one, 5), ""}, []string{"after=4&wait_ms=10000", "after=5&wait_ms=10000", "after=5&wait_ms=10000"}},
-		"versions have begun anew":     {true, 7, []string{fmt.Sprintf(one, 2), whole}, []string{"after=7&wait_ms=10000", "", "after=1&wait_ms=10000"}},
+		"a call has failed":            {true, 4, []string{fmt.Sprintf(changes, 5), ""}, []string{"after=4&wait_ms=10000", "after=5&wait_ms=10000", "after=5&wait_ms=10000"}},
+		"versions have begun anew":     {true, 7, []string{fmt.Sprintf(changes, 2), whole}, []string{"after=7&wait_ms=10000", "", "after=1&wait_ms=10000"}},
 		"the machine's own agent":      {false, 7, []string{whole}, []string{"", "after=1&wait_ms=2000"}},
 		"the agent's call has failed":  {false, -1, []string{whole, ""}, []string{"", "after=1&wait_ms=2000", ""}},
 		"an answer that is no list is": {true, 4, []string{"{"}, []string{"after=4&wait_ms=10000", "after=4&wait_ms=10000"}},
--- a/internal/member/file.go
+++ b/internal/member/file.go
@@ -78,11 +78,11 @@
 		return File{}, tomlfile.Faults{{File: name, Line: 1, What: "the file is empty; a list needs servers and, as its last line, end = COUNT"}}
 	}
 	var doc document
-	d, faults := tomlfile.Decode(name, text, &doc)
+	decoded, faults := tomlfile.Decode(name, text, &doc)
 	if faults != nil {
 		return File{}, faults
 	}
-	r := validator{doc: d, rules: rules}
+	r := validator{doc: decoded, rules: rules}
 	f := File{Edition: doc.Edition, Allow: doc.Allow}
 	r.checkEnd(text, &doc)
 	for i, a := range doc.Allow {
@@ -121,32 +121,32 @@
 
 // checkEnd checks the mark that a file cut short lacks.
 func (r *validator) checkEnd(text []byte, doc *document) {
-	want := fmt.Sprintf("end = %d", len(doc.Servers))
+	wantEnd := fmt.Sprintf("end = %d", len(doc.Servers))
 	if doc.Edition != 0 {
-		want = fmt.Sprintf("end = {servers = %d, edition = %d}", len(doc.Servers), doc.Edition)
+		wantEnd = fmt.Sprintf("end = {servers = %d, edition = %d}", len(doc.Servers), doc.Edition)
 	}
 	lines := bytes.Split(bytes.TrimRight(text, "\r\n\t "), []byte("\n"))
 	for len(lines) > 1 && bytes.HasPrefix(bytes.TrimSpace(lines[len(lines)-1]), []byte("#")) {
 		lines = lines[:len(lines)-1]
 	}
-	last := tomlfile.Fault{File: r.doc.File, Line: len(lines), Key: "end"}
-	fail := func(format string, args ...any) {
-		last.What = fmt.Sprintf(format, args...)
-		r.faults = append(r.faults, last)
+	fault := tomlfile.Fault{File: r.doc.File, Line: len(lines), Key: "end"}
+	addEndFault := func(format string, args ...any) {
+		fault.What = fmt.Sprintf(format, args...)
+		r.faults = append(r.faults, fault)
 	}
 	count, edition, ok := parseEndMarker(doc.End)
 	switch {
 	case doc.End == nil:
-		fail("the last line is missing, so the file may be cut short; if it is whole, add as its last line: %s", want)
+		addEndFault("the last line is missing, so the file may be cut short; if it is whole, add as its last line: %s", wantEnd)
 	case !endLinePattern.Match(bytes.TrimSpace(lines[len(lines)-1])):
-		fail("something stands behind the end line; make this the last line: %s", want)
+		addEndFault("something stands behind the end line; make this the last line: %s", wantEnd)
 	case !ok:
-		fail("not an end line; write: %s", want)
+		addEndFault("not an end line; write: %s", wantEnd)
 	case count != int64(len(doc.Servers)):
-		fail("says %d servers, and the file lists %d; if the file is whole, write: %s", count, len(doc.Servers), want)
+		addEndFault("says %d servers, and the file lists %d; if the file is whole, write: %s", count, len(doc.Servers), wantEnd)
 	case edition != doc.Edition:
-		fail("says edition %d, and the head says %d, as in a file that was written over half way; if it is whole, write: %s",
-			edition, doc.Edition, want)
+		addEndFault("says edition %d, and the head says %d, as in a file that was written over half way; if it is whole, write: %s",
+			edition, doc.Edition, wantEnd)
 	case doc.Edition < 0:
 		r.addFault("edition", "%d is below 1; count editions up from 1", doc.Edition)
 	}
@@ -172,13 +172,13 @@
 
 // compareServer checks one server and returns it as lists hold it.
 func (r *validator) checkServer(i int, s *serverRow) Entry {
-	at := fmt.Sprintf("servers[%d]", i)
-	bad := func(key, format string, args ...any) { r.addFault(at+"."+key, format, args...) }
+	path := fmt.Sprintf("servers[%d]", i)
+	addFault := func(key, format string, args ...any) { r.addFault(path+"."+key, format, args...) }
 	if s.ID == "" || len(s.ID) > 64 || strings.ContainsFunc(s.ID, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		bad("id", "%.40q is no id; up to 64 letters, digits and signs are", s.ID)
+		addFault("id", "%.40q is no id; up to 64 letters, digits and signs are", s.ID)
 	}
 	if host, port, err := net.SplitHostPort(s.Addr); err != nil || host == "" || !isPort(port) {
-		bad("addr", "%.60q is no address; HOST:PORT with a port from 1 to 65535 is", s.Addr)
+		addFault("addr", "%.60q is no address; HOST:PORT with a port from 1 to 65535 is", s.Addr)
 	}
 	if s.Kind == "" {
 		s.Kind = cacheKind
@@ -187,36 +187,36 @@
 		s.State = "active"
 	}
 	if s.Site == "" {
-		bad("site", "missing; name the site that the server stands in")
+		addFault("site", "missing; name the site that the server stands in")
 	} else if len(r.rules.Sites) > 0 && !slices.Contains(r.rules.Sites, s.Site) {
-		bad("site", "%.40q is no site of this pool; it has %s", s.Site, strings.Join(r.rules.Sites, ", "))
+		addFault("site", "%.40q is no site of this pool; it has %s", s.Site, strings.Join(r.rules.Sites, ", "))
 	}
 	if s.Kind != originKind && len(r.rules.Kinds) > 0 && !slices.Contains(r.rules.Kinds, s.Kind) {
-		bad("kind", "%.40q is no kind of this pool; it has %s and %s", s.Kind, strings.Join(r.rules.Kinds, ", "), originKind)
+		addFault("kind", "%.40q is no kind of this pool; it has %s and %s", s.Kind, strings.Join(r.rules.Kinds, ", "), originKind)
 	}
 	if !slices.Contains(fileStates, s.State) {
-		bad("state", "%.40q is no state; %s are", s.State, strings.Join(fileStates, " and "))
+		addFault("state", "%.40q is no state; %s are", s.State, strings.Join(fileStates, " and "))
 	}
 	weight := 1.0
 	if s.Weight != nil {
 		weight = *s.Weight
 	}
 	if !(weight >= 0 && weight <= maxWeight) {
-		bad("weight", "%v is no weight; from 0 (nothing new) over 1 (the usual) to %d is", weight, maxWeight)
+		addFault("weight", "%v is no weight; from 0 (nothing new) over 1 (the usual) to %d is", weight, maxWeight)
 	}
 	started := float64(unknownStart)
 	switch {
 	case s.Warm && !s.Started.IsZero():
-		bad("warm", "stands beside started; one of the two tells how warm it is")
+		addFault("warm", "stands beside started; one of the two tells how warm it is")
 	case s.Warm:
 		started = 0
 	case !s.Started.IsZero():
 		started = float64(s.Started.UnixMilli())
 	}
-	r.checkDuplicate(at+".id", s.ID, &r.rowByID, i)
-	r.checkDuplicate(at+".addr", s.Addr, &r.rowByAddr, i)
+	r.checkDuplicate(path+".id", s.ID, &r.rowByID, i)
+	r.checkDuplicate(path+".addr", s.Addr, &r.rowByAddr, i)
 	if j, ok := r.findHashCollision(s.ID, i); ok {
-		bad("id", "%q has the same number as servers[%d] in the hash; change one of the two", s.ID, j)
+		addFault("id", "%q has the same number as servers[%d] in the hash; change one of the two", s.ID, j)
 	}
 	return Entry{ID: s.ID, Addr: s.Addr, Zone: s.Site, Kind: s.Kind, Cell: s.Cell, State: s.State, Weight: weight, Started: started}
 }
@@ -247,10 +247,10 @@
 	if r.rowByHash == nil {
 		r.rowByHash = map[uint32]int{}
 	}
-	n := ServerID(id)
-	j, taken := r.rowByHash[n]
+	hash := ServerID(id)
+	j, taken := r.rowByHash[hash]
 	if !taken {
-		r.rowByHash[n] = i
+		r.rowByHash[hash] = i
 	}
 	return j, taken && r.rowByID[id] == i
 }
--- a/internal/member/filesource.go
+++ b/internal/member/filesource.go
@@ -37,25 +37,25 @@
 	}
 	s := &FileSource{cfg: cfg, now: now, log: log}
 	s.file = watch.New(watch.Config{Path: cfg.Path, MaxBytes: MaxFileBytes, SettleMS: cfg.SettleMS, PollOnly: cfg.NoNotices}, now, fileConsumer{s})
-	var last *File
+	var lastGood *File
 	if cfg.State != "" {
 		var err error
-		if last, err = loadState(cfg.State); err != nil && !errors.Is(err, errNoState) {
+		if lastGood, err = loadState(cfg.State); err != nil && !errors.Is(err, errNoState) {
 			log("server file: the list that was kept is not used: %v", err)
 		}
 	}
 	text, err := s.file.Read()
 	var c Change
 	if err == nil {
-		c, err = s.planChange(last, text)
+		c, err = s.planChange(lastGood, text)
 	}
 	switch {
 	case err == nil:
 		s.file.SetCurrent(text)
 		s.accept(&c.Next)
-	case last != nil:
+	case lastGood != nil:
 		log("server file: refused, the last good list is used: %s", oneLine(err.Error()))
-		s.current = last
+		s.current = lastGood
 		s.file.SetKnownBad(text)
 	default:
 		return nil, fmt.Errorf("server file: %w", err)
@@ -110,8 +110,8 @@
 
 // Run follows the file until ctx ends, and hands each further list to tell. What goes wrong is logged and leaves the list
 // as it is.
-func (s *FileSource) Run(ctx context.Context, tell func(List)) {
-	s.onList = tell
+func (s *FileSource) Run(ctx context.Context, onList func(List)) {
+	s.onList = onList
 	s.file.Run(ctx)
 }
 
--- a/internal/member/filesource_test.go
+++ b/internal/member/filesource_test.go
@@ -40,13 +40,13 @@
 // replace puts a new file in the place of the old one.
 func (s *fileFixture) replace(content string) {
 	s.t.Helper()
-	old := s.path
+	path := s.path
 	s.path += ".new"
 	s.write(content)
-	if err := os.Rename(s.path, old); err != nil {
+	if err := os.Rename(s.path, path); err != nil {
 		s.t.Fatal(err)
 	}
-	s.path = old
+	s.path = path
 }
 
 func (s *fileFixture) log(format string, args ...any) {
@@ -81,11 +81,11 @@
 
 func (s *fileFixture) mustOpen() *FileSource {
 	s.t.Helper()
-	src, err := s.open()
+	source, err := s.open()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return src
+	return source
 }
 
 // pollAfter lets the file stand for a while.
@@ -284,14 +284,14 @@
 			var wg sync.WaitGroup
 			wg.Go(func() { src.Run(ctx, func(l List) { lists <- l }) })
 			defer func() { stop(); wg.Wait() }()
-			var took []float64
+			var tookMS []float64
 			for i := 0; b.Loop(); i++ {
 				s.write(serverFileText(fmt.Sprintf("# %d\n", i), append(fourServers(), manyServers(1+i%2)...)...))
 				began := time.Now()
 				<-lists
-				took = append(took, float64(time.Since(began).Microseconds())/1000)
+				tookMS = append(tookMS, float64(time.Since(began).Microseconds())/1000)
 			}
-			reportPercentiles(b, took)
+			reportPercentiles(b, tookMS)
 		})
 	}
 }
@@ -314,12 +314,12 @@
 }
 
 // reportPercentiles gives the median and the 99th percentile of times in ms.
-func reportPercentiles(b *testing.B, took []float64) {
+func reportPercentiles(b *testing.B, tookMS []float64) {
 	b.Helper()
-	if len(took) == 0 {
+	if len(tookMS) == 0 {
 		return
 	}
-	sorted := slices.Sorted(slices.Values(took))
+	sorted := slices.Sorted(slices.Values(tookMS))
 	b.ReportMetric(sorted[len(sorted)/2], "p50-ms")
 	b.ReportMetric(sorted[len(sorted)*99/100], "p99-ms")
 }
--- a/internal/member/plan.go
+++ b/internal/member/plan.go
@@ -40,18 +40,18 @@
 		}
 		return c
 	}
-	was := make(map[string]Entry, len(old.Servers))
+	removed := make(map[string]Entry, len(old.Servers))
 	for _, s := range old.Servers {
-		was[s.ID] = s
+		removed[s.ID] = s
 	}
 	for i := range c.Next.Servers {
 		s := &c.Next.Servers[i]
-		p, had := was[s.ID]
-		delete(was, s.ID)
-		c.compareServer(p, had, s, now)
+		previous, existed := removed[s.ID]
+		delete(removed, s.ID)
+		c.compareServer(previous, existed, s, now)
 	}
 	for _, s := range old.Servers {
-		if _, gone := was[s.ID]; gone {
+		if _, wasRemoved := removed[s.ID]; wasRemoved {
 			c.Drained = append(c.Drained, s.ID)
 		}
 	}
@@ -60,31 +60,31 @@
 }
 
 // compareServer books what becomes of one server that the new file lists.
-func (c *Change) compareServer(p Entry, had bool, s *Entry, now float64) {
-	told := s.Started >= 0
+func (c *Change) compareServer(previous Entry, existed bool, s *Entry, now float64) {
+	startKnown := s.Started >= 0
 	switch {
-	case !had:
+	case !existed:
 		c.Added = append(c.Added, s.ID)
-		if !told {
+		if !startKnown {
 			s.Started = now
 		}
 		return
-	case p.Addr != s.Addr:
-		c.Moved = append(c.Moved, fmt.Sprintf("%s %s -> %s", s.ID, p.Addr, s.Addr))
-		if !told {
+	case previous.Addr != s.Addr:
+		c.Moved = append(c.Moved, fmt.Sprintf("%s %s -> %s", s.ID, previous.Addr, s.Addr))
+		if !startKnown {
 			s.Started = now
 		}
-	case !told:
-		s.Started = p.Started
+	case !startKnown:
+		s.Started = previous.Started
 	}
-	if p.acceptsRequests() && !s.acceptsRequests() {
+	if previous.acceptsRequests() && !s.acceptsRequests() {
 		c.Drained = append(c.Drained, s.ID)
-	} else if !p.acceptsRequests() && s.acceptsRequests() {
+	} else if !previous.acceptsRequests() && s.acceptsRequests() {
 		c.Added = append(c.Added, s.ID)
-	} else if p.Weight != s.Weight {
-		c.Reweighted = append(c.Reweighted, fmt.Sprintf("%s %v -> %v", s.ID, p.Weight, s.Weight))
+	} else if previous.Weight != s.Weight {
+		c.Reweighted = append(c.Reweighted, fmt.Sprintf("%s %v -> %v", s.ID, previous.Weight, s.Weight))
 	}
-	if p.Addr == s.Addr && (p.Zone != s.Zone || p.Kind != s.Kind || p.Cell != s.Cell || p.Started != s.Started) {
+	if previous.Addr == s.Addr && (previous.Zone != s.Zone || previous.Kind != s.Kind || previous.Cell != s.Cell || previous.Started != s.Started) {
 		c.Altered = append(c.Altered, s.ID)
 	}
 }
@@ -102,48 +102,48 @@
 		c.refuse("edition %d is older than %d, which is in use; write %d, in the head and in the end line", c.Next.Edition, old.Edition, old.Edition+1)
 	}
 	var spent []string
-	var allowed allowance
-	sites := map[string]bool{}
+	var granted allowance
+	removableSites := map[string]bool{}
 	for _, text := range c.Next.Allow {
 		if slices.Contains(old.Allow, text) {
 			spent = append(spent, fmt.Sprintf("%q", text))
 			continue
 		}
 		a, _ := parseAllowance(text)
-		allowed.maxGone = max(allowed.maxGone, a.maxGone)
-		sites[a.site] = true
+		granted.maxGone = max(granted.maxGone, a.maxGone)
+		removableSites[a.site] = true
 	}
 	before, after := countAcceptingBySite(old.Servers), countAcceptingBySite(c.Next.Servers)
-	var lost []string
+	var lostSites []string
 	for _, s := range old.Servers { // in the order of the file, so that the same files give the same words
 		site := s.Zone
-		if before[site] > 0 && after[site] == 0 && !sites[site] && !slices.Contains(lost, site) {
-			lost = append(lost, site)
+		if before[site] > 0 && after[site] == 0 && !removableSites[site] && !slices.Contains(lostSites, site) {
+			lostSites = append(lostSites, site)
 		}
 	}
-	for _, site := range lost {
+	for _, site := range lostSites {
 		c.refuse(`site %s would lose all of its %d servers; if that is meant, add to the head of the file: allow = ["site-gone %s"]`, site, before[site], site)
 	}
-	total, gone := 0, 0
+	total, leaving := 0, 0
 	for _, n := range before {
 		total += n
 	}
-	leaves := make(map[string]bool, len(c.Drained)+len(c.Moved))
+	leavingIDs := make(map[string]bool, len(c.Drained)+len(c.Moved))
 	for _, id := range c.Drained {
-		leaves[id] = true
+		leavingIDs[id] = true
 	}
 	for _, m := range c.Moved { // a new process lacks what the one before it held
 		id, _, _ := strings.Cut(m, " ")
-		leaves[id] = true
+		leavingIDs[id] = true
 	}
 	for _, s := range old.Servers {
-		if s.isCache() && s.acceptsRequests() && leaves[s.ID] && !sites[s.Zone] {
-			gone++
+		if s.isCache() && s.acceptsRequests() && leavingIDs[s.ID] && !removableSites[s.Zone] {
+			leaving++
 		}
 	}
-	if share := rules.GoneShare; share > 0 && float64(gone) > share*float64(total) && gone > allowed.maxGone {
+	if share := rules.GoneShare; share > 0 && float64(leaving) > share*float64(total) && leaving > granted.maxGone {
 		c.refuse(`%d of %d servers would go, or move to another address, at once: more than %v%%; if that is meant, add to the head of the file: allow = ["gone %d"]`,
-			gone, total, math.Round(share*1000)/10, gone)
+			leaving, total, math.Round(share*1000)/10, leaving)
 	}
 	if len(spent) > 0 {
 		c.Notes = append(c.Notes, "allow: "+strings.Join(spent, ", ")+
@@ -174,23 +174,23 @@
 // String is the change in lines for a person.
 func (c *Change) String() string {
 	var b strings.Builder
-	line := func(name string, items []string) {
+	writeLine := func(name string, items []string) {
 		if len(items) == 0 {
 			return
 		}
-		const most = 12
+		const maxItems = 12
 		rest := ""
-		if len(items) > most {
-			rest = fmt.Sprintf(" and %d more", len(items)-most)
-			items = items[:most]
+		if len(items) > maxItems {
+			rest = fmt.Sprintf(" and %d more", len(items)-maxItems)
+			items = items[:maxItems]
 		}
 		fmt.Fprintf(&b, "%s: %s%s\n", name, strings.Join(items, ", "), rest)
 	}
-	line("added", c.Added)
-	line("drained", c.Drained)
-	line("reweighted", c.Reweighted)
-	line("moved", c.Moved)
-	line("altered", c.Altered)
+	writeLine("added", c.Added)
+	writeLine("drained", c.Drained)
+	writeLine("reweighted", c.Reweighted)
+	writeLine("moved", c.Moved)
+	writeLine("altered", c.Altered)
 	for _, r := range c.Refused {
 		fmt.Fprintf(&b, "refused: %s\n", r)
 	}
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -36,18 +36,18 @@
 	if err != nil {
 		return nil, err
 	}
-	var k savedState
-	if err := json.Unmarshal(text, &k); err != nil {
+	var saved savedState
+	if err := json.Unmarshal(text, &saved); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if k.Format != stateFormat {
-		return nil, fmt.Errorf("%s: format %d; this program reads %d", path, k.Format, stateFormat)
+	if saved.Format != stateFormat {
+		return nil, fmt.Errorf("%s: format %d; this program reads %d", path, saved.Format, stateFormat)
 	}
-	if sum := sha256.Sum256(k.Body); hex.EncodeToString(sum[:]) != k.SHA256 {
+	if sum := sha256.Sum256(saved.Body); hex.EncodeToString(sum[:]) != saved.SHA256 {
 		return nil, fmt.Errorf("%s: damaged: the checksum does not fit", path)
 	}
 	f := new(File)
-	if err := json.Unmarshal(k.Body, f); err != nil {
+	if err := json.Unmarshal(saved.Body, f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return f, nil
@@ -82,8 +82,8 @@
 	if err == nil {
 		err = tmp.Sync()
 	}
-	if closed := tmp.Close(); err == nil {
-		err = closed
+	if closeErr := tmp.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(tmp.Name(), path)
--- a/internal/watch/debounce.go
+++ b/internal/watch/debounce.go
@@ -34,18 +34,18 @@
 const maxReported = 64
 
 // observe takes a look. With later comes the time of the next one.
-func (s *debouncer) observe(now float64, found digest) (action, float64) {
+func (s *debouncer) observe(nowMS float64, found digest) (action, float64) {
 	if found == s.current {
 		s.reset()
 		return actionNone, 0
 	}
-	if s.unsettledSince > now {
-		s.unsettledSince = now
+	if s.unsettledSince > nowMS {
+		s.unsettledSince = nowMS
 	}
 	if found != s.pending {
-		s.pending, s.pendingSince = found, now
+		s.pending, s.pendingSince = found, nowMS
 	}
-	if now < s.pendingSince+s.settleMS && now < s.unsettledSince+s.maxSettleMS {
+	if nowMS < s.pendingSince+s.settleMS && nowMS < s.unsettledSince+s.maxSettleMS {
 		return actionRecheck, min(s.pendingSince+s.settleMS, s.unsettledSince+s.maxSettleMS)
 	}
 	return actionEvaluate, 0
@@ -62,13 +62,13 @@
 
 // markBad tells that the pending content is bad. It says whether to tell of it now, once for each content until a good one
 // stands there again, or when to look again.
-func (s *debouncer) markBad(now float64) (tell bool, again float64) {
+func (s *debouncer) markBad(nowMS float64) (report bool, recheckAt float64) {
 	for _, t := range s.reported {
 		if t == s.pending {
 			return false, math.Inf(1)
 		}
 	}
-	if now < s.pendingSince+s.badReportDelayMS {
+	if nowMS < s.pendingSince+s.badReportDelayMS {
 		return false, s.pendingSince + s.badReportDelayMS
 	}
 	if len(s.reported) == maxReported {
--- a/internal/watch/debounce_test.go
+++ b/internal/watch/debounce_test.go
@@ -31,20 +31,20 @@
 		s := newDebouncer()
 		s.current = digest{1}
 		for i, st := range steps {
-			v, again := s.observe(st.at, digest{st.found})
-			if v != st.want || v == actionRecheck && again != st.again {
-				t.Errorf("%s, step %d: %v again at %v, want %v at %v", name, i, v, again, st.want, st.again)
+			act, recheckAt := s.observe(st.at, digest{st.found})
+			if act != st.want || act == actionRecheck && recheckAt != st.again {
+				t.Errorf("%s, step %d: %v again at %v, want %v at %v", name, i, act, recheckAt, st.want, st.again)
 			}
-			if v != actionEvaluate {
+			if act != actionEvaluate {
 				continue
 			}
 			if st.quality == good {
 				s.markCurrent()
 				continue
 			}
-			tell, again := s.markBad(st.at)
-			if tell != (st.again == -1) || !tell && again != st.again {
-				t.Errorf("%s, step %d: told %v, again at %v, want %v", name, i, tell, again, st.again)
+			report, recheckAt := s.markBad(st.at)
+			if report != (st.again == -1) || !report && recheckAt != st.again {
+				t.Errorf("%s, step %d: told %v, again at %v, want %v", name, i, report, recheckAt, st.again)
 			}
 		}
 	}
@@ -53,19 +53,19 @@
 // Each bad content is told of once, also when others come in between, and the memory of them is bounded.
 func TestBadContentIsReportedOnce(t *testing.T) {
 	s := newDebouncer()
-	told := 0
+	reports := 0
 	for round := range 3 {
 		for c := byte(1); c <= 10; c++ {
 			at := float64(round*100000 + int(c)*1000)
 			s.observe(at, digest{c})
 			s.observe(at+500, digest{c})
-			if tell, _ := s.markBad(at + 500); tell {
-				told++
+			if report, _ := s.markBad(at + 500); report {
+				reports++
 			}
 		}
 	}
-	if told != 10 {
-		t.Errorf("told %d times of 10 contents", told)
+	if reports != 10 {
+		t.Errorf("told %d times of 10 contents", reports)
 	}
 	for i := range 1000 {
 		s.observe(1e9+float64(i)*1000, digest{byte(i), byte(i >> 8), 1})
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -60,8 +60,8 @@
 }
 
 // New is a file that is followed once Run is called. now is Unix time in milliseconds.
-func New(cfg Config, now func() float64, to Consumer) *File {
-	return &File{cfg: cfg, now: now, consumer: to,
+func New(cfg Config, now func() float64, consumer Consumer) *File {
+	return &File{cfg: cfg, now: now, consumer: consumer,
 		debouncer: debouncer{settleMS: max(0, cfg.SettleMS), badReportDelayMS: badReportDelayMS, maxSettleMS: maxSettleMS, unsettledSince: math.Inf(1)}}
 }
 
@@ -86,26 +86,26 @@
 
 // Run follows the file until ctx ends. What is bad leaves the content in use as it is.
 func (f *File) Run(ctx context.Context) {
-	n := newNotifier(f.cfg.Path, f.cfg.PollOnly, f.consumer.NotificationsFailed)
-	defer n.close()
-	tick := time.NewTicker(pollInterval)
-	defer tick.Stop()
-	again := time.NewTimer(0)
-	defer again.Stop()
+	notifier := newNotifier(f.cfg.Path, f.cfg.PollOnly, f.consumer.NotificationsFailed)
+	defer notifier.close()
+	pollTicker := time.NewTicker(pollInterval)
+	defer pollTicker.Stop()
+	recheckTimer := time.NewTimer(0)
+	defer recheckTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.events():
-			n.drainEvents(ctx)
-		case err := <-n.errors(): // notices may be lost: looking at intervals goes on
+		case <-notifier.events():
+			notifier.drainEvents(ctx)
+		case err := <-notifier.errors(): // notices may be lost: looking at intervals goes on
 			f.consumer.NotificationsFailed(err)
-		case <-tick.C:
-			n.updateWatches()
-		case <-again.C:
+		case <-pollTicker.C:
+			notifier.updateWatches()
+		case <-recheckTimer.C:
 		}
-		if at := f.Poll(); !math.IsInf(at, 1) {
-			again.Reset(time.Duration(max(0, at-f.now())*float64(time.Millisecond)) + time.Millisecond)
+		if recheckAt := f.Poll(); !math.IsInf(recheckAt, 1) {
+			recheckTimer.Reset(time.Duration(max(0, recheckAt-f.now())*float64(time.Millisecond)) + time.Millisecond)
 		}
 	}
 }
@@ -113,15 +113,15 @@
 // Poll reads the file if it may have changed, takes it if it is good, and says when to look again: +Inf = no sooner
 // than usual. Run calls it at each notice; without Run, its caller is the only one.
 func (f *File) Poll() float64 {
-	st, serr := statStamp(f.cfg.Path)
+	stamp, statErr := statStamp(f.cfg.Path)
 	var text []byte
-	if serr != nil || st != f.lastStamp || st.recentlyWritten(f.now()) || f.debouncer.pending != (digest{}) {
+	if statErr != nil || stamp != f.lastStamp || stamp.recentlyWritten(f.now()) || f.debouncer.pending != (digest{}) {
 		var err error
-		text, st, err = readStable(f.cfg.Path, f.cfg.MaxBytes)
+		text, stamp, err = readStable(f.cfg.Path, f.cfg.MaxBytes)
 		if errors.Is(err, errChanging) {
 			return f.now() + max(1, f.cfg.SettleMS/2)
 		}
-		f.lastStamp, f.lastDigest = st, sha256.Sum256(text)
+		f.lastStamp, f.lastDigest = stamp, sha256.Sum256(text)
 		if err != nil {
 			f.lastStamp, f.lastDigest = fileStamp{}, sha256.Sum256([]byte("error "+err.Error()))
 			return f.evaluate(nil, err)
@@ -133,12 +133,12 @@
 
 // evaluate carries out what the settler says of a look.
 func (f *File) evaluate(text []byte, err error) float64 {
-	v, at := f.debouncer.observe(f.now(), f.lastDigest)
-	switch v {
+	act, nextPoll := f.debouncer.observe(f.now(), f.lastDigest)
+	switch act {
 	case actionNone:
 		return math.Inf(1)
 	case actionRecheck:
-		return at
+		return nextPoll
 	}
 	if f.rejectedDigest != f.lastDigest {
 		if err == nil {
@@ -150,11 +150,11 @@
 		}
 		f.rejectedDigest, f.rejectReason = f.lastDigest, err
 	}
-	tell, again := f.debouncer.markBad(f.now())
-	if tell {
+	report, recheckAt := f.debouncer.markBad(f.now())
+	if report {
 		f.consumer.Refused(f.rejectReason)
 	}
-	return again
+	return recheckAt
 }
 
 // fileStamp tells whether a file may have changed since it was read.
@@ -169,20 +169,20 @@
 // systems step by up to some ten milliseconds, those on a network by seconds.
 func (s fileStamp) recentlyWritten(nowMS float64) bool { return nowMS-float64(s.mtime)/1e6 < 2500 }
 
-func stampOf(i os.FileInfo) fileStamp {
-	s := fileStamp{size: i.Size(), mtime: i.ModTime().UnixNano()}
-	if u, ok := i.Sys().(*syscall.Stat_t); ok {
-		s.dev, s.ino, s.ctime = uint64(u.Dev), u.Ino, u.Ctim.Nano()
+func stampOf(info os.FileInfo) fileStamp {
+	s := fileStamp{size: info.Size(), mtime: info.ModTime().UnixNano()}
+	if stat, ok := info.Sys().(*syscall.Stat_t); ok {
+		s.dev, s.ino, s.ctime = uint64(stat.Dev), stat.Ino, stat.Ctim.Nano()
 	}
 	return s
 }
 
 func statStamp(path string) (fileStamp, error) {
-	i, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return fileStamp{}, err
 	}
-	return stampOf(i), nil
+	return stampOf(info), nil
 }
 
 // errChanging tells that a file changed while it was read.
@@ -194,15 +194,15 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	i, err := f.Stat()
-	if err == nil && !i.Mode().IsRegular() {
+	info, err := f.Stat()
+	if err == nil && !info.Mode().IsRegular() {
 		err = fmt.Errorf("%s: no regular file", path)
 	}
 	if err != nil {
 		f.Close()
 		return nil, nil, err
 	}
-	return f, i, nil
+	return f, info, nil
 }
 
 // readStable reads the file up to a byte beyond the bound, which its taker then refuses.
@@ -237,14 +237,14 @@
 	onError     func(error)
 }
 
-func newNotifier(path string, none bool, fail func(error)) *notifier {
-	n := &notifier{path: path, watchedDirs: map[string]fileStamp{}, onError: fail}
-	if none {
+func newNotifier(path string, disabled bool, onError func(error)) *notifier {
+	n := &notifier{path: path, watchedDirs: map[string]fileStamp{}, onError: onError}
+	if disabled {
 		return n
 	}
 	w, err := fsnotify.NewWatcher()
 	if err != nil {
-		fail(err)
+		onError(err)
 		return n
 	}
 	n.watcher = w
@@ -274,13 +274,13 @@
 
 // drainEvents takes the notices that come within a moment, as one write causes several.
 func (n *notifier) drainEvents(ctx context.Context) {
-	end := time.NewTimer(eventBatchWindow)
-	defer end.Stop()
+	batchEnd := time.NewTimer(eventBatchWindow)
+	defer batchEnd.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-end.C:
+		case <-batchEnd.C:
 			n.updateWatches()
 			return
 		case <-n.watcher.Events:
@@ -294,28 +294,28 @@
 	if n.watcher == nil {
 		return
 	}
-	want := map[string]bool{filepath.Dir(n.path): true}
-	if real, err := filepath.EvalSymlinks(n.path); err == nil {
-		want[filepath.Dir(real)] = true
+	wanted := map[string]bool{filepath.Dir(n.path): true}
+	if target, err := filepath.EvalSymlinks(n.path); err == nil {
+		wanted[filepath.Dir(target)] = true
 	}
-	for dir := range want {
-		i, err := os.Stat(dir)
+	for dir := range wanted {
+		info, err := os.Stat(dir)
 		if err != nil {
 			delete(n.watchedDirs, dir)
 			continue
 		}
-		now := stampOf(i)
-		now.mtime, now.ctime, now.size = 0, 0, 0 // which folder it is, not what is in it
-		if was, ok := n.watchedDirs[dir]; ok && was == now {
+		current := stampOf(info)
+		current.mtime, current.ctime, current.size = 0, 0, 0 // which folder it is, not what is in it
+		if previous, ok := n.watchedDirs[dir]; ok && previous == current {
 			continue
 		}
 		n.watcher.Remove(dir) //nolint:errcheck // it may not be watched
 		if err := n.watcher.Add(dir); err == nil {
-			n.watchedDirs[dir] = now
+			n.watchedDirs[dir] = current
 		}
 	}
 	for dir := range n.watchedDirs {
-		if !want[dir] {
+		if !wanted[dir] {
 			n.watcher.Remove(dir) //nolint:errcheck // as above
 			delete(n.watchedDirs, dir)
 		}
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -189,9 +189,9 @@
 	path := filepath.Join(t.TempDir(), "f")
 	writeFile(t, path, "good 0")
 	r := startWatch(t, path, false)
-	i, err := os.Stat(path)
+	info, err := os.Stat(path)
 	requireNoError(t, err)
 	writeFile(t, path, "good 1")
-	requireNoError(t, os.Chtimes(path, i.ModTime(), i.ModTime()))
+	requireNoError(t, os.Chtimes(path, info.ModTime(), info.ModTime()))
 	wantMessage(t, r.applied, "good 1")
 }
