--- a/internal/member/discovery.go
+++ b/internal/member/discovery.go
@@ -11,47 +11,52 @@
 	"time"
 )
 
-// Discovery asks for the list and then watches it.
+// Discovery polls a discovery service for the list of servers and its changes.
 type Discovery struct {
 	url          string
 	client       *http.Client
-	onDemand     bool // watches only once asked, and tells of failures
+	onDemand     bool // polls only after RequestWatch
 	timing       discoveryTiming
-	requested    chan struct{} // of capacity 1
-	onList       func(l List)  // takes a list
-	onFailure    func()        // takes a failure
-	knownVersion int64         // version of the list that is held, which may be 0; -1 = none, or one that a whole list has to replace
+	requested    chan struct{} // buffered, capacity 1
+	onList       func(l List)  // called with each list
+	onFailure    func()        // called after each failure
+	knownVersion int64         // version of the list in use, may be 0; -1 = request the full list
 }
 
-// discoveryTiming is how long discovery is waited for. A watch that says nothing looks like a list that does not change, until
-// its wait is over: only then is it found to be dead, with all the news that it has swallowed.
+// discoveryTiming holds the timeouts of discovery calls. A long poll without an answer looks like a list that
+// does not change: only its timeout shows that the connection is dead and that updates were lost.
 type discoveryTiming struct {
-	listTimeout   time.Duration // for the whole list
-	pollWait      time.Duration // of one call of a watch
-	pollSlack     time.Duration // after it
-	maxRetryPause time.Duration // at most between a failure and the next call, where the one before went well
+	listTimeout   time.Duration // of a call for the full list
+	pollWait      time.Duration // how long discovery may hold a long poll open
+	pollSlack     time.Duration // added to pollWait for the timeout of a long poll
+	maxRetryPause time.Duration // upper limit of the pause after a failure that follows a successful call
 }
 
 var (
-	// The agent on the router's own machine answers at once and at no cost. What it has told, even into a connection
-	// that ends, must be acted on within 500 ms.
+	// agentTiming is for an agent on the router's own machine, whose answers are immediate and cheap. Its
+	// updates must take effect within 500 ms, even one that is lost because the connection ends.
 	agentTiming = discoveryTiming{listTimeout: 250 * time.Millisecond, pollWait: 2 * time.Second, pollSlack: 250 * time.Millisecond, maxRetryPause: 50 * time.Millisecond}
-	// One discovery for all works through calls in turn: they are few, wait long, and come spread when it is back. It gives calls
-	// up itself that have waited for too long. Who gave up sooner than it does would ask again at the end of its queue, and
-	// have it work for nobody.
+	// sharedTiming is for a discovery service that all routers share and that handles calls one after the
+	// other. Calls are therefore few and long, and are spread out after an outage. The service itself drops
+	// calls that have queued for too long: a client with a shorter timeout would retry at the end of the
+	// queue and make the service compute answers that nobody reads.
 	sharedTiming = discoveryTiming{listTimeout: 6 * time.Second, pollWait: 10 * time.Second, pollSlack: 4 * time.Second, maxRetryPause: 500 * time.Millisecond}
 )
 
 const (
 	dialTimeout     = time.Second
-	minPollInterval = 50 * time.Millisecond
-	maxListBytes    = 1 << 20 // some thousands of servers
+	minPollInterval = 50 * time.Millisecond // pause after an immediate empty answer
+	maxListBytes    = 1 << 20               // a few thousand servers
 	maxHeaderBytes  = 64 << 10
 )
 
-// NewDiscovery is the discovery at addr. With onDemand it calls only once Watch has asked it to, tells broke of each
-// failure, and asks for changes alone where the version of a list is known, not -1; tell takes each list, whole or in changes. Both are
-// called from the goroutine of Run.
+// NewDiscovery returns a client of the discovery service at addr, given as HOST:PORT.
+//
+// With onDemand, the service is shared by all routers: it is polled only after RequestWatch, and only for the
+// changes since knownVersion unless that is -1. Without it, the service is an agent on the same machine, it
+// is polled continuously, and knownVersion is ignored.
+//
+// Run calls onList with each list, full or changes, and onFailure after each failure.
 func NewDiscovery(addr string, onDemand bool, knownVersion int64, onList func(List), onFailure func()) *Discovery {
 	timing := agentTiming
 	if onDemand {
@@ -65,7 +70,7 @@
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 }
 
-// RequestWatch asks discovery to be watched from now on.
+// RequestWatch starts polling, which goes on until the next failure. It has an effect only with onDemand.
 func (d *Discovery) RequestWatch() {
 	select {
 	case d.requested <- struct{}{}:
@@ -73,8 +78,9 @@
 	}
 }
 
-// Run follows the list until ctx ends. After a failure it begins anew with the whole list: what was missed comes
-// with it. A discovery that all share works for each line that it tells: it is asked for what has changed since.
+// Run polls the service until ctx ends. After a failure, an agent is asked for the full list, which contains
+// any missed changes. A shared service spends work on each line that it sends, so it is asked only for the
+// changes since the known version.
 func (d *Discovery) Run(ctx context.Context) {
 	defer d.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -85,14 +91,15 @@
 				return
 			}
 		}
-		pause := 100*time.Millisecond + rand.N(400*time.Millisecond) // spread, or all would ask at once when it is back
+		// Random, so that routers do not all call at once after an outage.
+		pause := 100*time.Millisecond + rand.N(400*time.Millisecond)
 		if d.pollUntilError(ctx) {
 			pause = min(pause, d.timing.maxRetryPause)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		select { // asked while it was being followed: who asked hears of the failure, and decides anew
+		select { // drop a request made while polling: its caller learns of the failure and may request again
 		case <-d.requested:
 		default:
 		}
@@ -104,7 +111,8 @@
 	}
 }
 
-// pollUntilError gets the list and the changes after it, until a call fails, and tells whether any went well.
+// pollUntilError requests the list and then its changes until a call fails. It reports whether any call
+// succeeded.
 func (d *Discovery) pollUntilError(ctx context.Context) (succeeded bool) {
 	for {
 		start := time.Now()
@@ -121,13 +129,14 @@
 			return succeeded
 		}
 		succeeded = true
-		if !l.Full && l.Version < d.knownVersion { // it has begun anew, and its changes belong to another list
+		if !l.Full && l.Version < d.knownVersion { // the service restarted: the changes refer to another list
 			l.Version = -1
 		}
 		d.knownVersion = l.Version
 		d.onList(l)
 		if !l.Full && len(l.Servers) == 0 && time.Since(start) < minPollInterval {
-			select { // an agent that does not wait would be asked without end; a watch bears a pause of 200 ms
+			// Avoid a busy loop with an agent that does not hold calls open. A delay of up to 200 ms does no harm.
+			select {
 			case <-time.After(minPollInterval):
 			case <-ctx.Done():
 			}
@@ -135,6 +144,7 @@
 	}
 }
 
+// fetchList requests url and decodes the list in the answer.
 func (d *Discovery) fetchList(ctx context.Context, url string, timeout time.Duration) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/member/file.go
+++ b/internal/member/file.go
@@ -14,37 +14,37 @@
 	"mossproxy.example/mossproxy/internal/tomlfile"
 )
 
-// MaxFileBytes is the longest server file that is read, in bytes: some ten thousand servers.
+// MaxFileBytes is the maximum size of a server file in bytes, enough for about ten thousand servers.
 const MaxFileBytes = 1 << 20
 
-// maxWeight bounds weights: the hash table gives a server places by its weight, and they are few.
+// maxWeight is the maximum weight of a server: the hash table assigns slots by weight, and has few of them.
 const maxWeight = 16
 
-// originKind is what a server file calls the origin.
+// originKind is the kind of the origin in a server file.
 const originKind = "origin"
 
-// cacheKind is the kind of a server whose file names none.
+// cacheKind is the kind of a server for which the file gives none.
 const cacheKind = "cache"
 
-// Rules are what a pool asks of its server files.
+// Rules are a pool's requirements for its server file.
 type Rules struct {
-	Sites     []string // that servers may stand in; empty = any
-	Kinds     []string // of cache servers; empty = any
-	Origin    bool     // the pool needs an origin, exactly one
-	GoneShare float64  // refuses lists that take away more than this share of the cache servers at once
+	Sites     []string // allowed sites; empty = any
+	Kinds     []string // allowed kinds of cache servers; empty = any
+	Origin    bool     // the pool needs exactly one origin; otherwise it must have none
+	GoneShare float64  // largest share of the active cache servers that one edit may remove; 0 = no limit
 }
 
-// DefaultGoneShare is the share of the cache servers that one edit may take away, where nothing else is set.
+// DefaultGoneShare is the default of Rules.GoneShare.
 const DefaultGoneShare = 0.5
 
-// File is a server file that was read whole.
+// File is the content of a valid server file.
 type File struct {
 	Edition int64    // 0 = the file has none
-	Allow   []string // what it allows on purpose
-	Servers []Entry  // Started below 0: the file does not tell
+	Allow   []string // removals that the file permits explicitly: "site-gone NAME" or "gone COUNT"
+	Servers []Entry  // Started is negative if the file does not give it
 }
 
-// document mirrors a server file.
+// document is the TOML structure of a server file.
 type document struct {
 	Edition int64       `toml:"edition"`
 	Allow   []string    `toml:"allow"`
@@ -52,7 +52,7 @@
 	End     any         `toml:"end"`
 }
 
-// serverRow is one server in a server file.
+// serverRow is the TOML structure of one server.
 type serverRow struct {
 	ID      string    `toml:"id"`
 	Addr    string    `toml:"addr"`
@@ -65,11 +65,12 @@
 	Warm    bool      `toml:"warm"`
 }
 
-// endLinePattern is the last line of a whole file. A file may end at any byte of an edit, also where what is there would parse:
-// this is what it then lacks.
+// endLinePattern matches the last line of a complete file. While a file is being written it may end at any
+// byte, even where the part would parse; the missing end line shows that it is not complete.
 var endLinePattern = regexp.MustCompile(`^end\s*=`)
 
-// ParseFile reads a server file. It is taken whole or not at all: all that is wrong comes back as faults.
+// ParseFile parses and validates a server file. A file with any fault is rejected as a whole and its faults
+// are returned.
 func ParseFile(name string, text []byte, rules Rules) (File, tomlfile.Faults) {
 	if len(text) > MaxFileBytes {
 		return File{}, tomlfile.Faults{{File: name, What: fmt.Sprintf("over %d bytes; a server file holds at most that", MaxFileBytes)}}
@@ -82,7 +83,7 @@
 	if faults != nil {
 		return File{}, faults
 	}
-	r := validator{doc: decoded, rules: rules}
+	r := validator{decoded: decoded, rules: rules}
 	f := File{Edition: doc.Edition, Allow: doc.Allow}
 	r.checkEnd(text, &doc)
 	for i, a := range doc.Allow {
@@ -100,9 +101,9 @@
 	return f, nil
 }
 
-// validator collects the faults of one file.
+// validator checks one file and collects its faults.
 type validator struct {
-	doc       *tomlfile.Doc
+	decoded   *tomlfile.Doc
 	rules     Rules
 	faults    tomlfile.Faults
 	rowByID   map[string]int
@@ -110,16 +111,16 @@
 	rowByHash map[uint32]int
 }
 
-// maxFaults bounds what is said about one file.
+// maxFaults limits the number of faults collected per file.
 const maxFaults = 100
 
 func (r *validator) addFault(key, format string, args ...any) {
 	if len(r.faults) < maxFaults {
-		r.faults = append(r.faults, r.doc.Fault(key, format, args...))
+		r.faults = append(r.faults, r.decoded.Fault(key, format, args...))
 	}
 }
 
-// checkEnd checks the mark that a file cut short lacks.
+// checkEnd checks the end line, which a truncated file lacks.
 func (r *validator) checkEnd(text []byte, doc *document) {
 	wantEnd := fmt.Sprintf("end = %d", len(doc.Servers))
 	if doc.Edition != 0 {
@@ -129,7 +130,7 @@
 	for len(lines) > 1 && bytes.HasPrefix(bytes.TrimSpace(lines[len(lines)-1]), []byte("#")) {
 		lines = lines[:len(lines)-1]
 	}
-	fault := tomlfile.Fault{File: r.doc.File, Line: len(lines), Key: "end"}
+	fault := tomlfile.Fault{File: r.decoded.File, Line: len(lines), Key: "end"}
 	addEndFault := func(format string, args ...any) {
 		fault.What = fmt.Sprintf(format, args...)
 		r.faults = append(r.faults, fault)
@@ -167,10 +168,10 @@
 	return 0, 0, false
 }
 
-// states of a server in a file. One that is removed drains likewise.
+// fileStates are the states of a server in a file. A server that is removed from the file drains as well.
 var fileStates = []string{"active", "leaving"}
 
-// compareServer checks one server and returns it as lists hold it.
+// checkServer validates one server and returns its list entry.
 func (r *validator) checkServer(i int, s *serverRow) Entry {
 	path := fmt.Sprintf("servers[%d]", i)
 	addFault := func(key, format string, args ...any) { r.addFault(path+"."+key, format, args...) }
@@ -221,28 +222,29 @@
 	return Entry{ID: s.ID, Addr: s.Addr, Zone: s.Site, Kind: s.Kind, Cell: s.Cell, State: s.State, Weight: weight, Started: started}
 }
 
-// unknownStart stands for a start that the file does not tell.
+// unknownStart is the Entry.Started of a server whose start the file does not give.
 const unknownStart = -1
 
-// isPort says whether text is a port that can be connected to.
+// isPort reports whether text is a port from 1 to 65535.
 func isPort(text string) bool {
 	n, err := strconv.ParseUint(text, 10, 16)
 	return err == nil && n > 0
 }
 
-// checkDuplicate reports a value that stood at a server before.
+// checkDuplicate adds a fault if an earlier server has the same value.
 func (r *validator) checkDuplicate(key, value string, seen *map[string]int, i int) {
 	if *seen == nil {
 		*seen = map[string]int{}
 	}
 	if j, ok := (*seen)[value]; ok && value != "" {
-		r.addFault(key, "%q stands at servers[%d] too, in line %d; each server has its own", value, j, r.doc.Line(fmt.Sprintf("servers[%d]", j)))
+		r.addFault(key, "%q stands at servers[%d] too, in line %d; each server has its own", value, j, r.decoded.Line(fmt.Sprintf("servers[%d]", j)))
 		return
 	}
 	(*seen)[value] = i
 }
 
-// findHashCollision finds another id that the module can't tell from this one.
+// findHashCollision returns the index of an earlier server whose id maps to the same number, so that the
+// balancer could not tell the two apart. Duplicate ids do not count: checkDuplicate reports them.
 func (r *validator) findHashCollision(id string, i int) (int, bool) {
 	if r.rowByHash == nil {
 		r.rowByHash = map[uint32]int{}
@@ -255,7 +257,7 @@
 	return j, taken && r.rowByID[id] == i
 }
 
-// checkList checks what only the list as a whole can tell.
+// checkList checks the list as a whole: that it has usable cache servers and the right number of origins.
 func (r *validator) checkList(servers []Entry) {
 	caches, origins, active, weight := 0, 0, 0, 0.0
 	for _, s := range servers {
@@ -287,13 +289,13 @@
 	}
 }
 
-// allowance is something that a file allows on purpose.
+// allowance is a removal of servers that the file permits explicitly.
 type allowance struct {
-	site    string // whose servers may all go
-	maxGone int    // or how many servers may go at once
+	site    string // all servers of this site may be removed
+	maxGone int    // or this many servers may be removed at once
 }
 
-// parseAllowance reads "site-gone NAME" or "gone COUNT".
+// parseAllowance parses "site-gone NAME" or "gone COUNT". It reports whether the text is valid.
 func parseAllowance(text string) (allowance, bool) {
 	kind, rest, _ := strings.Cut(text, " ")
 	switch kind {
--- a/internal/member/filesource.go
+++ b/internal/member/filesource.go
@@ -9,16 +9,16 @@
 	"mossproxy.example/mossproxy/internal/watch"
 )
 
-// FileConfig tells where a watched server file is and what it must hold.
+// FileConfig configures a watched server file.
 type FileConfig struct {
 	Path      string
-	State     string  // where the last good list is kept; "" = nowhere
-	Rules     Rules   //
-	SettleMS  float64 // a new content counts once it has stood still for so long
-	NoNotices bool    // look only at intervals, as where the folder is on a network
+	State     string  // file in which the last good list is saved; "" = not saved
+	Rules     Rules   // requirements for the list
+	SettleMS  float64 // time that new content must stay unchanged before it is evaluated
+	NoNotices bool    // poll without file system notifications, for example on network file systems
 }
 
-// FileSource is a watched server file.
+// FileSource provides the list of servers from a watched file.
 type FileSource struct {
 	cfg     FileConfig
 	now     func() float64 // Unix time in ms
@@ -29,11 +29,12 @@
 	version int64
 }
 
-// OpenFile reads the server file and gives its source. Where the file is bad, or clearly wrong beside the last good list,
-// that list is used and the reason logged; without one the reason is the error. now is Unix time in milliseconds.
+// OpenFile reads the server file and returns its source. If the file is invalid, or implausible compared with
+// the last good list, that list is used and the reason is logged; if there is no such list, the reason is
+// returned as the error. now returns the Unix time in milliseconds.
 func OpenFile(cfg FileConfig, now func() float64, log func(string, ...any)) (*FileSource, error) {
 	if cfg.SettleMS < 0 || math.IsNaN(cfg.SettleMS) {
-		return nil, fmt.Errorf("server file: a settling time of %v ms", cfg.SettleMS)
+		return nil, fmt.Errorf("server file: invalid settling time of %v ms", cfg.SettleMS)
 	}
 	s := &FileSource{cfg: cfg, now: now, log: log}
 	s.file = watch.New(watch.Config{Path: cfg.Path, MaxBytes: MaxFileBytes, SettleMS: cfg.SettleMS, PollOnly: cfg.NoNotices}, now, fileConsumer{s})
@@ -41,7 +42,7 @@
 	if cfg.State != "" {
 		var err error
 		if lastGood, err = loadState(cfg.State); err != nil && !errors.Is(err, errNoState) {
-			log("server file: the list that was kept is not used: %v", err)
+			log("server file: ignoring the saved list: %v", err)
 		}
 	}
 	text, err := s.file.Read()
@@ -54,7 +55,7 @@
 		s.file.SetCurrent(text)
 		s.accept(&c.Next)
 	case lastGood != nil:
-		log("server file: refused, the last good list is used: %s", oneLine(err.Error()))
+		log("server file: refused, using the last good list: %s", oneLine(err.Error()))
 		s.current = lastGood
 		s.file.SetKnownBad(text)
 	default:
@@ -64,10 +65,11 @@
 	return s, nil
 }
 
-// Current is the list in use. It is not called while Run does.
+// Current returns the list in use. It must not be called while Run is running.
 func (s *FileSource) Current() List { return s.current.List(s.version) }
 
-// planChange reads a content and says what it would change, or why it is not taken.
+// planChange parses a new content and returns the change from old. If the content is rejected, it returns an
+// error with the reasons.
 func (s *FileSource) planChange(old *File, text []byte) (Change, error) {
 	f, faults := ParseFile(s.cfg.Path, text, s.cfg.Rules)
 	if faults != nil {
@@ -80,7 +82,7 @@
 	return c, nil
 }
 
-// refusedList is a list that was read and is likely a mistake.
+// refusedList is the error for a valid list that is probably a mistake.
 type refusedList struct {
 	path    string
 	reasons []string
@@ -97,28 +99,28 @@
 	return text
 }
 
-// accept uses a file from now on, and keeps it for a restart.
+// accept makes f the list in use and saves it for a restart.
 func (s *FileSource) accept(f *File) {
 	s.current = f
 	if s.cfg.State == "" {
 		return
 	}
 	if err := saveState(s.cfg.State, f); err != nil {
-		s.log("server file: the list is used, but a restart won't have it: %v", err)
+		s.log("server file: the list is used, but could not be saved for a restart: %v", err)
 	}
 }
 
-// Run follows the file until ctx ends, and hands each further list to tell. What goes wrong is logged and leaves the list
-// as it is.
+// Run watches the file until ctx ends and passes each new list to onList. Errors are logged, and the list in
+// use stays.
 func (s *FileSource) Run(ctx context.Context, onList func(List)) {
 	s.onList = onList
 	s.file.Run(ctx)
 }
 
-// fileConsumer is the source as the watched file sees it.
+// fileConsumer implements watch.Consumer for a FileSource.
 type fileConsumer struct{ source *FileSource }
 
-// Take uses a content of the file.
+// Apply uses new content of the file, or returns the reasons why not.
 func (t fileConsumer) Apply(text []byte) error {
 	c, err := t.source.planChange(t.source.current, text)
 	if err != nil {
@@ -128,25 +130,25 @@
 	return nil
 }
 
-// Refused tells why a content is not used.
+// Refused logs why new content is rejected.
 func (t fileConsumer) Refused(why error) {
 	t.source.log("server file: refused, the list in use stays: %s", oneLine(why.Error()))
 }
 
-// Trouble tells that notices fail.
+// NotificationsFailed logs that file system notifications failed.
 func (t fileConsumer) NotificationsFailed(err error) {
-	t.source.log("server file: no notices, it is only looked at four times a second: %v", err)
+	t.source.log("server file: change notifications failed, polling every 250 ms: %v", err)
 }
 
-// apply uses a change.
+// apply puts a change into use.
 func (s *FileSource) apply(c *Change) {
 	s.version++
-	s.onList(c.Next.List(s.version)) // first of all: drains run from the moment the file was whole
-	s.log("server file: taken, list %d of %d servers: %s", s.version, len(c.Next.Servers), oneLine(c.String()))
+	s.onList(c.Next.List(s.version)) // first, because drains are timed from when the file was complete
+	s.log("server file: applied list %d with %d servers: %s", s.version, len(c.Next.Servers), oneLine(c.String()))
 	s.accept(&c.Next)
 }
 
-// oneLine joins lines for a log.
+// oneLine joins the lines of text with "; " for the log.
 func oneLine(text string) string {
 	out := make([]byte, 0, len(text))
 	for i := range len(text) {
--- a/internal/member/filesource_test.go
+++ b/internal/member/filesource_test.go
@@ -40,13 +40,13 @@
 // replace puts a new file in the place of the old one.
 func (s *fileFixture) replace(content string) {
 	s.t.Helper()
-	path := s.path
+	finalPath := s.path
 	s.path += ".new"
 	s.write(content)
-	if err := os.Rename(s.path, path); err != nil {
+	if err := os.Rename(s.path, finalPath); err != nil {
 		s.t.Fatal(err)
 	}
-	s.path = path
+	s.path = finalPath
 }
 
 func (s *fileFixture) log(format string, args ...any) {
@@ -117,8 +117,8 @@
 				t.Fatalf("%s: cut at byte %d of %d: a list was handed on", name, cut, len(c.next))
 			}
 		}
-		if n := s.countLogged("the file may be cut short"); n == 0 || s.countLogged("server file: taken") > 0 {
-			t.Errorf("%s: %d reasons were told; %d lists taken", name, n, s.countLogged("server file: taken"))
+		if n := s.countLogged("the file may be cut short"); n == 0 || s.countLogged("server file: applied") > 0 {
+			t.Errorf("%s: %d reasons logged; %d lists applied", name, n, s.countLogged("server file: applied"))
 		}
 		c.write(s, c.next)
 		s.pollAfter(src, 30)
@@ -163,7 +163,7 @@
 	if got := src.Current(); !reflect.DeepEqual(got, before) {
 		t.Errorf("got %+v, want what was kept", got)
 	}
-	if s.countLogged("refused, the last good list is used: ") != 1 {
+	if s.countLogged("refused, using the last good list: ") != 1 {
 		t.Errorf("said %q", s.logLines)
 	}
 	s.pollAfter(src, 500)
@@ -205,15 +205,15 @@
 	s.write("half")
 	good := mustParse(t, warmServersText())
 	want := good.List(1).Servers
-	for at := range whole {
+	for offset := range whole {
 		broken := append([]byte(nil), whole...)
-		broken[at] ^= 1
-		for _, text := range [][]byte{broken, whole[:at]} {
+		broken[offset] ^= 1
+		for _, text := range [][]byte{broken, whole[:offset]} {
 			if err := os.WriteFile(s.statePath, text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if src, err := s.open(); err == nil && !reflect.DeepEqual(src.Current().Servers, want) {
-				t.Fatalf("byte %d: a damaged list is used: %+v", at, src.Current())
+				t.Fatalf("byte %d: a damaged list is used: %+v", offset, src.Current())
 			}
 		}
 	}
@@ -245,7 +245,7 @@
 	src := s.mustOpen()
 	s.write(serverFileText("", append(fourServers(), manyServers(1)...)...))
 	s.pollAfter(src, 30)
-	if len(s.lists) != 1 || s.countLogged("a restart won't have it") != 2 {
+	if len(s.lists) != 1 || s.countLogged("could not be saved for a restart") != 2 {
 		t.Errorf("lists %v, said %q", s.lists, s.logLines)
 	}
 }
@@ -270,11 +270,11 @@
 // BenchmarkFileToList gives the time from the last byte of a file until its list is handed on, with notices and without,
 // as p50 and p99, and beside it the time that a router would take that looks once a second, as is usual.
 func BenchmarkFileToList(b *testing.B) {
-	for _, notices := range []bool{true, false} {
-		b.Run(map[bool]string{true: "notices", false: "looks"}[notices], func(b *testing.B) {
+	for _, notifications := range []bool{true, false} {
+		b.Run(map[bool]string{true: "notices", false: "looks"}[notifications], func(b *testing.B) {
 			s := newFileFixture(b, serverFileText("", fourServers()...))
 			cfg := s.config()
-			cfg.NoNotices, cfg.State = !notices, ""
+			cfg.NoNotices, cfg.State = !notifications, ""
 			src, err := OpenFile(cfg, func() float64 { return float64(time.Now().UnixMicro()) / 1000 }, s.log)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/member/plan.go
+++ b/internal/member/plan.go
@@ -7,28 +7,29 @@
 	"strings"
 )
 
-// Change is what going from one list to the next does.
+// Change describes the difference between the list in use and the next one.
 type Change struct {
-	Added      []string // ids that are new, or are back
-	Drained    []string // ids that get nothing new any more: removed, leaving, or of weight 0
+	Added      []string // ids of servers that are new or accept requests again
+	Drained    []string // ids of servers that no longer accept requests: removed, leaving or of weight 0
 	Reweighted []string // "id 1 -> 0.25"
-	Moved      []string // "id 10.0.0.1:11211 -> 10.0.0.9:11211": a new process, cold
-	Altered    []string // ids of another site, kind, cell or start
-	Refused    []string // why the list is not taken; empty = it is
-	Notes      []string // what the person who edits may want to know
-	Next       File     // the list to be used, starts filled in
+	Moved      []string // "id 10.0.0.1:11211 -> 10.0.0.9:11211"; the process at the new address is cold
+	Altered    []string // ids of servers whose site, kind, cell or start differs
+	Refused    []string // why the list is refused; empty = it is accepted
+	Notes      []string // hints for the person who edits the file
+	Next       File     // the next list, with the start times filled in
 }
 
-// Empty says whether the change changes nothing.
+// Empty reports whether no server changes.
 func (c *Change) Empty() bool {
 	return len(c.Added)+len(c.Drained)+len(c.Reweighted)+len(c.Moved)+len(c.Altered) == 0
 }
 
-// Plan says what a new file does to the list in use. Nothing is read or written, and the same arguments give the same
-// change. A nil old file is the first of all; now is Unix time in milliseconds.
+// Plan returns the change from the list in use to that of a new file. It does no I/O and depends only on its
+// arguments. If old is nil, there is no list in use; now is the Unix time in milliseconds.
 //
-// A server that comes by an edit, or to another address, counts as started now unless its file says otherwise: nobody
-// has told that it is warm, and a cold one must not be pushed over. Those of the first file count as started long ago.
+// A server that an edit adds or moves to another address counts as started now unless the file says
+// otherwise: it may be cold, and a cold server must not be overloaded. Servers of the first file count as
+// started long ago.
 func Plan(old *File, next File, rules Rules, now float64) Change {
 	c := Change{Next: next}
 	c.Next.Servers = slices.Clone(next.Servers)
@@ -59,7 +60,7 @@
 	return c
 }
 
-// compareServer books what becomes of one server that the new file lists.
+// compareServer records how a server of the new file differs from its previous entry, and fills in its start.
 func (c *Change) compareServer(previous Entry, existed bool, s *Entry, now float64) {
 	startKnown := s.Started >= 0
 	switch {
@@ -89,11 +90,11 @@
 	}
 }
 
-// acceptsRequests says whether a server may get anything new.
+// acceptsRequests reports whether the server may get new requests.
 func (e Entry) acceptsRequests() bool { return e.State == "active" && e.Weight > 0 }
 
-// checkPlausible refuses a list that is likely a mistake, unless the file allows it on purpose, for this one list: an allowance
-// that stood in the list before is spent.
+// checkPlausible refuses a list that is probably a mistake, unless the file permits it explicitly. A
+// permission is valid for one list only: one that was in the previous list already no longer counts.
 func (c *Change) checkPlausible(old *File, rules Rules) {
 	if old.Edition > 0 && c.Next.Edition == old.Edition && !c.Empty() {
 		c.refuse("edition %d is in use and this list is another; raise it to %d, in the head and in the end line", old.Edition, old.Edition+1)
@@ -115,7 +116,7 @@
 	}
 	before, after := countAcceptingBySite(old.Servers), countAcceptingBySite(c.Next.Servers)
 	var lostSites []string
-	for _, s := range old.Servers { // in the order of the file, so that the same files give the same words
+	for _, s := range old.Servers { // in the order of the file, so that messages are reproducible
 		site := s.Zone
 		if before[site] > 0 && after[site] == 0 && !removableSites[site] && !slices.Contains(lostSites, site) {
 			lostSites = append(lostSites, site)
@@ -132,7 +133,7 @@
 	for _, id := range c.Drained {
 		leavingIDs[id] = true
 	}
-	for _, m := range c.Moved { // a new process lacks what the one before it held
+	for _, m := range c.Moved { // a new process does not have the previous one's data
 		id, _, _ := strings.Cut(m, " ")
 		leavingIDs[id] = true
 	}
@@ -158,9 +159,10 @@
 	c.Refused = append(c.Refused, fmt.Sprintf(format, args...))
 }
 
+// isCache reports whether the server is a cache server and not the origin.
 func (e Entry) isCache() bool { return e.Kind != originKind }
 
-// countAcceptingBySite counts the cache servers of each site that take requests.
+// countAcceptingBySite returns the number of cache servers that accept requests, by site.
 func countAcceptingBySite(servers []Entry) map[string]int {
 	n := map[string]int{}
 	for _, s := range servers {
@@ -171,7 +173,7 @@
 	return n
 }
 
-// String is the change in lines for a person.
+// String describes the change for people, one line for each kind of difference, refusal or note.
 func (c *Change) String() string {
 	var b strings.Builder
 	writeLine := func(name string, items []string) {
@@ -205,7 +207,8 @@
 	return b.String()
 }
 
-// List is the file as the router takes it: the whole list. Weight 0 is a server that gets nothing new.
+// List returns the servers as a full list with the given version. A server of weight 0 is listed as leaving,
+// so that it gets no new requests.
 func (f *File) List(version int64) List {
 	l := List{Version: version, Full: true, Servers: slices.Clone(f.Servers)}
 	for i := range l.Servers {
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -14,20 +14,21 @@
 	"mossproxy.example/mossproxy/internal/watch"
 )
 
-// stateFormat is the version of the form in which the last good list is kept.
+// stateFormat is the version of the file format in which the last good list is stored.
 const stateFormat = 1
 
-// savedState is the last good list on disk.
+// savedState is the file with the last good list.
 type savedState struct {
 	Format int             `json:"format"`
-	SHA256 string          `json:"sha256"` // of Body
-	Body   json.RawMessage `json:"body"`   // a File
+	SHA256 string          `json:"sha256"` // of Body, in hex
+	Body   json.RawMessage `json:"body"`   // a File as JSON
 }
 
-// errNoState tells that no list is kept.
-var errNoState = errors.New("no list is kept")
+// errNoState means that no list has been saved.
+var errNoState = errors.New("no saved list")
 
-// loadState reads the list that was kept at path. One that is damaged is an error and not a list.
+// loadState reads the list that was saved at path. It returns errNoState if there is none, and another error
+// if it is damaged or has an unknown format.
 func loadState(path string) (*File, error) {
 	text, err := readBounded(path, 8*MaxFileBytes)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -44,7 +45,7 @@
 		return nil, fmt.Errorf("%s: format %d; this program reads %d", path, saved.Format, stateFormat)
 	}
 	if sum := sha256.Sum256(saved.Body); hex.EncodeToString(sum[:]) != saved.SHA256 {
-		return nil, fmt.Errorf("%s: damaged: the checksum does not fit", path)
+		return nil, fmt.Errorf("%s: damaged: checksum mismatch", path)
 	}
 	f := new(File)
 	if err := json.Unmarshal(saved.Body, f); err != nil {
@@ -53,25 +54,25 @@
 	return f, nil
 }
 
-// saveState keeps a list at path: the new one whole or the one before it, whatever happens in between.
+// saveState stores a list at path. After a crash, the file holds either the new list or the previous one.
 func saveState(path string, f *File) error {
 	body, err := json.Marshal(f)
 	if err != nil {
-		return fmt.Errorf("keeping the list: %w", err)
+		return fmt.Errorf("saving the list: %w", err)
 	}
 	sum := sha256.Sum256(body)
 	text, err := json.Marshal(savedState{Format: stateFormat, SHA256: hex.EncodeToString(sum[:]), Body: body})
 	if err != nil {
-		return fmt.Errorf("keeping the list: %w", err)
+		return fmt.Errorf("saving the list: %w", err)
 	}
 	if err := replaceFile(path, text); err != nil {
-		return fmt.Errorf("keeping the list: %w", err)
+		return fmt.Errorf("saving the list: %w", err)
 	}
 	return nil
 }
 
-// replaceFile puts text in the place of the file at path. The file is synced before it gets its name, and the folder
-// after that, so that a crash leaves either the old text or the new.
+// replaceFile replaces the file at path atomically. The new file is synced before it is renamed and the
+// directory afterwards, so that a crash leaves either the old text or the new.
 func replaceFile(path string, text []byte) error {
 	dir := filepath.Dir(path)
 	tmp, err := os.CreateTemp(dir, filepath.Base(path)+".new-*")
@@ -100,7 +101,7 @@
 	return d.Sync()
 }
 
-// readBounded reads a regular file of at most limit bytes.
+// readBounded reads a regular file. It returns an error if the file is longer than limit bytes.
 func readBounded(path string, limit int64) ([]byte, error) {
 	f, _, err := watch.OpenRegular(path)
 	if err != nil {
@@ -112,7 +113,7 @@
 		return nil, fmt.Errorf("reading %s: %w", path, err)
 	}
 	if int64(len(text)) > limit {
-		return nil, fmt.Errorf("%s: over %d bytes", path, limit)
+		return nil, fmt.Errorf("%s: longer than %d bytes", path, limit)
 	}
 	return text, nil
 }
