--- a/internal/member/discovery_test.go
+++ b/internal/member/discovery_test.go
@@ -8,7 +8,9 @@
 	"testing"
 )
 
-// startScriptedDiscovery is a discovery that answers calls by a script and tells each call's query. Once the script is over it is silent.
+// startScriptedDiscovery starts a discovery service that answers the calls with script, one entry each, and
+// sends the query of each call to calls. An empty entry is an error. After the last entry, calls get no
+// answer.
 func startScriptedDiscovery(t *testing.T, script ...string) (addr string, calls chan string) {
 	calls = make(chan string, len(script)+1)
 	next := make(chan string, len(script))
@@ -31,43 +33,44 @@
 	return srv.Listener.Addr().String(), calls
 }
 
-// runDiscovery runs a discovery that asks again whenever it has failed, until the test ends.
-func runDiscovery(t *testing.T, addr string, onAsk bool, known int64) {
+// runDiscovery runs a Discovery until the test ends. It requests a new watch after each failure.
+func runDiscovery(t *testing.T, addr string, onDemand bool, knownVersion int64) {
 	ctx, stop := context.WithCancel(t.Context())
 	var d *Discovery
-	d = NewDiscovery(addr, onAsk, known, func(List) {}, func() { d.RequestWatch() })
-	ended := make(chan struct{})
+	d = NewDiscovery(addr, onDemand, knownVersion, func(List) {}, func() { d.RequestWatch() })
+	done := make(chan struct{})
 	d.RequestWatch()
-	go func() { defer close(ended); d.Run(ctx) }()
-	t.Cleanup(func() { stop(); <-ended })
+	go func() { defer close(done); d.Run(ctx) }()
+	t.Cleanup(func() { stop(); <-done })
 }
 
-// A discovery that all share works for each line that it tells: eighty routers that asked for the whole of a list that they had
-// kept it busy for as long as all were willing to wait. Who knows a version asks for what has changed since, after a failure
-// too; the whole comes where the versions have begun anew.
+// Guards against overload of a shared discovery service, which spends work on each line that it sends: eighty
+// routers that requested the full list although they had one kept it busy for as long as they were willing to
+// wait. A router that knows a version must request only the changes since, after a failure too. It requests
+// the full list if the service's versions have restarted.
 func TestSharedDiscoveryIsAskedForChangesAlone(t *testing.T) {
 	whole := `{"version":1,"full":true,"servers":[]}`
 	changes := `{"version":%d,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`
 	for name, c := range map[string]struct {
-		onAsk bool
-		known int64
-		said  []string
-		want  []string
+		onDemand     bool
+		knownVersion int64
+		answers      []string
+		wantQueries  []string
 	}{
-		"a list is known":              {true, 0, nil, []string{"after=0&wait_ms=10000"}},
-		"none is":                      {true, -1, []string{whole}, []string{"", "after=1&wait_ms=10000"}},
-		"a call has failed":            {true, 4, []string{fmt.Sprintf(changes, 5), ""}, []string{"after=4&wait_ms=10000", "after=5&wait_ms=10000", "after=5&wait_ms=10000"}},
-		"versions have begun anew":     {true, 7, []string{fmt.Sprintf(changes, 2), whole}, []string{"after=7&wait_ms=10000", "", "after=1&wait_ms=10000"}},
-		"the machine's own agent":      {false, 7, []string{whole}, []string{"", "after=1&wait_ms=2000"}},
-		"the agent's call has failed":  {false, -1, []string{whole, ""}, []string{"", "after=1&wait_ms=2000", ""}},
-		"an answer that is no list is": {true, 4, []string{"{"}, []string{"after=4&wait_ms=10000", "after=4&wait_ms=10000"}},
+		"list known":                 {true, 0, nil, []string{"after=0&wait_ms=10000"}},
+		"no list known":              {true, -1, []string{whole}, []string{"", "after=1&wait_ms=10000"}},
+		"call failed":                {true, 4, []string{fmt.Sprintf(changes, 5), ""}, []string{"after=4&wait_ms=10000", "after=5&wait_ms=10000", "after=5&wait_ms=10000"}},
+		"versions restarted":         {true, 7, []string{fmt.Sprintf(changes, 2), whole}, []string{"after=7&wait_ms=10000", "", "after=1&wait_ms=10000"}},
+		"local agent":                {false, 7, []string{whole}, []string{"", "after=1&wait_ms=2000"}},
+		"call to local agent failed": {false, -1, []string{whole, ""}, []string{"", "after=1&wait_ms=2000", ""}},
+		"answer is not a list":       {true, 4, []string{"{"}, []string{"after=4&wait_ms=10000", "after=4&wait_ms=10000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, calls := startScriptedDiscovery(t, c.said...)
-			runDiscovery(t, addr, c.onAsk, c.known)
-			for i, want := range c.want {
+			addr, calls := startScriptedDiscovery(t, c.answers...)
+			runDiscovery(t, addr, c.onDemand, c.knownVersion)
+			for i, want := range c.wantQueries {
 				if got := <-calls; got != want {
-					t.Errorf("call %d asks %q, want %q", i, got, want)
+					t.Errorf("call %d: query %q, want %q", i, got, want)
 				}
 			}
 		})
--- a/internal/member/file_test.go
+++ b/internal/member/file_test.go
@@ -11,7 +11,7 @@
 
 var testRules = Rules{Sites: []string{"rades", "sfax"}, Kinds: []string{"cache"}, Origin: true, GoneShare: 0.5}
 
-// serverFileText is a server file: each server a line of its own, as people write it.
+// serverFileText returns a server file with one line for each server, as people write it.
 func serverFileText(head string, rows ...string) string {
 	return fmt.Sprintf("%sservers = [\n  %s,\n]\nend = %d\n", head, strings.Join(rows, ",\n  "), len(rows))
 }
@@ -22,7 +22,7 @@
 
 const originRow = `{id = "db", addr = "127.0.0.1:1", site = "rades", kind = "origin"}`
 
-// fourServers is a list of two servers in each site.
+// fourServers returns two servers in each of two sites, and the origin.
 func fourServers() []string {
 	return []string{rowText("a", 11, "rades", ""), rowText("b", 12, "rades", ""), rowText("c", 13, "sfax", ""), rowText("d", 14, "sfax", ""), originRow}
 }
@@ -45,7 +45,7 @@
 	}
 	l := f.List(7)
 	if !l.Full || l.Version != 7 || l.Servers[6].State != "leaving" || l.Servers[0].State != "active" || f.Servers[6].State != "active" {
-		t.Errorf("a weight of 0 takes nothing new: %+v", l)
+		t.Errorf("server of weight 0 is not leaving: %+v", l)
 	}
 	if f.Servers[0].Started != unknownStart || f.Servers[6].Started != 0 || f.Servers[0].Weight != 1 {
 		t.Errorf("defaults: %+v", f.Servers)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Each fault of a file names its line, its key and what would be right.
+// Checks that each fault names its line, its key and a valid value.
 func TestFaultsOfAServerFile(t *testing.T) {
 	rows := fourServers()
 	with := func(more string) string {
@@ -70,17 +70,17 @@
 		{"blank", " \n\n", "the file is empty"},
 		{"no end", strings.Replace(serverFileText("", rows...), "end = 5", "", 1), "s.toml:7: end: the last line is missing, so the file may be cut short; if it is whole, add as its last line: end = 5"},
 		{"wrong count", strings.Replace(serverFileText("", rows...), "end = 5", "end = 6", 1), "s.toml:8: end: says 6 servers, and the file lists 5; if the file is whole, write: end = 5"},
-		{"behind the end", serverFileText("", rows...) + "allow = [\"gone 1\"]\n", "something stands behind the end line"},
-		{"end of text", strings.Replace(serverFileText("", rows...), "end = 5", `end = "5"`, 1), "not an end line; write: end = 5"},
+		{"text after the end line", serverFileText("", rows...) + "allow = [\"gone 1\"]\n", "something stands behind the end line"},
+		{"end line of wrong type", strings.Replace(serverFileText("", rows...), "end = 5", `end = "5"`, 1), "not an end line; write: end = 5"},
 		{"edition without end", "edition = 3\n" + serverFileText("", rows...), "says edition 0, and the head says 3"},
-		{"below 1", "edition = -3\n" + strings.Replace(serverFileText("", rows...), "end = 5", "end = {servers = 5, edition = -3}", 1), "edition: -3 is below 1"},
-		{"doubled id", serverFileText("", append(rows, rowText("a", 99, "sfax", ""))...), `s.toml:7: servers[5].id: "a" stands at servers[0] too, in line 2`},
-		{"doubled address", serverFileText("", append(rows, rowText("z", 11, "sfax", ""))...), `servers[5].addr: "127.0.0.1:11" stands at servers[0] too`},
-		{"same number", serverFileText("", append(rows, rowText("x-0000001f", 21, "sfax", ""), rowText("y-0000001f", 22, "sfax", ""))...), `servers[6].id: "y-0000001f" has the same number as servers[5]`},
+		{"edition below 1", "edition = -3\n" + strings.Replace(serverFileText("", rows...), "end = 5", "end = {servers = 5, edition = -3}", 1), "edition: -3 is below 1"},
+		{"duplicate id", serverFileText("", append(rows, rowText("a", 99, "sfax", ""))...), `s.toml:7: servers[5].id: "a" stands at servers[0] too, in line 2`},
+		{"duplicate address", serverFileText("", append(rows, rowText("z", 11, "sfax", ""))...), `servers[5].addr: "127.0.0.1:11" stands at servers[0] too`},
+		{"hash collision", serverFileText("", append(rows, rowText("x-0000001f", 21, "sfax", ""), rowText("y-0000001f", 22, "sfax", ""))...), `servers[6].id: "y-0000001f" has the same number as servers[5]`},
 		{"negative weight", with(", weight = -1.0"), "servers[5].weight: -1 is no weight; from 0"},
 		{"weight nan", with(", weight = nan"), "servers[5].weight: NaN is no weight"},
 		{"weight inf", with(", weight = inf"), "servers[5].weight: +Inf is no weight"},
-		{"weight of text", with(`, weight = "much"`), "s.toml:7: "},
+		{"weight of wrong type", with(`, weight = "much"`), "s.toml:7: "},
 		{"all weights 0", serverFileText("", rowText("a", 11, "rades", ", weight = 0"), rowText("b", 12, "rades", ", weight = 0"), originRow), "servers: every weight is 0"},
 		{"all leaving", serverFileText("", rowText("a", 11, "rades", `, state = "leaving"`), originRow), "servers: every cache server is leaving"},
 		{"no cache server", serverFileText("", originRow), "servers: no cache server is listed"},
@@ -109,7 +109,7 @@
 	}
 }
 
-// A file cut at any byte is never taken for another list than the one it was to become.
+// Checks that a file truncated at any byte is rejected, unless only its final newline is missing.
 func TestFileTruncatedAtEveryByte(t *testing.T) {
 	rows := fourServers()
 	for _, whole := range []string{serverFileText("", rows...), serverFileText("# head\n", append(rows, rowText("e", 15, "sfax", ", weight = 0.5"))...),
@@ -118,10 +118,10 @@
 		for cut := range whole {
 			f, faults := ParseFile("s.toml", []byte(whole[:cut]), testRules)
 			if faults == nil && !reflect.DeepEqual(f, want) {
-				t.Fatalf("cut at byte %d of %d: taken as\n%+v", cut, len(whole), f)
+				t.Fatalf("cut at byte %d of %d: accepted as\n%+v", cut, len(whole), f)
 			}
 			if faults == nil && cut < len(whole)-1 {
-				t.Errorf("cut at byte %d of %d: taken, though the end line is not whole", cut, len(whole))
+				t.Errorf("cut at byte %d of %d: accepted, though the end line is incomplete", cut, len(whole))
 			}
 		}
 	}
@@ -134,8 +134,8 @@
 	return rows
 }
 
-// A file that is written over in place, without being cut first, holds the head of the new list and the tail of the old.
-// With editions no such mixture passes, whatever the lengths.
+// A file that is overwritten in place without truncation temporarily holds the beginning of the new list and
+// the end of the old one. Checks that with editions no such mixture is accepted, whatever the lengths.
 func TestFileOverwrittenAtEveryByte(t *testing.T) {
 	with := func(edition, n int, weight string) string {
 		rows := append(fourServers(), manyServers(n)...)
@@ -158,7 +158,7 @@
 			}
 			f, faults := ParseFile("s.toml", []byte(mixed), testRules)
 			if faults == nil && !reflect.DeepEqual(f, old) && !reflect.DeepEqual(f, next) {
-				t.Fatalf("written over up to byte %d: taken as a third list\n%s", cut, mixed)
+				t.Fatalf("overwritten up to byte %d: accepted as a third list\n%s", cut, mixed)
 			}
 		}
 	}
@@ -178,11 +178,11 @@
 				takes++
 			}
 			if _, err := s.BalancerEntry(); err != nil {
-				t.Errorf("passed, but the router says %v", err)
+				t.Errorf("accepted, but the conversion for the balancer fails: %v", err)
 			}
 		}
 		if takes == 0 {
-			t.Error("passed without a server that takes requests")
+			t.Error("accepted without a server that accepts requests")
 		}
 	})
 }
@@ -192,6 +192,6 @@
 		t.Errorf("server %#x", got)
 	}
 	if ServerID("cache-east") == ServerID("cache-west") || ServerID("rades-01") == ServerID("sfax-01") {
-		t.Error("other forms clash")
+		t.Error("different ids map to the same number")
 	}
 }
--- a/internal/member/filesource_test.go
+++ b/internal/member/filesource_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// fileFixture is a folder with a server file, and a clock that the test sets.
+// fileFixture is a directory with a server file, and a clock that the test sets.
 type fileFixture struct {
 	t               testing.TB
 	path, statePath string
@@ -25,7 +25,8 @@
 
 func newFileFixture(t testing.TB, content string) *fileFixture {
 	dir := t.TempDir()
-	s := &fileFixture{t: t, path: filepath.Join(dir, "servers.toml"), statePath: filepath.Join(dir, "kept.json"), now: 4e12} // later than any file time
+	s := &fileFixture{t: t, path: filepath.Join(dir, "servers.toml"), statePath: filepath.Join(dir, "kept.json"),
+		now: 4e12} // later than any file time
 	s.write(content)
 	return s
 }
@@ -37,7 +38,7 @@
 	}
 }
 
-// replace puts a new file in the place of the old one.
+// replace replaces the file by renaming a new one.
 func (s *fileFixture) replace(content string) {
 	s.t.Helper()
 	finalPath := s.path
@@ -55,6 +56,7 @@
 	s.logLines = append(s.logLines, fmt.Sprintf(format, args...))
 }
 
+// countLogged returns the number of log lines that contain text.
 func (s *fileFixture) countLogged(text string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,15 +90,15 @@
 	return source
 }
 
-// pollAfter lets the file stand for a while.
+// pollAfter polls the file now and once more after ms milliseconds of the test's clock.
 func (s *fileFixture) pollAfter(src *FileSource, ms float64) {
 	src.file.Poll()
 	s.now += ms
 	src.file.Poll()
 }
 
-// Whatever a file holds at any byte of an edit, in place or by a rename, growing or shrinking: each list that the router
-// gets is the new one, whole; and it gets that one.
+// Checks that no partial file is used while a file is written, in place or by renames, growing or shrinking:
+// the router gets the complete new list, once, and nothing else.
 func TestEditAtEveryByte(t *testing.T) {
 	small := serverFileText("", fourServers()...)
 	large := serverFileText("# grown\n", append(append(fourServers(), manyServers(3)...), rowText("w", 88, "rades", ", weight = 0.25"))...)
@@ -114,7 +116,7 @@
 			s.pollAfter(src, 30)
 			s.pollAfter(src, 500)
 			if len(s.lists) > 0 {
-				t.Fatalf("%s: cut at byte %d of %d: a list was handed on", name, cut, len(c.next))
+				t.Fatalf("%s: cut at byte %d of %d: a list was used", name, cut, len(c.next))
 			}
 		}
 		if n := s.countLogged("the file may be cut short"); n == 0 || s.countLogged("server file: applied") > 0 {
@@ -124,7 +126,7 @@
 		s.pollAfter(src, 30)
 		want := mustParse(t, c.next)
 		if len(s.lists) != 1 || len(s.lists[0].Servers) != len(want.Servers) || !s.lists[0].Full {
-			t.Fatalf("%s: the whole file: got %+v", name, s.lists)
+			t.Fatalf("%s: complete file: got %+v", name, s.lists)
 		}
 		for i, e := range s.lists[0].Servers {
 			if w := want.Servers[i]; e.ID != w.ID || e.Addr != w.Addr || e.Weight != w.Weight {
@@ -134,7 +136,8 @@
 	}
 }
 
-// A valid file that takes every node of a site is refused, told of once, and taken once it is allowed.
+// Checks that a valid file that removes all servers of a site is refused and logged once, and accepted when
+// it allows the removal.
 func TestFileThatRemovesASite(t *testing.T) {
 	s := newFileFixture(t, serverFileText("", fourServers()...))
 	src := s.mustOpen()
@@ -144,16 +147,17 @@
 		s.pollAfter(src, 500)
 	}
 	if len(s.lists) > 0 || s.countLogged("site sfax would lose all of its 2 servers") != 1 {
-		t.Errorf("lists %v, said %q", s.lists, s.logLines)
+		t.Errorf("lists %v, logged %q", s.lists, s.logLines)
 	}
 	s.write(serverFileText("allow = [\"site-gone sfax\"]\n", two...))
 	s.pollAfter(src, 30)
 	if len(s.lists) != 1 || len(s.lists[0].Servers) != 3 {
-		t.Errorf("allowed: lists %v, said %q", s.lists, s.logLines)
+		t.Errorf("allowed: lists %v, logged %q", s.lists, s.logLines)
 	}
 }
 
-// A bad file at the start: the list that was kept serves; without one the reason comes back.
+// Checks that the saved list is used if the file is bad at the start, and that the reason is returned if
+// there is no saved list.
 func TestBadFileAtTheStart(t *testing.T) {
 	whole, half := serverFileText("", fourServers()...), serverFileText("", fourServers()...)[:120]
 	s := newFileFixture(t, whole)
@@ -161,22 +165,22 @@
 	s.write(half)
 	src := s.mustOpen()
 	if got := src.Current(); !reflect.DeepEqual(got, before) {
-		t.Errorf("got %+v, want what was kept", got)
+		t.Errorf("got %+v, want the saved list", got)
 	}
 	if s.countLogged("refused, using the last good list: ") != 1 {
-		t.Errorf("said %q", s.logLines)
+		t.Errorf("logged %q", s.logLines)
 	}
 	s.pollAfter(src, 500)
 	if s.countLogged("refused") != 1 {
-		t.Errorf("told twice: %q", s.logLines)
+		t.Errorf("logged twice: %q", s.logLines)
 	}
-	s.write(serverFileText("", append(fourServers(), manyServers(1)...)...)) // mended, with a server more
+	s.write(serverFileText("", append(fourServers(), manyServers(1)...)...)) // repaired, with one more server
 	s.pollAfter(src, 30)
 	if len(s.lists) != 1 || s.lists[0].Servers[5].Started < 4e12 {
-		t.Errorf("mended: got %+v", s.lists)
+		t.Errorf("repaired: got %+v", s.lists)
 	}
 	if again := s.mustOpen().Current(); again.Servers[5].Started != s.lists[0].Servers[5].Started {
-		t.Error("a restart takes a cold server for a warm one")
+		t.Error("after a restart, a cold server counts as warm")
 	}
 
 	s.write(half)
@@ -184,7 +188,7 @@
 		t.Fatal(err)
 	}
 	if _, err := s.open(); err == nil || !strings.Contains(err.Error(), "servers.toml:4: array is incomplete") {
-		t.Errorf("nothing kept: got %v", err)
+		t.Errorf("no saved list: got %v", err)
 	}
 	if err := os.Remove(s.path); err != nil {
 		t.Fatal(err)
@@ -194,7 +198,7 @@
 	}
 }
 
-// What is kept may itself be damaged, at any byte: it is then told of and not used.
+// Checks that a saved list is not used if any byte of it is damaged or it is truncated.
 func TestDamagedState(t *testing.T) {
 	s := newFileFixture(t, serverFileText("", fourServers()...))
 	s.mustOpen()
@@ -219,7 +223,7 @@
 	}
 }
 
-// warmServersText is four with the starts that a first list has.
+// warmServersText returns the file of fourServers with the start times that a first list gets.
 func warmServersText() string {
 	rows := fourServers()
 	for i := range rows {
@@ -228,7 +232,8 @@
 	return serverFileText("", rows...)
 }
 
-// A restart judges the file against what was kept: nobody takes a site out by way of one.
+// Checks that after a restart the file is compared with the saved list, so that a site can't be removed by
+// accident while the router is down.
 func TestRestartChecksPlausibility(t *testing.T) {
 	s := newFileFixture(t, serverFileText("", fourServers()...))
 	s.mustOpen()
@@ -238,7 +243,7 @@
 	}
 }
 
-// A state folder that can't be written costs the restart, not the change.
+// Checks that a list is used even if it can't be saved for a restart.
 func TestStateThatCannotBeSaved(t *testing.T) {
 	s := newFileFixture(t, serverFileText("", fourServers()...))
 	s.statePath = filepath.Join(filepath.Dir(s.statePath), "none", "kept.json")
@@ -246,11 +251,11 @@
 	s.write(serverFileText("", append(fourServers(), manyServers(1)...)...))
 	s.pollAfter(src, 30)
 	if len(s.lists) != 1 || s.countLogged("could not be saved for a restart") != 2 {
-		t.Errorf("lists %v, said %q", s.lists, s.logLines)
+		t.Errorf("lists %v, logged %q", s.lists, s.logLines)
 	}
 }
 
-// A thousand edits leave nothing behind.
+// Checks that a thousand edits leave no temporary files.
 func TestManyEdits(t *testing.T) {
 	s := newFileFixture(t, serverFileText("", fourServers()...))
 	src := s.mustOpen()
@@ -267,8 +272,8 @@
 	}
 }
 
-// BenchmarkFileToList gives the time from the last byte of a file until its list is handed on, with notices and without,
-// as p50 and p99, and beside it the time that a router would take that looks once a second, as is usual.
+// BenchmarkFileToList measures the time from the last byte of a file until its list is passed on, as p50 and
+// p99, with file system notifications and with polling alone.
 func BenchmarkFileToList(b *testing.B) {
 	for _, notifications := range []bool{true, false} {
 		b.Run(map[bool]string{true: "notices", false: "looks"}[notifications], func(b *testing.B) {
@@ -296,7 +301,8 @@
 	}
 }
 
-// BenchmarkTake gives the time and memory to take a list of 10,000 servers, off the router's loop.
+// BenchmarkTake measures the time and memory to parse and plan a list of 10,000 servers, which happens
+// outside the router's event loop.
 func BenchmarkTake(b *testing.B) {
 	s := newFileFixture(b, serverFileText("", append(fourServers(), manyServers(9995)...)...))
 	src := s.mustOpen()
@@ -313,7 +319,7 @@
 	}
 }
 
-// reportPercentiles gives the median and the 99th percentile of times in ms.
+// reportPercentiles reports the median and the 99th percentile of times in ms.
 func reportPercentiles(b *testing.B, tookMS []float64) {
 	b.Helper()
 	if len(tookMS) == 0 {
--- a/internal/member/plan_test.go
+++ b/internal/member/plan_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestPlan drives the plan through histories: each step is a file as a person would save it, and what it does.
+// TestPlan plans sequences of edits. Each step is a file as a person would save it, and the expected change.
 func TestPlan(t *testing.T) {
 	list := func(rows ...string) string { return serverFileText("", rows...) }
 	allow := func(what string, rows ...string) string { return serverFileText("allow = [\""+what+"\"]\n", rows...) }
@@ -30,7 +30,7 @@
 			{list(a, rowText("b", 22, "rades", `, weight = 2, state = "leaving"`), change, d, originRow), "drained: b\n"},
 			{list(a, rowText("b", 22, "rades", ", weight = 2, cell = 4"), change, d, originRow), "added: b\naltered: b\n"},
 		},
-		"a site loses all": {
+		"all servers of a site removed": {
 			{list(a, b, change, d, originRow), "added: a, b, c, d, db\n"},
 			{list(a, b, originRow), `refused: site sfax would lose all of its 2 servers; if that is meant, add to the head of the file: allow = ["site-gone sfax"]` + "\n"},
 			{list(a, b, rowText("c", 13, "sfax", ", weight = 0"), rowText("d", 14, "sfax", `, state = "leaving"`), originRow), "refused: site sfax"},
@@ -38,7 +38,7 @@
 			{allow("site-gone sfax", a, b, originRow), "drained: c, d\n"},
 			{list(a, b, change, d, originRow), "added: c, d\n"},
 		},
-		"an allowance is for one list": {
+		"an allowance is valid for one list": {
 			{list(a, b, change, d, originRow), "added: a"},
 			{allow("site-gone sfax", a, b, originRow), "drained: c, d\n"},
 			{allow("site-gone sfax", a, b, change, d, originRow), "added: c, d\nnote: allow: \"site-gone sfax\" stood in the list before and is spent"},
@@ -46,7 +46,7 @@
 			{list(a, b, change, d, originRow), "nothing changes\n"},
 			{allow("site-gone sfax", a, b, originRow), "drained: c, d\n"},
 		},
-		"more than the stated share goes": {
+		"more than the allowed share removed": {
 			{list(a, b, change, d, originRow), "added: a"},
 			{list(a, change, originRow), "drained: b, d\n"},
 			{list(a, b, change, d, originRow), "added: b, d\n"},
@@ -75,13 +75,14 @@
 				current = &change.Next
 			}
 			if again := Plan(current, f, testRules, 5e12); len(change.Refused) == 0 && !again.Empty() {
-				t.Errorf("%s, step %d: the list in use, saved once more, changes %s", name, i, again.String())
+				t.Errorf("%s, step %d: the list in use, saved again, changes %s", name, i, again.String())
 			}
 		}
 	}
 }
 
-// A server that nobody calls warm is cold when it comes; one that was there keeps its start.
+// Checks that an added server counts as started now unless the file says otherwise, and that a server that
+// was already listed keeps its start.
 func TestStartsOfServers(t *testing.T) {
 	first := Plan(nil, mustParse(t, serverFileText("", fourServers()...)), testRules, 1000)
 	rows := fourServers()
@@ -97,6 +98,6 @@
 		t.Errorf("starts %v, want %v", starts, want)
 	}
 	if !reflect.DeepEqual(second.Next, third.Next) {
-		t.Error("the same file again gives another list")
+		t.Error("the same file again results in a different list")
 	}
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -75,7 +75,7 @@
 // Covers the ways in which people and tools change a file, with notifications and with polling alone.
 func TestWaysOfEditing(t *testing.T) {
 	for _, notifications := range []bool{true, false} {
-		name := map[bool]string{true: "notifications", false: "polling"}[notifications]
+		name := map[bool]string{true: "notices", false: "looks"}[notifications]
 		t.Run(name+"/in place", func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "f")
 			writeFile(t, path, "good 0")
