--- a/internal/member/discovery_test.go
+++ b/internal/member/discovery_test.go
@@ -48,7 +48,7 @@
 // routers that requested the full list although they had one kept it busy for as long as they were willing to
 // wait. A router that knows a version must request only the changes since, after a failure too. It requests
 // the full list if the service's versions have restarted.
-func TestSharedDiscoveryIsAskedForChangesAlone(t *testing.T) {
+func TestSharedDiscoveryRequestsOnlyChanges(t *testing.T) {
 	whole := `{"version":1,"full":true,"servers":[]}`
 	changes := `{"version":%d,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`
 	for name, c := range map[string]struct {
--- a/internal/member/filesource_test.go
+++ b/internal/member/filesource_test.go
@@ -301,9 +301,9 @@
 	}
 }
 
-// BenchmarkTake measures the time and memory to parse and plan a list of 10,000 servers, which happens
+// BenchmarkParseAndPlan measures the time and memory to parse and plan a list of 10,000 servers, which happens
 // outside the router's event loop.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkParseAndPlan(b *testing.B) {
 	s := newFileFixture(b, serverFileText("", append(fourServers(), manyServers(9995)...)...))
 	src := s.mustOpen()
 	content, err := os.ReadFile(s.path)
