--- a/internal/member/file.go
+++ b/internal/member/file.go
@@ -83,20 +83,20 @@
 	if faults != nil {
 		return File{}, faults
 	}
-	r := validator{decoded: decoded, rules: rules}
+	v := validator{decoded: decoded, rules: rules}
 	f := File{Edition: doc.Edition, Allow: doc.Allow}
-	r.checkEnd(text, &doc)
+	v.checkEnd(text, &doc)
 	for i, a := range doc.Allow {
 		if _, ok := parseAllowance(a); !ok {
-			r.addFault(fmt.Sprintf("allow[%d]", i), `%q allows nothing known; "site-gone NAME" or "gone COUNT" would`, a)
+			v.addFault(fmt.Sprintf("allow[%d]", i), `%q allows nothing known; "site-gone NAME" or "gone COUNT" would`, a)
 		}
 	}
 	for i := range doc.Servers {
-		f.Servers = append(f.Servers, r.checkServer(i, &doc.Servers[i]))
+		f.Servers = append(f.Servers, v.checkServer(i, &doc.Servers[i]))
 	}
-	r.checkList(f.Servers)
-	if r.faults != nil {
-		return File{}, r.faults
+	v.checkList(f.Servers)
+	if v.faults != nil {
+		return File{}, v.faults
 	}
 	return f, nil
 }
@@ -114,14 +114,14 @@
 // maxFaults limits the number of faults collected per file.
 const maxFaults = 100
 
-func (r *validator) addFault(key, format string, args ...any) {
-	if len(r.faults) < maxFaults {
-		r.faults = append(r.faults, r.decoded.Fault(key, format, args...))
+func (v *validator) addFault(key, format string, args ...any) {
+	if len(v.faults) < maxFaults {
+		v.faults = append(v.faults, v.decoded.Fault(key, format, args...))
 	}
 }
 
 // checkEnd checks the end line, which a truncated file lacks.
-func (r *validator) checkEnd(text []byte, doc *document) {
+func (v *validator) checkEnd(text []byte, doc *document) {
 	wantEnd := fmt.Sprintf("end = %d", len(doc.Servers))
 	if doc.Edition != 0 {
 		wantEnd = fmt.Sprintf("end = {servers = %d, edition = %d}", len(doc.Servers), doc.Edition)
@@ -130,10 +130,10 @@
 	for len(lines) > 1 && bytes.HasPrefix(bytes.TrimSpace(lines[len(lines)-1]), []byte("#")) {
 		lines = lines[:len(lines)-1]
 	}
-	fault := tomlfile.Fault{File: r.decoded.File, Line: len(lines), Key: "end"}
+	fault := tomlfile.Fault{File: v.decoded.File, Line: len(lines), Key: "end"}
 	addEndFault := func(format string, args ...any) {
 		fault.What = fmt.Sprintf(format, args...)
-		r.faults = append(r.faults, fault)
+		v.faults = append(v.faults, fault)
 	}
 	count, edition, ok := parseEndMarker(doc.End)
 	switch {
@@ -149,7 +149,7 @@
 		addEndFault("says edition %d, and the head says %d, as in a file that was written over half way; if it is whole, write: %s",
 			edition, doc.Edition, wantEnd)
 	case doc.Edition < 0:
-		r.addFault("edition", "%d is below 1; count editions up from 1", doc.Edition)
+		v.addFault("edition", "%d is below 1; count editions up from 1", doc.Edition)
 	}
 }
 
@@ -172,9 +172,9 @@
 var fileStates = []string{"active", "leaving"}
 
 // checkServer validates one server and returns its list entry.
-func (r *validator) checkServer(i int, s *serverRow) Entry {
+func (v *validator) checkServer(i int, s *serverRow) Entry {
 	path := fmt.Sprintf("servers[%d]", i)
-	addFault := func(key, format string, args ...any) { r.addFault(path+"."+key, format, args...) }
+	addFault := func(key, format string, args ...any) { v.addFault(path+"."+key, format, args...) }
 	if s.ID == "" || len(s.ID) > 64 || strings.ContainsFunc(s.ID, func(c rune) bool { return c <= ' ' || c > '~' }) {
 		addFault("id", "%.40q is no id; up to 64 letters, digits and signs are", s.ID)
 	}
@@ -189,11 +189,11 @@
 	}
 	if s.Site == "" {
 		addFault("site", "missing; name the site that the server stands in")
-	} else if len(r.rules.Sites) > 0 && !slices.Contains(r.rules.Sites, s.Site) {
-		addFault("site", "%.40q is no site of this pool; it has %s", s.Site, strings.Join(r.rules.Sites, ", "))
+	} else if len(v.rules.Sites) > 0 && !slices.Contains(v.rules.Sites, s.Site) {
+		addFault("site", "%.40q is no site of this pool; it has %s", s.Site, strings.Join(v.rules.Sites, ", "))
 	}
-	if s.Kind != originKind && len(r.rules.Kinds) > 0 && !slices.Contains(r.rules.Kinds, s.Kind) {
-		addFault("kind", "%.40q is no kind of this pool; it has %s and %s", s.Kind, strings.Join(r.rules.Kinds, ", "), originKind)
+	if s.Kind != originKind && len(v.rules.Kinds) > 0 && !slices.Contains(v.rules.Kinds, s.Kind) {
+		addFault("kind", "%.40q is no kind of this pool; it has %s and %s", s.Kind, strings.Join(v.rules.Kinds, ", "), originKind)
 	}
 	if !slices.Contains(fileStates, s.State) {
 		addFault("state", "%.40q is no state; %s are", s.State, strings.Join(fileStates, " and "))
@@ -214,9 +214,9 @@
 	case !s.Started.IsZero():
 		started = float64(s.Started.UnixMilli())
 	}
-	r.checkDuplicate(path+".id", s.ID, &r.rowByID, i)
-	r.checkDuplicate(path+".addr", s.Addr, &r.rowByAddr, i)
-	if j, ok := r.findHashCollision(s.ID, i); ok {
+	v.checkDuplicate(path+".id", s.ID, &v.rowByID, i)
+	v.checkDuplicate(path+".addr", s.Addr, &v.rowByAddr, i)
+	if j, ok := v.findHashCollision(s.ID, i); ok {
 		addFault("id", "%q has the same number as servers[%d] in the hash; change one of the two", s.ID, j)
 	}
 	return Entry{ID: s.ID, Addr: s.Addr, Zone: s.Site, Kind: s.Kind, Cell: s.Cell, State: s.State, Weight: weight, Started: started}
@@ -232,12 +232,12 @@
 }
 
 // checkDuplicate adds a fault if an earlier server has the same value.
-func (r *validator) checkDuplicate(key, value string, seen *map[string]int, i int) {
+func (v *validator) checkDuplicate(key, value string, seen *map[string]int, i int) {
 	if *seen == nil {
 		*seen = map[string]int{}
 	}
 	if j, ok := (*seen)[value]; ok && value != "" {
-		r.addFault(key, "%q stands at servers[%d] too, in line %d; each server has its own", value, j, r.decoded.Line(fmt.Sprintf("servers[%d]", j)))
+		v.addFault(key, "%q stands at servers[%d] too, in line %d; each server has its own", value, j, v.decoded.Line(fmt.Sprintf("servers[%d]", j)))
 		return
 	}
 	(*seen)[value] = i
@@ -245,20 +245,20 @@
 
 // findHashCollision returns the index of an earlier server whose id maps to the same number, so that the
 // balancer could not tell the two apart. Duplicate ids do not count: checkDuplicate reports them.
-func (r *validator) findHashCollision(id string, i int) (int, bool) {
-	if r.rowByHash == nil {
-		r.rowByHash = map[uint32]int{}
+func (v *validator) findHashCollision(id string, i int) (int, bool) {
+	if v.rowByHash == nil {
+		v.rowByHash = map[uint32]int{}
 	}
 	hash := ServerID(id)
-	j, taken := r.rowByHash[hash]
+	j, taken := v.rowByHash[hash]
 	if !taken {
-		r.rowByHash[hash] = i
+		v.rowByHash[hash] = i
 	}
-	return j, taken && r.rowByID[id] == i
+	return j, taken && v.rowByID[id] == i
 }
 
 // checkList checks the list as a whole: that it has usable cache servers and the right number of origins.
-func (r *validator) checkList(servers []Entry) {
+func (v *validator) checkList(servers []Entry) {
 	caches, origins, active, weight := 0, 0, 0, 0.0
 	for _, s := range servers {
 		if s.Kind == originKind {
@@ -273,19 +273,19 @@
 	}
 	switch {
 	case caches == 0:
-		r.addFault("servers", "no cache server is listed; a list without any is never taken")
+		v.addFault("servers", "no cache server is listed; a list without any is never taken")
 	case active == 0:
-		r.addFault("servers", "every cache server is leaving; at least one must be active")
+		v.addFault("servers", "every cache server is leaving; at least one must be active")
 	case !(weight > 0) && !math.IsNaN(weight):
-		r.addFault("servers", "every weight is 0; at least one must be above")
+		v.addFault("servers", "every weight is 0; at least one must be above")
 	}
 	switch {
-	case r.rules.Origin && origins == 0:
-		r.addFault("servers", `no origin is listed, and this pool needs one: a server with kind = "origin"`)
+	case v.rules.Origin && origins == 0:
+		v.addFault("servers", `no origin is listed, and this pool needs one: a server with kind = "origin"`)
 	case origins > 1:
-		r.addFault("servers", "%d origins are listed; a pool has one", origins)
-	case origins > 0 && !r.rules.Origin:
-		r.addFault("servers", `an origin is listed, and this pool has none: its configuration says origin = "none"`)
+		v.addFault("servers", "%d origins are listed; a pool has one", origins)
+	case origins > 0 && !v.rules.Origin:
+		v.addFault("servers", `an origin is listed, and this pool has none: its configuration says origin = "none"`)
 	}
 }
 
--- a/internal/member/filesource.go
+++ b/internal/member/filesource.go
@@ -121,23 +121,23 @@
 type fileConsumer struct{ source *FileSource }
 
 // Apply uses new content of the file, or returns the reasons why not.
-func (t fileConsumer) Apply(text []byte) error {
-	c, err := t.source.planChange(t.source.current, text)
+func (c fileConsumer) Apply(text []byte) error {
+	change, err := c.source.planChange(c.source.current, text)
 	if err != nil {
 		return err
 	}
-	t.source.apply(&c)
+	c.source.apply(&change)
 	return nil
 }
 
 // Refused logs why new content is rejected.
-func (t fileConsumer) Refused(why error) {
-	t.source.log("server file: refused, the list in use stays: %s", oneLine(why.Error()))
+func (c fileConsumer) Refused(why error) {
+	c.source.log("server file: refused, the list in use stays: %s", oneLine(why.Error()))
 }
 
 // NotificationsFailed logs that file system notifications failed.
-func (t fileConsumer) NotificationsFailed(err error) {
-	t.source.log("server file: change notifications failed, polling every 250 ms: %v", err)
+func (c fileConsumer) NotificationsFailed(err error) {
+	c.source.log("server file: change notifications failed, polling every 250 ms: %v", err)
 }
 
 // apply puts a change into use.
--- a/internal/watch/debounce.go
+++ b/internal/watch/debounce.go
@@ -36,48 +36,48 @@
 
 // observe records the result of a poll and returns the action to take. With actionRecheck it also returns the
 // time of the next poll in milliseconds.
-func (s *debouncer) observe(nowMS float64, found digest) (action, float64) {
-	if found == s.current {
-		s.reset()
+func (d *debouncer) observe(nowMS float64, found digest) (action, float64) {
+	if found == d.current {
+		d.reset()
 		return actionNone, 0
 	}
-	if s.unsettledSince > nowMS {
-		s.unsettledSince = nowMS
+	if d.unsettledSince > nowMS {
+		d.unsettledSince = nowMS
 	}
-	if found != s.pending {
-		s.pending, s.pendingSince = found, nowMS
+	if found != d.pending {
+		d.pending, d.pendingSince = found, nowMS
 	}
-	if nowMS < s.pendingSince+s.settleMS && nowMS < s.unsettledSince+s.maxSettleMS {
-		return actionRecheck, min(s.pendingSince+s.settleMS, s.unsettledSince+s.maxSettleMS)
+	if nowMS < d.pendingSince+d.settleMS && nowMS < d.unsettledSince+d.maxSettleMS {
+		return actionRecheck, min(d.pendingSince+d.settleMS, d.unsettledSince+d.maxSettleMS)
 	}
 	return actionEvaluate, 0
 }
 
 // markCurrent records that the pending content is now in use.
-func (s *debouncer) markCurrent() {
-	s.current = s.pending
-	s.reset()
+func (d *debouncer) markCurrent() {
+	d.current = d.pending
+	d.reset()
 }
 
 // reset discards the pending content when the file holds the current content. Bad content that returns later
 // is reported again.
-func (s *debouncer) reset() { s.pending, s.unsettledSince, s.reported = digest{}, math.Inf(1), nil }
+func (d *debouncer) reset() { d.pending, d.unsettledSince, d.reported = digest{}, math.Inf(1), nil }
 
 // markBad records that the pending content is bad. It returns whether to report it now, and otherwise the
 // time in milliseconds of the next poll (+Inf = no extra poll). Each bad content is reported once until the
 // file holds good content again.
-func (s *debouncer) markBad(nowMS float64) (report bool, recheckAt float64) {
-	for _, t := range s.reported {
-		if t == s.pending {
+func (d *debouncer) markBad(nowMS float64) (report bool, recheckAt float64) {
+	for _, t := range d.reported {
+		if t == d.pending {
 			return false, math.Inf(1)
 		}
 	}
-	if nowMS < s.pendingSince+s.badReportDelayMS {
-		return false, s.pendingSince + s.badReportDelayMS
+	if nowMS < d.pendingSince+d.badReportDelayMS {
+		return false, d.pendingSince + d.badReportDelayMS
 	}
-	if len(s.reported) == maxReported {
-		s.reported = append(s.reported[:0], s.reported[1:]...)
+	if len(d.reported) == maxReported {
+		d.reported = append(d.reported[:0], d.reported[1:]...)
 	}
-	s.reported = append(s.reported, s.pending)
+	d.reported = append(d.reported, d.pending)
 	return true, math.Inf(1)
 }
--- a/internal/watch/debounce_test.go
+++ b/internal/watch/debounce_test.go
@@ -28,10 +28,10 @@
 		"partial file, then complete": {{10, 2, actionRecheck, 35, 0}, {35, 2, actionEvaluate, 410, bad}, {40, 3, actionRecheck, 65, 0}, {65, 3, actionEvaluate, 0, good}},
 		"partial file that stays":     {{10, 2, actionRecheck, 35, 0}, {35, 2, actionEvaluate, 410, bad}, {410, 2, actionEvaluate, -1, bad}, {999, 2, actionEvaluate, math.Inf(1), bad}},
 	} {
-		s := newDebouncer()
-		s.current = digest{1}
+		d := newDebouncer()
+		d.current = digest{1}
 		for i, st := range steps {
-			act, recheckAt := s.observe(st.at, digest{st.found})
+			act, recheckAt := d.observe(st.at, digest{st.found})
 			if act != st.want || act == actionRecheck && recheckAt != st.recheckAt {
 				t.Errorf("%s, step %d: action %v, recheck at %v, want %v at %v", name, i, act, recheckAt, st.want, st.recheckAt)
 			}
@@ -39,10 +39,10 @@
 				continue
 			}
 			if st.quality == good {
-				s.markCurrent()
+				d.markCurrent()
 				continue
 			}
-			report, recheckAt := s.markBad(st.at)
+			report, recheckAt := d.markBad(st.at)
 			if report != (st.recheckAt == -1) || !report && recheckAt != st.recheckAt {
 				t.Errorf("%s, step %d: report %v, recheck at %v, want %v", name, i, report, recheckAt, st.recheckAt)
 			}
@@ -53,14 +53,14 @@
 // Checks that each bad content is reported once even if others come in between, and that the number of
 // remembered contents is bounded.
 func TestBadContentIsReportedOnce(t *testing.T) {
-	s := newDebouncer()
+	d := newDebouncer()
 	reports := 0
 	for round := range 3 {
 		for c := byte(1); c <= 10; c++ {
 			at := float64(round*100000 + int(c)*1000)
-			s.observe(at, digest{c})
-			s.observe(at+500, digest{c})
-			if report, _ := s.markBad(at + 500); report {
+			d.observe(at, digest{c})
+			d.observe(at+500, digest{c})
+			if report, _ := d.markBad(at + 500); report {
 				reports++
 			}
 		}
@@ -69,10 +69,10 @@
 		t.Errorf("%d reports of 10 bad contents", reports)
 	}
 	for i := range 1000 {
-		s.observe(1e9+float64(i)*1000, digest{byte(i), byte(i >> 8), 1})
-		s.markBad(1e9 + float64(i)*1000 + 500)
+		d.observe(1e9+float64(i)*1000, digest{byte(i), byte(i >> 8), 1})
+		d.markBad(1e9 + float64(i)*1000 + 500)
 	}
-	if len(s.reported) > maxReported {
-		t.Errorf("%d contents remembered, want at most maxReported", len(s.reported))
+	if len(d.reported) > maxReported {
+		t.Errorf("%d contents remembered, want at most maxReported", len(d.reported))
 	}
 }
