--- a/internal/backend/resp/cluster.go
+++ b/internal/backend/resp/cluster.go
@@ -108,7 +108,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer c.Doubt()
-	if !c.known(addr) || !c.table.Moved(c.cfg.Now(), slot, addr) {
+	if !c.known(addr) || !c.table.ApplyRedirect(c.cfg.Now(), slot, addr) {
 		return nil, false
 	}
 	o, _ := c.table.Owner(slot)
@@ -349,9 +349,9 @@
 func (c *Cluster) take(m slots.Map) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ch := c.table.Full(c.cfg.Now(), m)
-	if ch.Refused != "" {
-		return errors.New(ch.Refused)
+	ch := c.table.ApplyMap(c.cfg.Now(), m)
+	if ch.RejectReason != "" {
+		return errors.New(ch.RejectReason)
 	}
 	seen := map[string]bool{}
 	for _, r := range m.Ranges {
@@ -389,8 +389,8 @@
 			changed = true
 		}
 	}
-	if ch.Slots > 0 || ch.Clashes > 0 || ch.Gaps > 0 && first {
-		c.cfg.Log("cluster: map of epoch %d: %d slots changed hands, %d without an owner, %d claimed by two", m.Epoch, ch.Slots, ch.Gaps, ch.Clashes)
+	if ch.ChangedSlots > 0 || ch.Conflicts > 0 || ch.Gaps > 0 && first {
+		c.cfg.Log("cluster: map of epoch %d: %d slots changed hands, %d without an owner, %d claimed by two", m.Epoch, ch.ChangedSlots, ch.Gaps, ch.Conflicts)
 	}
 	c.publish() // before the list, which makes the router ready
 	if changed {
--- a/internal/front/callers.go
+++ b/internal/front/callers.go
@@ -9,14 +9,14 @@
 
 // Callers settles who calls. Its methods may be called from any goroutine and don't block.
 type Callers interface {
-	Token(from, text string) (*caller.Pass, caller.Reason) // of a connection
-	Once(from, text string) (*caller.Pass, caller.Reason)  // of a single request
-	Secret(from, id string, secret []byte) (*caller.Pass, caller.Reason)
-	Certificate(from string, link *tls.ConnectionState) (*caller.Pass, caller.Reason)
-	Check(*caller.Pass) (*caller.Pass, caller.Reason) // the pass by which a caller goes on
-	Allow(from string, p *caller.Pass, class, key string, access caller.Access) (again float64, why caller.Reason)
-	Withdrawn(from string, p *caller.Pass, why caller.Reason) // for the audit
-	Refused(from string, p *caller.Pass, why caller.Reason)   // as above
+	Token(from, text string) (*caller.Identity, caller.Reason) // of a connection
+	Once(from, text string) (*caller.Identity, caller.Reason)  // of a single request
+	Secret(from, id string, secret []byte) (*caller.Identity, caller.Reason)
+	Certificate(from string, link *tls.ConnectionState) (*caller.Identity, caller.Reason)
+	Check(*caller.Identity) (*caller.Identity, caller.Reason) // the pass by which a caller goes on
+	Allow(from string, p *caller.Identity, class, key string, access caller.Access) (again float64, why caller.Reason)
+	Withdrawn(from string, p *caller.Identity, why caller.Reason) // for the audit
+	Refused(from string, p *caller.Identity, why caller.Reason)   // as above
 }
 
 // Peer is the far end of a connection.
@@ -34,7 +34,7 @@
 
 // standing is a pass, or why there is none, and whether there was one before.
 type standing struct {
-	pass *caller.Pass
+	pass *caller.Identity
 	why  caller.Reason
 	lost bool
 }
@@ -51,7 +51,7 @@
 }
 
 // Pass is the pass by which the connection goes on, or why it does not. It allocates nothing while the pass holds.
-func (g *Guest) Pass() (*caller.Pass, caller.Reason) {
+func (g *Guest) Pass() (*caller.Identity, caller.Reason) {
 	s := g.now.Load()
 	if s.pass == nil {
 		return nil, s.why
@@ -99,7 +99,7 @@
 	return g.in(g.callers.Secret(g.From, id, secret))
 }
 
-func (g *Guest) in(p *caller.Pass, why caller.Reason) caller.Reason {
+func (g *Guest) in(p *caller.Identity, why caller.Reason) caller.Reason {
 	if why == caller.None {
 		g.now.Store(&standing{pass: p})
 	}
@@ -107,12 +107,14 @@
 }
 
 // Once is the pass of a single request that has brought its own token.
-func (g *Guest) Once(text string) (*caller.Pass, caller.Reason) { return g.callers.Once(g.From, text) }
+func (g *Guest) Once(text string) (*caller.Identity, caller.Reason) {
+	return g.callers.Once(g.From, text)
+}
 
 // Allow says whether the caller may make a request on each of its keys.
-func (g *Guest) Allow(p *caller.Pass, class, key string, access caller.Access) (again float64, why caller.Reason) {
+func (g *Guest) Allow(p *caller.Identity, class, key string, access caller.Access) (again float64, why caller.Reason) {
 	return g.callers.Allow(g.From, p, class, key, access)
 }
 
 // Refuse tells the audit of a request that is not taken.
-func (g *Guest) Refuse(p *caller.Pass, why caller.Reason) { g.callers.Refused(g.From, p, why) }
+func (g *Guest) Refuse(p *caller.Identity, why caller.Reason) { g.callers.Refused(g.From, p, why) }
--- a/internal/front/meta/callers.go
+++ b/internal/front/meta/callers.go
@@ -65,7 +65,7 @@
 func (session) Crowded() []byte { return meta.NotTaken(caller.Connections.String(), 0) }
 
 // caller is who makes a request: whom its own token stands for, or the connection's caller.
-func (s session) caller(cmd *meta.Command) (*caller.Pass, caller.Reason) {
+func (s session) caller(cmd *meta.Command) (*caller.Identity, caller.Reason) {
 	if cmd.Auth != "" {
 		return s.guest.Once(cmd.Auth)
 	}
--- a/internal/front/meta/meta.go
+++ b/internal/front/meta/meta.go
@@ -20,7 +20,7 @@
 	// Callers settles who calls; nil = nobody is asked, and commands say all that there is to know.
 	Callers front.Callers
 	// Key is a caller's key as servers know it; an error says how long it may be.
-	Key func(p *caller.Pass, key string) (string, error)
+	Key func(p *caller.Identity, key string) (string, error)
 }
 
 // Session is a client's connection.
--- a/internal/front/resp/callers.go
+++ b/internal/front/resp/callers.go
@@ -60,7 +60,7 @@
 }
 
 // own gives a command's words with the caller's keys as servers know them, or the answer where the caller may not send it.
-func (s *session) own(pass *caller.Pass, c *spec, args [][]byte, class string) (out [][]byte, refused []byte) {
+func (s *session) own(pass *caller.Identity, c *spec, args [][]byte, class string) (out [][]byte, refused []byte) {
 	access := c.access(args)
 	out = append(make([][]byte, 0, len(args)), args...)
 	for _, i := range c.places(args) {
--- a/internal/front/resp/local.go
+++ b/internal/front/resp/local.go
@@ -288,7 +288,7 @@
 		now := p.peers.now.Load()
 		return resp.AppendBulk(nil, []byte(nodeID(now.Routers[now.Self])))
 	case sub == "KEYSLOT" && len(args) == 3:
-		return resp.AppendInt(nil, int64(slots.Of(args[2])))
+		return resp.AppendInt(nil, int64(slots.ForKey(args[2])))
 	}
 	return resp.AppendError(nil, "ERR CLUSTER "+printable(args[1])+" is not taken here; SLOTS, SHARDS, NODES, INFO, MYID and KEYSLOT are")
 }
--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -47,7 +47,7 @@
 	Owners      func(slot int, write bool) []uint32 // who may serve a slot
 	Callers     front.Callers                       // settles who calls, by AUTH, HELLO or certificate; nil = Logins say
 	// Key is a caller's key as servers know it, in the slot that the caller's own key has.
-	Key func(p *caller.Pass, key string) (string, error)
+	Key func(p *caller.Identity, key string) (string, error)
 }
 
 // Protocol is a front.Protocol.
@@ -176,7 +176,7 @@
 	case c.arity >= 0 && len(args) != c.arity, len(args) < -c.arity, c.step == 2 && len(args)%2 == 0:
 		return text(resp.AppendError(nil, "ERR wrong number of arguments for '"+strings.ToLower(name)+"' command")), nil
 	}
-	var pass *caller.Pass
+	var pass *caller.Identity
 	if s.guest != nil {
 		var why caller.Reason
 		if pass, why = s.guest.Pass(); why != caller.None && !beforeLogin[name] {
@@ -194,9 +194,9 @@
 		return text(resp.AppendError(nil, "LOADING the router has no list of servers yet")), nil
 	}
 	keys := c.keys(args)
-	slot := slots.Of(keys[0])
+	slot := slots.ForKey(keys[0])
 	for _, k := range keys[1:] {
-		if slots.Of(k) != slot {
+		if slots.ForKey(k) != slot {
 			return text(resp.AppendError(nil, "CROSSSLOT Keys in request don't hash to the same slot")), nil
 		}
 	}
@@ -237,7 +237,7 @@
 }
 
 // request makes a request of a command. What is kept of it is one copy of its words.
-func (s *session) request(e *engine.Engine, c *spec, args, keys [][]byte, slot int, f facts, pass *caller.Pass) front.Command {
+func (s *session) request(e *engine.Engine, c *spec, args, keys [][]byte, slot int, f facts, pass *caller.Identity) front.Command {
 	name := s.class(c, keys[0], f)
 	class, ok := e.Class(name)
 	switch {
--- a/internal/keybook/source.go
+++ b/internal/keybook/source.go
@@ -100,7 +100,7 @@
 func nowMS() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 func (s *Source) file(part int, to watch.Consumer) *watch.File {
-	limit := []int64{MaxFile, rights.MaxText, maxBundle}[part]
+	limit := []int64{MaxFile, rights.MaxTextBytes, maxBundle}[part]
 	return watch.New(watch.Config{Path: s.paths[part], MaxBytes: limit, SettleMS: watch.DefaultSettleMS}, nowMS, to)
 }
 
@@ -214,7 +214,7 @@
 		return err
 	}
 	c.Version = s.epoch + 1
-	book, faults := caller.NewBook(c)
+	book, faults := caller.NewCredentialStore(c)
 	if faults != nil {
 		return Faults(s.cfg.Book, next[bookPart], faults)
 	}
@@ -261,7 +261,7 @@
 		if err != nil {
 			return caller.Contents{}, err
 		}
-		c.Anchors = identity.Anchors(certs)
+		c.TrustAnchors = identity.Anchors(certs)
 	}
 	return c, nil
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -216,7 +216,7 @@
 	}
 	if s.Meta != nil {
 		p := s.metaClients()
-		p.Owners = func(key string, write bool) []uint32 { return s.cluster.Owners(slots.Of([]byte(key)), write) }
+		p.Owners = func(key string, write bool) []uint32 { return s.cluster.Owners(slots.ForKey([]byte(key)), write) }
 		ways = append(ways, way{p, s.Meta})
 	}
 	var out []*front.Clients
@@ -242,7 +242,7 @@
 		return nil
 	}
 	return &stores{table: fill.New(), reads: map[*engine.Request]fill.ReadID{},
-		owners:  func(key string) []uint32 { return s.cluster.Owners(slots.Of([]byte(key)), true) },
+		owners:  func(key string) []uint32 { return s.cluster.Owners(slots.ForKey([]byte(key)), true) },
 		command: func(key string, value []byte) [][]byte { return servers.StoreCommand(key, value, s.RESP.KeepMS) },
 	}
 }
