--- a/internal/member/plan.go
+++ b/internal/member/plan.go
@@ -7,28 +7,29 @@
 	"strings"
 )
 
-// Change is what going from one list to the next does.
+// Change describes the difference between the list in use and the next one.
 type Change struct {
-	Added      []string // ids that are new, or are back
-	Drained    []string // ids that get nothing new any more: removed, leaving, or of weight 0
+	Added      []string // ids of servers that are new or accept requests again
+	Drained    []string // ids of servers that no longer accept requests: removed, leaving or of weight 0
 	Reweighted []string // "id 1 -> 0.25"
-	Moved      []string // "id 10.0.0.1:11211 -> 10.0.0.9:11211": a new process, cold
-	Altered    []string // ids of another site, kind, cell or start
-	Refused    []string // why the list is not taken; empty = it is
-	Notes      []string // what the person who edits may want to know
-	Next       File     // the list to be used, starts filled in
+	Moved      []string // "id 10.0.0.1:11211 -> 10.0.0.9:11211"; the process at the new address is cold
+	Altered    []string // ids of servers whose site, kind, cell or start differs
+	Refused    []string // why the list is refused; empty = it is accepted
+	Notes      []string // hints for the person who edits the file
+	Next       File     // the next list, with the start times filled in
 }
 
-// Empty says whether the change changes nothing.
+// Empty reports whether no server changes.
 func (c *Change) Empty() bool {
 	return len(c.Added)+len(c.Drained)+len(c.Reweighted)+len(c.Moved)+len(c.Altered) == 0
 }
 
-// Plan says what a new file does to the list in use. Nothing is read or written, and the same arguments give the same
-// change. A nil old file is the first of all; now is Unix time in milliseconds.
+// Plan returns the change from the list in use to that of a new file. It does no I/O and depends only on its
+// arguments. If old is nil, there is no list in use; now is the Unix time in milliseconds.
 //
-// A server that comes by an edit, or to another address, counts as started now unless its file says otherwise: nobody
-// has told that it is warm, and a cold one must not be pushed over. Those of the first file count as started long ago.
+// A server that an edit adds or moves to another address counts as started now unless the file says
+// otherwise: it may be cold, and a cold server must not be overloaded. Servers of the first file count as
+// started long ago.
 func Plan(old *File, next File, rules Rules, now float64) Change {
 	c := Change{Next: next}
 	c.Next.Servers = slices.Clone(next.Servers)
@@ -40,18 +41,18 @@
 		}
 		return c
 	}
-	was := make(map[string]Entry, len(old.Servers))
+	removed := make(map[string]Entry, len(old.Servers))
 	for _, s := range old.Servers {
-		was[s.ID] = s
+		removed[s.ID] = s
 	}
 	for i := range c.Next.Servers {
 		s := &c.Next.Servers[i]
-		p, had := was[s.ID]
-		delete(was, s.ID)
-		c.compareServer(p, had, s, now)
+		previous, existed := removed[s.ID]
+		delete(removed, s.ID)
+		c.compareServer(previous, existed, s, now)
 	}
 	for _, s := range old.Servers {
-		if _, gone := was[s.ID]; gone {
+		if _, wasRemoved := removed[s.ID]; wasRemoved {
 			c.Drained = append(c.Drained, s.ID)
 		}
 	}
@@ -59,41 +60,41 @@
 	return c
 }
 
-// compareServer books what becomes of one server that the new file lists.
-func (c *Change) compareServer(p Entry, had bool, s *Entry, now float64) {
-	told := s.Started >= 0
+// compareServer records how a server of the new file differs from its previous entry, and fills in its start.
+func (c *Change) compareServer(previous Entry, existed bool, s *Entry, now float64) {
+	startKnown := s.Started >= 0
 	switch {
-	case !had:
+	case !existed:
 		c.Added = append(c.Added, s.ID)
-		if !told {
+		if !startKnown {
 			s.Started = now
 		}
 		return
-	case p.Addr != s.Addr:
-		c.Moved = append(c.Moved, fmt.Sprintf("%s %s -> %s", s.ID, p.Addr, s.Addr))
-		if !told {
+	case previous.Addr != s.Addr:
+		c.Moved = append(c.Moved, fmt.Sprintf("%s %s -> %s", s.ID, previous.Addr, s.Addr))
+		if !startKnown {
 			s.Started = now
 		}
-	case !told:
-		s.Started = p.Started
+	case !startKnown:
+		s.Started = previous.Started
 	}
-	if p.acceptsRequests() && !s.acceptsRequests() {
+	if previous.acceptsRequests() && !s.acceptsRequests() {
 		c.Drained = append(c.Drained, s.ID)
-	} else if !p.acceptsRequests() && s.acceptsRequests() {
+	} else if !previous.acceptsRequests() && s.acceptsRequests() {
 		c.Added = append(c.Added, s.ID)
-	} else if p.Weight != s.Weight {
-		c.Reweighted = append(c.Reweighted, fmt.Sprintf("%s %v -> %v", s.ID, p.Weight, s.Weight))
+	} else if previous.Weight != s.Weight {
+		c.Reweighted = append(c.Reweighted, fmt.Sprintf("%s %v -> %v", s.ID, previous.Weight, s.Weight))
 	}
-	if p.Addr == s.Addr && (p.Zone != s.Zone || p.Kind != s.Kind || p.Cell != s.Cell || p.Started != s.Started) {
+	if previous.Addr == s.Addr && (previous.Zone != s.Zone || previous.Kind != s.Kind || previous.Cell != s.Cell || previous.Started != s.Started) {
 		c.Altered = append(c.Altered, s.ID)
 	}
 }
 
-// acceptsRequests says whether a server may get anything new.
+// acceptsRequests reports whether the server may get new requests.
 func (e Entry) acceptsRequests() bool { return e.State == "active" && e.Weight > 0 }
 
-// checkPlausible refuses a list that is likely a mistake, unless the file allows it on purpose, for this one list: an allowance
-// that stood in the list before is spent.
+// checkPlausible refuses a list that is probably a mistake, unless the file permits it explicitly. A
+// permission is valid for one list only: one that was in the previous list already no longer counts.
 func (c *Change) checkPlausible(old *File, rules Rules) {
 	if old.Edition > 0 && c.Next.Edition == old.Edition && !c.Empty() {
 		c.refuse("edition %d is in use and this list is another; raise it to %d, in the head and in the end line", old.Edition, old.Edition+1)
@@ -102,48 +103,48 @@
 		c.refuse("edition %d is older than %d, which is in use; write %d, in the head and in the end line", c.Next.Edition, old.Edition, old.Edition+1)
 	}
 	var spent []string
-	var allowed allowance
-	sites := map[string]bool{}
+	var granted allowance
+	removableSites := map[string]bool{}
 	for _, text := range c.Next.Allow {
 		if slices.Contains(old.Allow, text) {
 			spent = append(spent, fmt.Sprintf("%q", text))
 			continue
 		}
 		a, _ := parseAllowance(text)
-		allowed.maxGone = max(allowed.maxGone, a.maxGone)
-		sites[a.site] = true
+		granted.maxGone = max(granted.maxGone, a.maxGone)
+		removableSites[a.site] = true
 	}
 	before, after := countAcceptingBySite(old.Servers), countAcceptingBySite(c.Next.Servers)
-	var lost []string
-	for _, s := range old.Servers { // in the order of the file, so that the same files give the same words
+	var lostSites []string
+	for _, s := range old.Servers { // in the order of the file, so that messages are reproducible
 		site := s.Zone
-		if before[site] > 0 && after[site] == 0 && !sites[site] && !slices.Contains(lost, site) {
-			lost = append(lost, site)
+		if before[site] > 0 && after[site] == 0 && !removableSites[site] && !slices.Contains(lostSites, site) {
+			lostSites = append(lostSites, site)
 		}
 	}
-	for _, site := range lost {
+	for _, site := range lostSites {
 		c.refuse(`site %s would lose all of its %d servers; if that is meant, add to the head of the file: allow = ["site-gone %s"]`, site, before[site], site)
 	}
-	total, gone := 0, 0
+	total, leaving := 0, 0
 	for _, n := range before {
 		total += n
 	}
-	leaves := make(map[string]bool, len(c.Drained)+len(c.Moved))
+	leavingIDs := make(map[string]bool, len(c.Drained)+len(c.Moved))
 	for _, id := range c.Drained {
-		leaves[id] = true
+		leavingIDs[id] = true
 	}
-	for _, m := range c.Moved { // a new process lacks what the one before it held
+	for _, m := range c.Moved { // a new process does not have the previous one's data
 		id, _, _ := strings.Cut(m, " ")
-		leaves[id] = true
+		leavingIDs[id] = true
 	}
 	for _, s := range old.Servers {
-		if s.isCache() && s.acceptsRequests() && leaves[s.ID] && !sites[s.Zone] {
-			gone++
+		if s.isCache() && s.acceptsRequests() && leavingIDs[s.ID] && !removableSites[s.Zone] {
+			leaving++
 		}
 	}
-	if share := rules.GoneShare; share > 0 && float64(gone) > share*float64(total) && gone > allowed.maxGone {
+	if share := rules.GoneShare; share > 0 && float64(leaving) > share*float64(total) && leaving > granted.maxGone {
 		c.refuse(`%d of %d servers would go, or move to another address, at once: more than %v%%; if that is meant, add to the head of the file: allow = ["gone %d"]`,
-			gone, total, math.Round(share*1000)/10, gone)
+			leaving, total, math.Round(share*1000)/10, leaving)
 	}
 	if len(spent) > 0 {
 		c.Notes = append(c.Notes, "allow: "+strings.Join(spent, ", ")+
@@ -158,9 +159,10 @@
 	c.Refused = append(c.Refused, fmt.Sprintf(format, args...))
 }
 
+// isCache reports whether the server is a cache server and not the origin.
 func (e Entry) isCache() bool { return e.Kind != originKind }
 
-// countAcceptingBySite counts the cache servers of each site that take requests.
+// countAcceptingBySite returns the number of cache servers that accept requests, by site.
 func countAcceptingBySite(servers []Entry) map[string]int {
 	n := map[string]int{}
 	for _, s := range servers {
@@ -171,26 +173,26 @@
 	return n
 }
 
-// String is the change in lines for a person.
+// String describes the change for people, one line for each kind of difference, refusal or note.
 func (c *Change) String() string {
 	var b strings.Builder
-	line := func(name string, items []string) {
+	writeLine := func(name string, items []string) {
 		if len(items) == 0 {
 			return
 		}
-		const most = 12
+		const maxItems = 12
 		rest := ""
-		if len(items) > most {
-			rest = fmt.Sprintf(" and %d more", len(items)-most)
-			items = items[:most]
+		if len(items) > maxItems {
+			rest = fmt.Sprintf(" and %d more", len(items)-maxItems)
+			items = items[:maxItems]
 		}
 		fmt.Fprintf(&b, "%s: %s%s\n", name, strings.Join(items, ", "), rest)
 	}
-	line("added", c.Added)
-	line("drained", c.Drained)
-	line("reweighted", c.Reweighted)
-	line("moved", c.Moved)
-	line("altered", c.Altered)
+	writeLine("added", c.Added)
+	writeLine("drained", c.Drained)
+	writeLine("reweighted", c.Reweighted)
+	writeLine("moved", c.Moved)
+	writeLine("altered", c.Altered)
 	for _, r := range c.Refused {
 		fmt.Fprintf(&b, "refused: %s\n", r)
 	}
@@ -205,7 +207,8 @@
 	return b.String()
 }
 
-// List is the file as the router takes it: the whole list. Weight 0 is a server that gets nothing new.
+// List returns the servers as a full list with the given version. A server of weight 0 is listed as leaving,
+// so that it gets no new requests.
 func (f *File) List(version int64) List {
 	l := List{Version: version, Full: true, Servers: slices.Clone(f.Servers)}
 	for i := range l.Servers {
