--- a/internal/front/resp/callers.go
+++ b/internal/front/resp/callers.go
@@ -29,7 +29,7 @@
 }
 
 // Crowded is front.Session's, in the words that clients know.
-func (*session) Crowded() []byte {
+func (*session) TooManyConnections() []byte {
 	return resp.AppendError(nil, "ERR max number of clients reached: "+caller.Connections.String())
 }
 
@@ -37,9 +37,9 @@
 func (s *session) known(user, password []byte) caller.Reason {
 	why := caller.None
 	if string(user) == tokenUser {
-		why = s.guest.Token(string(password))
+		why = s.guest.LoginToken(string(password))
 	} else {
-		why = s.guest.Secret(string(user), password)
+		why = s.guest.LoginSecret(string(user), password)
 	}
 	s.slow = why == caller.Throttled
 	return why
@@ -54,7 +54,7 @@
 // count towards the few that it may send.
 func notIn(why caller.Reason) front.Command {
 	if why == caller.NoCaller {
-		return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required."), Unknown: true}
+		return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required."), Invalid: true}
 	}
 	return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required: "+why.String())}
 }
--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -45,7 +45,7 @@
 	Me          int
 	Name        string                              // by which a view of the fleet names this router; "" = Peers count
 	Owners      func(slot int, write bool) []uint32 // who may serve a slot
-	Callers     front.Callers                       // settles who calls, by AUTH, HELLO or certificate; nil = Logins say
+	Callers     front.Authenticator                 // settles who calls, by AUTH, HELLO or certificate; nil = Logins say
 	// Key is a caller's key as servers know it, in the slot that the caller's own key has.
 	Key func(p *caller.Pass, key string) (string, error)
 }
@@ -81,11 +81,11 @@
 
 // Session is a client's connection.
 func (p *Protocol) Session(peer front.Peer) front.Session {
-	return &session{p: p, id: p.ids.Add(1), proto: 2, tenant: p.cfg.Tenant, in: len(p.cfg.Logins) == 0, guest: front.NewGuest(p.cfg.Callers, peer)}
+	return &session{p: p, id: p.ids.Add(1), proto: 2, tenant: p.cfg.Tenant, in: len(p.cfg.Logins) == 0, guest: front.NewConnCaller(p.cfg.Callers, peer)}
 }
 
 // Withdrawn is front.Session's.
-func (s *session) Withdrawn() bool { return s.guest.Withdrawn() }
+func (s *session) Revoked() bool { return s.guest.Revoked() }
 
 // session is what one connection has set. Only its reader uses it.
 type session struct {
@@ -97,8 +97,8 @@
 	in     bool // logged in, or nobody has to
 	asking bool // the next command may be for a slot of another router
 	name   []byte
-	slow   bool         // the command that is answered is one of a flood
-	guest  *front.Guest // nil = nobody is asked who calls beyond Logins
+	slow   bool              // the command that is answered is one of a flood
+	guest  *front.ConnCaller // nil = nobody is asked who calls beyond Logins
 }
 
 // Malformed is the answer to input that makes no sense.
@@ -189,7 +189,7 @@
 	case c.local != nil:
 		s.slow = false
 		answer := c.local(s, args)
-		return front.Command{Text: answer, End: name == "QUIT" || s.slow, Slow: s.slow}, nil
+		return front.Command{Text: answer, End: name == "QUIT" || s.slow, Delayed: s.slow}, nil
 	case !e.Ready():
 		return text(resp.AppendError(nil, "LOADING the router has no list of servers yet")), nil
 	}
@@ -274,7 +274,7 @@
 		id = "resp k " + s.tenant + " " + f.key
 	}
 	proto := s.proto
-	return front.Command{Lane: slot + 1, Request: &engine.Request{ID: id, Class: class.Name, Tenant: tenant, TenantGeneration: generation,
+	return front.Command{OrderKey: slot + 1, Request: &engine.Request{ID: id, Class: class.Name, Tenant: tenant, TenantGeneration: generation,
 		Key: string(keys[0]), HeldBytes: size, Wait: deadline, Write: c.write, Owners: s.p.cfg.Owners(slot, c.write), Args: clone(args, size)},
 		Render: func(q *engine.Request, a engine.Answer) []byte { return render(a, proto) }}
 }
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -16,7 +16,7 @@
 const recheckEvery = 250 * time.Millisecond
 
 // recheck ends connections whose callers are withdrawn, until ctx ends.
-func recheck(ctx context.Context, fronts []*front.Clients) {
+func recheck(ctx context.Context, fronts []*front.ConnManager) {
 	t := time.NewTicker(recheckEvery)
 	defer t.Stop()
 	for {
@@ -26,7 +26,7 @@
 		case <-t.C:
 		}
 		for _, f := range fronts {
-			f.Recheck()
+			f.DrainRevoked()
 		}
 	}
 }
@@ -36,7 +36,7 @@
 	if s.Gate == nil {
 		return clients.Protocol{}
 	}
-	return clients.Protocol{Callers: s.Gate, Key: s.keys()}
+	return clients.Protocol{Callers: s.Gate, ServerKey: s.keys()}
 }
 
 // keys gives a caller's keys as the servers of the pool know them: in the space of its tenant, and where servers own slots in the
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -81,7 +81,7 @@
 	var pools []*backend.Pool
 	cfg.guard = &guard.Guard{}
 	defer cfg.guard.LogCounts()
-	var fronts []*front.Clients
+	var fronts []*front.ConnManager
 	for i := range n {
 		links := newLinks(cfg, max(1, attempts/n))
 		e, err := newEngine(cfg, links, shared.of(i))
@@ -205,7 +205,7 @@
 }
 
 // fronts are the ways in for clients, which share the places that there are.
-func (s Setup) fronts(e *engine.Engine, proto front.Protocol, ln net.Listener, places int) []*front.Clients {
+func (s Setup) fronts(e *engine.Engine, proto front.Protocol, ln net.Listener, places int) []*front.ConnManager {
 	type way struct {
 		proto front.Protocol
 		ln    net.Listener
@@ -219,7 +219,7 @@
 		p.Owners = func(key string, write bool) []uint32 { return s.cluster.Owners(slots.Of([]byte(key)), write) }
 		ways = append(ways, way{p, s.Meta})
 	}
-	var out []*front.Clients
+	var out []*front.ConnManager
 	for i, w := range ways {
 		n := places / (len(ways) - i) // equal parts, and the rest goes to the last
 		places -= n
