--- a/internal/front/answers.go
+++ b/internal/front/answers.go
@@ -10,26 +10,26 @@
 	"mossproxy.example/mossproxy/internal/sock"
 )
 
-// pendingAnswer is the place of a command's answer among those of its connection.
+// pendingAnswer is the entry of a command in its connection's answer queue.
 type pendingAnswer struct {
 	engine.RequestHandle
 	conn        *clientConn
-	text        []byte // guarded by c.mu, as the others
+	text        []byte // guarded by conn.mu, as are the fields below
 	orderKey    int
 	ready       bool
 	request     *engine.Request      // nil = the answer was known at once
-	tenant      string               // who the answer is booked to
-	stream      engine.StreamedValue // the value behind text; nil = text is the answer
-	streamClass string               // of such an answer's request
+	tenant      string               // charged for the memory of the answer
+	stream      engine.StreamedValue // long value that follows text; nil = text is the whole answer
+	streamClass string               // class of the request, if stream is set
 }
 
-// answerReservation is what is booked to a party for an answer that its client has not taken yet.
+// answerReservation is memory charged to a tenant for an answer that is not written to the client yet.
 type answerReservation struct {
 	tenant string
 	bytes  int
 }
 
-// enqueue makes a place for the answer to a command that has come.
+// enqueue appends an entry for the answer to a command that was read.
 func (c *clientConn) enqueue(lane int) *pendingAnswer {
 	sl := &pendingAnswer{conn: c, orderKey: lane}
 	c.mu.Lock()
@@ -38,15 +38,15 @@
 	return sl
 }
 
-// completeStream gives the answer to a request that ends with a long value: text is what comes ahead of it.
-func (sl *pendingAnswer) completeStream(text []byte, class string, long engine.StreamedValue) {
+// completeStream sets an answer that ends with a long value; text precedes it.
+func (sl *pendingAnswer) completeStream(text []byte, streamClass string, stream engine.StreamedValue) {
 	sl.conn.mu.Lock()
-	sl.stream, sl.streamClass = long, class
+	sl.stream, sl.streamClass = stream, streamClass
 	sl.conn.mu.Unlock()
 	sl.complete(text, true)
 }
 
-// discardStream lets go of a long value that nobody takes.
+// discardStream releases a long value that will not be written.
 func (sl *pendingAnswer) discardStream() {
 	if sl.stream != nil {
 		sl.stream.Discard()
@@ -54,26 +54,26 @@
 	}
 }
 
-// complete gives the answer to a command. It does not block. On the engine's goroutine the answers of a batch of events go out
-// together.
-func (sl *pendingAnswer) complete(text []byte, engines bool) {
+// complete sets the answer to a command. It does not block. Answers set on the engine's goroutine
+// (onEngine) are written together at the end of its batch of events.
+func (sl *pendingAnswer) complete(text []byte, onEngine bool) {
 	c := sl.conn
-	party := c.manager.engine.ReserveAnswer(sl.request, len(text))
-	sl.request = nil // its value need not wait for the client
+	tenant := c.manager.engine.ReserveAnswer(sl.request, len(text))
+	sl.request = nil // releases the request's value while the client takes the answer
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	sl.tenant = party
+	sl.tenant = tenant
 	if sl.orderKey > 0 {
 		defer c.queueChanged.Broadcast()
 	}
 	if sl.text, sl.ready = text, true; c.broken {
-		c.manager.engine.ReleaseAnswer(party, len(text))
+		c.manager.engine.ReleaseAnswer(tenant, len(text))
 		sl.discardStream()
 		return
 	}
 	switch {
 	case c.answersInWrite > 0 || c.flushScheduled || !c.queue[0].ready:
-	case engines:
+	case onEngine:
 		c.flushScheduled = true
 		c.manager.engine.AtBatchEnd(c.flushFunc)
 	default:
@@ -82,7 +82,8 @@
 	}
 }
 
-// flushAnswers writes the answers that are there as far as that needs no waiting; a goroutine writes the rest.
+// flushAnswers writes the answers that are ready, as far as possible without blocking; a goroutine writes
+// the rest.
 func (c *clientConn) flushAnswers() {
 	c.mu.Lock()
 	c.flushScheduled = false
@@ -101,23 +102,25 @@
 	}
 }
 
-// maxDirectWriteBytes bounds the bytes that are written without a goroutine of their own.
+// maxDirectWriteBytes is the maximum size of a write without its own goroutine.
 const maxDirectWriteBytes = 16 << 10
 
-// nonBlockingWrite is one write that does not wait, with what it needs kept: a closure for each would cost an allocation.
+// nonBlockingWrite holds the state of one non-blocking write. It is reused, as a closure per write would
+// cost an allocation.
 type nonBlockingWrite struct {
 	text      []byte
-	buf       []byte // for several answers in one write
+	buf       []byte // to join several answers into one write
 	written   int
 	writeFunc func(fd uintptr) bool
 }
 
 func (q *nonBlockingWrite) write(fd uintptr) bool {
-	q.written, _ = syscall.Write(int(fd), q.text) // an error shows when the rest is written
+	q.written, _ = syscall.Write(int(fd), q.text) // an error recurs when the rest is written
 	return true
 }
 
-// tryDirectWrite writes what it can without waiting, leaves the rest in out, and says whether that is nothing.
+// tryDirectWrite writes what it can without blocking and leaves the rest in out. Reports whether everything
+// was written.
 func (c *clientConn) tryDirectWrite(out *net.Buffers, size int) bool {
 	if c.rawConn == nil || size > maxDirectWriteBytes {
 		return false
@@ -149,14 +152,15 @@
 	return false
 }
 
-// takeReady takes the answers that are there off the queue, in the order of the commands. The caller holds mu.
+// takeReady removes the ready answers at the head of the queue, in the order of the commands. The caller
+// holds mu.
 func (c *clientConn) takeReady() (out net.Buffers, size int) {
 	c.answersInWrite = 0
 	for len(c.queue) > 0 && c.queue[0].ready {
 		sl := c.queue[0]
 		out, size, c.reservations = append(out, sl.text), size+len(sl.text), append(c.reservations, answerReservation{sl.tenant, len(sl.text)})
 		c.queue, c.answersInWrite = c.queue[1:], c.answersInWrite+1
-		if sl.stream != nil { // the next answer comes behind the whole of it
+		if sl.stream != nil { // the next answer follows the complete value
 			c.streaming = sl
 			break
 		}
@@ -164,7 +168,7 @@
 	return out, size
 }
 
-// writeAnswers writes answers until none is there.
+// writeAnswers writes answers until none is ready.
 func (c *clientConn) writeAnswers(out net.Buffers) {
 	for len(out) > 0 {
 		c.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
@@ -173,7 +177,7 @@
 			time.Sleep(bufferRetryInterval)
 			_, err = out.WriteTo(c.Conn)
 		}
-		if sl := c.streaming; sl != nil { // nobody else looks at it while answers are being written
+		if sl := c.streaming; sl != nil { // used only by the writer
 			c.streaming = nil
 			err = c.writeStream(sl, err)
 		}
@@ -181,10 +185,12 @@
 	}
 }
 
-// streamTerminator ends an answer with a long value. Without it the client can tell that the value is not whole.
+// streamTerminator ends an answer with a long value. If it is missing, the client can tell that the value
+// is incomplete.
 var streamTerminator = []byte("\r\n")
 
-// writeStream passes on the long value of an answer whose beginning was written, or not, which err says.
+// writeStream writes the long value of an answer to the client. err is the result of writing the text
+// before it; if it is set, the value is discarded.
 func (c *clientConn) writeStream(sl *pendingAnswer, err error) error {
 	if err != nil {
 		sl.stream.Discard()
@@ -195,10 +201,10 @@
 	return err
 }
 
-// deadlineWriter is a client that takes a value in pieces, each in its time.
+// deadlineWriter writes to a client with a new deadline for each write.
 type deadlineWriter struct{ net.Conn }
 
-// Write writes a piece.
+// Write writes b within answerWriteTimeout.
 func (t deadlineWriter) Write(b []byte) (int, error) {
 	t.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	n, err := t.Conn.Write(b)
@@ -208,7 +214,8 @@
 	return n, nil
 }
 
-// finishWrite books what has been written and returns what is next.
+// finishWrite releases the reservations of the answers that were written and returns the next ready
+// answers.
 func (c *clientConn) finishWrite(err error) (out net.Buffers, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -219,14 +226,14 @@
 	c.queueChanged.Broadcast()
 	if err != nil && !c.broken {
 		c.broken = true
-		c.Close() // which ends the reader too; it tells the loop
+		c.Close() // this also ends the reader, which informs the engine
 	}
 	if c.broken {
 		c.answersInWrite = 0
 		return nil, 0
 	}
 	if out, size = c.takeReady(); c.openCommands() == 0 {
-		c.queue = nil // and the answers that its array holds
+		c.queue = nil // releases the answers that the backing array still holds
 		switch c.idleSince = time.Now(); {
 		case !c.closing:
 			c.SetReadDeadline(c.idleSince.Add(c.manager.protocol.Idle()))
--- a/internal/front/arrival.go
+++ b/internal/front/arrival.go
@@ -1,29 +1,31 @@
 package front
 
-// arrivalTracker says when what was read from a connection has come: a client's deadline counts from then, however late it is looked at. What a
-// read had to wait for has come just then. What it found may have come at any time since the connection was last known to hold no input,
-// as the reader was away (too many commands were open, the process was held up), and that time is taken. Times are the engine's, in ms.
+// arrivalTracker determines when input read from a connection arrived. A client's deadline counts from
+// then, however late the input is read. If a read had to wait, its input arrived at the end of the wait.
+// Otherwise the input may have arrived at any time since the connection was last known to be empty, as the
+// reader was busy (too many open commands, process stalled), and that time is used. Times are the engine's,
+// in ms.
 type arrivalTracker struct {
-	earliest  float64 // when the last input came, at the earliest
+	earliest  float64 // earliest possible arrival of the last input
 	lastEmpty float64 // when the connection was last known to hold no input
-	readStart float64 // when the read that goes on began
+	readStart float64 // when the current read began
 }
 
-// minBlockedReadMS is how long, in ms, a read takes at least that had to wait for input.
+// minBlockedReadMS is the minimum duration, in ms, of a read that had to wait for input.
 const minBlockedReadMS = 2
 
-// readStarted is called ahead of a read.
+// readStarted is called before each read.
 func (a *arrivalTracker) readStarted(now float64) { a.readStart = now }
 
-// readFinished is called behind a read of n bytes into room for some.
-func (a *arrivalTracker) readFinished(now float64, n, room int) {
+// readFinished is called after a read of n bytes into a buffer of size bytes.
+func (a *arrivalTracker) readFinished(now float64, n, size int) {
 	if n == 0 {
 		return
 	}
 	if now-a.readStart >= minBlockedReadMS {
 		a.lastEmpty = now
 	}
-	if a.earliest = a.lastEmpty; n < room {
+	if a.earliest = a.lastEmpty; n < size {
 		a.lastEmpty = now
 	}
 }
--- a/internal/front/callers.go
+++ b/internal/front/callers.go
@@ -7,66 +7,70 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// Authenticator settles who calls. Its methods may be called from any goroutine and don't block.
+// Authenticator identifies and authorizes callers. Its methods may be called from any goroutine and do not
+// block.
 type Authenticator interface {
-	Token(from, text string) (*caller.Pass, caller.Reason) // of a connection
-	Once(from, text string) (*caller.Pass, caller.Reason)  // of a single request
+	Token(from, text string) (*caller.Pass, caller.Reason) // for a connection
+	Once(from, text string) (*caller.Pass, caller.Reason)  // for a single request
 	Secret(from, id string, secret []byte) (*caller.Pass, caller.Reason)
 	Certificate(from string, link *tls.ConnectionState) (*caller.Pass, caller.Reason)
-	Check(*caller.Pass) (*caller.Pass, caller.Reason) // the pass by which a caller goes on
-	Allow(from string, p *caller.Pass, class, key string, access caller.Access) (again float64, why caller.Reason)
-	Withdrawn(from string, p *caller.Pass, why caller.Reason) // for the audit
-	Refused(from string, p *caller.Pass, why caller.Reason)   // as above
+	Check(*caller.Pass) (*caller.Pass, caller.Reason) // returns the pass that now applies
+	Allow(from string, p *caller.Pass, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason)
+	Withdrawn(from string, p *caller.Pass, reason caller.Reason) // audits a revoked pass
+	Refused(from string, p *caller.Pass, reason caller.Reason)   // audits a rejected request
 }
 
-// Peer is the far end of a connection.
+// Peer describes the remote end of a connection.
 type Peer struct {
-	RemoteAddr string               // its address
-	TLS        *tls.ConnectionState // nil = the link is plain
+	RemoteAddr string               // network address of the client
+	TLS        *tls.ConnectionState // nil = the connection is not encrypted
 }
 
-// ConnCaller is who calls on one connection, for as long as it holds. A nil Guest is that of a front that asks nobody.
+// ConnCaller is the authentication state of one connection. A nil ConnCaller stands for a listener without
+// authentication.
 type ConnCaller struct {
 	authenticator Authenticator
 	RemoteAddr    string
 	state         atomic.Pointer[authState]
 }
 
-// authState is a pass, or why there is none, and whether there was one before.
+// authState is a pass, or the reason why there is none, and whether an earlier one was revoked.
 type authState struct {
 	pass    *caller.Pass
 	reason  caller.Reason
 	revoked bool
 }
 
-// NewConnCaller is who has come; a client certificate has said who that is already. nil where nobody is asked.
-func NewConnCaller(c Authenticator, p Peer) *ConnCaller {
-	if c == nil {
+// NewConnCaller authenticates a new connection by its client certificate, if any. Returns nil if
+// authenticator is nil.
+func NewConnCaller(authenticator Authenticator, p Peer) *ConnCaller {
+	if authenticator == nil {
 		return nil
 	}
-	g := &ConnCaller{authenticator: c, RemoteAddr: p.RemoteAddr}
-	pass, why := c.Certificate(p.RemoteAddr, p.TLS)
-	g.state.Store(&authState{pass: pass, reason: why})
+	g := &ConnCaller{authenticator: authenticator, RemoteAddr: p.RemoteAddr}
+	pass, reason := authenticator.Certificate(p.RemoteAddr, p.TLS)
+	g.state.Store(&authState{pass: pass, reason: reason})
 	return g
 }
 
-// Pass is the pass by which the connection goes on, or why it does not. It allocates nothing while the pass holds.
+// Pass returns the pass that now applies to the connection, or the reason why there is none. It does not
+// allocate while the pass remains valid.
 func (g *ConnCaller) Pass() (*caller.Pass, caller.Reason) {
 	s := g.state.Load()
 	if s.pass == nil {
 		return nil, s.reason
 	}
-	p, why := g.authenticator.Check(s.pass)
+	p, reason := g.authenticator.Check(s.pass)
 	if p == s.pass {
 		return p, caller.None
 	}
-	if g.state.CompareAndSwap(s, &authState{p, why, p == nil}) && p == nil {
-		g.authenticator.Withdrawn(g.RemoteAddr, s.pass, why)
+	if g.state.CompareAndSwap(s, &authState{p, reason, p == nil}) && p == nil {
+		g.authenticator.Withdrawn(g.RemoteAddr, s.pass, reason)
 	}
-	return p, why
+	return p, reason
 }
 
-// Revoked says whether there was a pass that no longer holds.
+// Revoked reports whether there was a pass that is no longer valid.
 func (g *ConnCaller) Revoked() bool {
 	if g == nil {
 		return false
@@ -74,11 +78,12 @@
 	if s := g.state.Load(); s.pass == nil {
 		return s.revoked
 	}
-	_, why := g.Pass()
-	return why != caller.None
+	_, reason := g.Pass()
+	return reason != caller.None
 }
 
-// Tenant is whose the connection is, "" = nobody's that is known. It does not look whether the pass still holds.
+// Tenant returns the tenant of the connection, or "" if it is not identified. It does not check whether the
+// pass is still valid.
 func (g *ConnCaller) Tenant() string {
 	if g == nil {
 		return ""
@@ -89,34 +94,36 @@
 	return ""
 }
 
-// LoginToken logs in by a token, and Secret by a key's. A login that fails leaves the connection as it was.
+// LoginToken logs in with a token. A failed login leaves the connection's state unchanged.
 func (g *ConnCaller) LoginToken(text string) caller.Reason {
 	return g.storeLogin(g.authenticator.Token(g.RemoteAddr, text))
 }
 
-// LoginSecret is Token's brother.
+// LoginSecret logs in with the id and secret of a key. A failed login leaves the connection's state
+// unchanged.
 func (g *ConnCaller) LoginSecret(id string, secret []byte) caller.Reason {
 	return g.storeLogin(g.authenticator.Secret(g.RemoteAddr, id, secret))
 }
 
-func (g *ConnCaller) storeLogin(p *caller.Pass, why caller.Reason) caller.Reason {
-	if why == caller.None {
+func (g *ConnCaller) storeLogin(p *caller.Pass, reason caller.Reason) caller.Reason {
+	if reason == caller.None {
 		g.state.Store(&authState{pass: p})
 	}
-	return why
+	return reason
 }
 
-// AuthenticateRequest is the pass of a single request that has brought its own token.
+// AuthenticateRequest returns the pass for a single request that carries its own token.
 func (g *ConnCaller) AuthenticateRequest(text string) (*caller.Pass, caller.Reason) {
 	return g.authenticator.Once(g.RemoteAddr, text)
 }
 
-// Allow says whether the caller may make a request on each of its keys.
-func (g *ConnCaller) Allow(p *caller.Pass, class, key string, access caller.Access) (again float64, why caller.Reason) {
+// Allow reports whether the caller may make a request for the key; caller.None means yes. Otherwise
+// retryAfter is the delay, in ms, after which a retry may be allowed, if it is not 0.
+func (g *ConnCaller) Allow(p *caller.Pass, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
 	return g.authenticator.Allow(g.RemoteAddr, p, class, key, access)
 }
 
-// ReportRefused tells the audit of a request that is not taken.
-func (g *ConnCaller) ReportRefused(p *caller.Pass, why caller.Reason) {
-	g.authenticator.Refused(g.RemoteAddr, p, why)
+// ReportRefused reports a rejected request to the audit log.
+func (g *ConnCaller) ReportRefused(p *caller.Pass, reason caller.Reason) {
+	g.authenticator.Refused(g.RemoteAddr, p, reason)
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -20,88 +20,90 @@
 	"mossproxy.example/mossproxy/internal/sock"
 )
 
-// clientConn is a client's connection. One goroutine reads commands; while there are answers to write, another writes
-// them in the order of the commands.
+// clientConn is a client connection. One goroutine reads commands; while there are answers to write, at
+// most one other writes them in the order of the commands.
 type clientConn struct {
 	net.Conn
 	manager       *ConnManager
-	tenant        string  // among those that places are divided between; guarded by s.mu,
-	readerTenant  string  // and as its reader knows it
-	session       Session // set by meet, under mu
+	tenant        string  // counted by the limiter; guarded by manager.mu
+	readerTenant  string  // the same, for the reader's use without the lock
+	session       Session // set by startSession, under mu
 	reader        *bufio.Reader
-	countedActive atomic.Bool // among those that have asked
+	countedActive atomic.Bool // included in manager.activeConns
 
 	mu              sync.Mutex
-	queueChanged    sync.Cond           // the queue got shorter
-	queue           []*pendingAnswer    // whose answers are not being written yet
-	answersInWrite  int                 // answers that are,
-	reservations    []answerReservation // and whose they are
+	queueChanged    sync.Cond           // signals changes of the queue, answersInWrite and broken
+	queue           []*pendingAnswer    // answers that are not being written yet
+	answersInWrite  int                 // answers that are being written
+	reservations    []answerReservation // memory reserved for answersInWrite
 	broken          bool                // nothing can be written any more
-	commandSeen     bool                // a command has come
-	reading         bool                // another has begun
-	commandBytes    int                 // bytes read since it has begun, and perhaps some behind it
-	dropped         bool                // closing, and what is being read is not waited for
-	closing         bool                // ends as soon as nothing waits for its answer
-	closingSince    time.Time           // since then
-	idleSince       time.Time           // idle since, while nothing is open
-	commandDeadline time.Time           // when the command that is being read is to be whole
-	flushScheduled  bool                // its answers are written at the end of the engine's batch
-	streaming       *pendingAnswer      // the last answer of those that are being written ends with a long value; who writes them alone uses it
+	commandSeen     bool                // a command has been read
+	reading         bool                // a command has begun and is not complete
+	commandBytes    int                 // bytes read since it began, possibly including later commands
+	dropped         bool                // closing at once, without waiting for the command being read
+	closing         bool                // closes as soon as no command is open
+	closingSince    time.Time           // when closing was set
+	idleSince       time.Time           // while no command is open
+	commandDeadline time.Time           // for the rest of the command being read
+	flushScheduled  bool                // answers are written at the end of the engine's batch
+	// The last of the answers being written, if it ends with a long value. Used only by the writer.
+	streaming *pendingAnswer
 
-	arrival arrivalTracker // of what is being read; its reader's
+	arrival arrivalTracker // of the input being read; used only by the reader
 
-	rawConn     syscall.RawConn // nil = it has none
+	rawConn     syscall.RawConn // nil = the connection has none
 	directWrite nonBlockingWrite
-	flushFunc   func() // flush, made once
+	flushFunc   func() // flushAnswers as a value, allocated once
 }
 
-// openCommands counts the commands that are not answered. The caller holds mu.
+// openCommands returns the number of unanswered commands. The caller holds mu.
 func (c *clientConn) openCommands() int { return len(c.queue) + c.answersInWrite }
 
-// startSession learns who is there: with TLS, by the handshake, which has the time of a first command. Until then nothing is taken.
+// startSession completes the TLS handshake, if any, creates the session and assigns the connection to its
+// tenant. The handshake counts towards firstCommandTimeout. Reports whether the connection may go on.
 func (c *clientConn) startSession() bool {
 	peer := Peer{RemoteAddr: c.RemoteAddr().String()}
-	if t, ok := c.Conn.(*tls.Conn); ok {
-		if err := t.Handshake(); err != nil { // its deadline is the connection's
+	if tlsConn, ok := c.Conn.(*tls.Conn); ok {
+		if err := tlsConn.Handshake(); err != nil { // the connection's read deadline applies
 			return false
 		}
-		state := t.ConnectionState()
+		state := tlsConn.ConnectionState()
 		peer.TLS = &state
 	}
 	session := c.manager.protocol.Session(peer)
 	c.mu.Lock()
 	c.session = session
 	c.mu.Unlock()
-	return c.manager.assignTenant(c) // by its certificate, if it has one
+	return c.manager.assignTenant(c) // by the client certificate, if there is one
 }
 
-// logClose logs why a connection is read no longer.
-func (c *clientConn) logClose(turnedAway bool) {
+// logClose logs at debug level why the connection is no longer read.
+func (c *clientConn) logClose(rejected bool) {
 	if !slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	why := "idle for long"
+	reason := "idle timeout"
 	switch {
 	case c.broken:
-		why = "the client has left, or takes no answers"
-	case turnedAway:
-		why = "turned away for what it sent"
+		reason = "client disconnected or stopped reading answers"
+	case rejected:
+		reason = "rejected because of its input"
 	case c.dropped:
-		why = "gave way to another"
+		reason = "evicted while idle"
 	case c.closing:
-		why = "the router ends or is taken out of service"
+		reason = "draining, or credentials revoked"
 	case c.reading:
-		why = "a command did not come whole"
+		reason = "timeout while reading a command"
 	}
-	slog.Debug("client connection read no longer", "client", c.RemoteAddr().String(), "why", why, "open", c.openCommands())
+	slog.Debug("client connection is no longer read", "client", c.RemoteAddr().String(), "why", reason, "open", c.openCommands())
 }
 
-// Gone is engine.Client's.
+// Closed implements engine.Client.
 func (c *clientConn) Closed() bool { return sock.Closed(c.Conn) }
 
-// revoked says whether the connection's caller has lost what it rests on.
+// revoked reports whether the credentials of the connection's caller have been revoked.
 func (c *clientConn) revoked() bool {
 	c.mu.Lock()
 	s := c.session
@@ -109,29 +111,30 @@
 	return s != nil && s.Revoked()
 }
 
-// delayThrottled waits for throttleDelay, or until the connection's place is wanted.
+// delayThrottled waits for throttleDelay, or until the connection is to be closed.
 func (c *clientConn) delayThrottled() {
 	for until := time.Now().Add(throttleDelay); time.Now().Before(until); time.Sleep(throttlePollInterval) {
 		c.mu.Lock()
-		over := c.closing || c.broken
+		closing := c.closing || c.broken
 		c.mu.Unlock()
-		if over {
+		if closing {
 			return
 		}
 	}
 }
 
-// idleState tells since when the connection has had no request open.
+// idleState returns since when the connection has had no open command, and whether it is idle now.
 func (c *clientConn) idleState() (since time.Time, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if since = c.idleSince; !c.commandSeen && time.Since(since) > silentGrace { // else silent ones would drive out the usual clients
+	// Otherwise connections that send nothing would displace regular clients.
+	if since = c.idleSince; !c.commandSeen && time.Since(since) > silentGrace {
 		since = since.Add(-silentPenalty)
 	}
 	return since, c.openCommands() == 0 && !c.closing
 }
 
-// drain ends the connection once nothing waits for its answer and no command is coming.
+// drain closes the connection once no command is open and none is being read.
 func (c *clientConn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,29 +144,31 @@
 	c.closing, c.closingSince = true, time.Now()
 	switch first := c.idleSince.Add(firstByteTimeout); {
 	case c.reading:
-	case c.openCommands() > 0: // what comes until the last answer is out is taken, and that wakes the reader
-	case !c.commandSeen && c.closingSince.Before(first): // who has just come is heard
+	// Commands that arrive before the last answer are still accepted; writing that answer wakes the reader.
+	case c.openCommands() > 0:
+	case !c.commandSeen && c.closingSince.Before(first): // a new connection gets time for its first byte
 		c.SetReadDeadline(first)
 	default:
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// acceptsNoMore says whether a connection that is closing takes no more commands: from then on their answers might come too late. The caller
-// holds mu.
+// acceptsNoMore reports whether the connection has been closing for so long that it takes no more commands,
+// since their answers might come too late. The caller holds mu.
 func (c *clientConn) acceptsNoMore() bool {
 	return c.closing && time.Since(c.closingSince) >= c.manager.engine.MaxDeadline()
 }
 
-// commandArrivedAtTimeout says whether a command has come that crosses the end of the connection's time.
+// commandArrivedAtTimeout reports whether a command arrived just as the wait for it timed out.
 func (c *clientConn) commandArrivedAtTimeout() bool {
 	c.mu.Lock()
-	over := !c.dropped && c.acceptsNoMore()
+	expired := !c.dropped && c.acceptsNoMore()
 	c.mu.Unlock()
-	return !over && sock.Waiting(c.Conn)
+	return !expired && sock.Waiting(c.Conn)
 }
 
-// discardStream ends the connection at once if no request is open: half a command is none.
+// closeIfIdle closes the connection at once if no command is open; one that is only partly read does not
+// count.
 func (c *clientConn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,7 +178,8 @@
 	}
 }
 
-// beginCommand tells that a command has begun. The first one's time has run since the connection came.
+// beginCommand records that a command has begun and sets the deadline for reading it. The time for the
+// first command runs from the start of the connection.
 func (c *clientConn) beginCommand(first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +190,8 @@
 	}
 }
 
-// Read reads what the client sends, for the connection's reader alone. A command that has begun has more time for a long value, by its bytes.
+// Read reads client input; only the reader calls it. It retries while system buffers are short, and extends
+// the deadline of a command with a long value by the number of its bytes.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.arrival.readStarted(c.manager.engine.Now())
 	n, err := c.Conn.Read(b)
@@ -193,8 +200,8 @@
 		n, err = c.Conn.Read(b)
 	}
 	c.arrival.readFinished(c.manager.engine.Now(), n, len(b))
-	if c.commandBytes += n; c.commandBytes <= maxLineBytes { // no line is longer: beyond that it is a value
-		return n, err //nolint:wrapcheck // its kind counts
+	if c.commandBytes += n; c.commandBytes <= maxLineBytes { // no line is longer: the rest is a value
+		return n, err //nolint:wrapcheck // callers check the type of the error
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,11 +209,11 @@
 		c.commandDeadline = c.commandDeadline.Add(time.Duration(n) * valueTimePerByte)
 		c.SetReadDeadline(c.commandDeadline)
 	}
-	return n, err //nolint:wrapcheck // its kind counts
+	return n, err //nolint:wrapcheck // callers check the type of the error
 }
 
-// awaitCommand sets the time for the next command: none while requests are open, as then the client's leaving is waited for.
-// It tells whether one is to be read.
+// awaitCommand sets the read deadline for the next command: none while commands are open, since the read
+// then also detects that the client disconnects. Reports whether a command is to be read.
 func (c *clientConn) awaitCommand() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -217,7 +224,8 @@
 	switch {
 	case c.broken:
 		return false
-	case c.closing && (c.openCommands() == 0 || c.acceptsNoMore()): // what has come already is answered
+	// Input that has already arrived is answered.
+	case c.closing && (c.openCommands() == 0 || c.acceptsNoMore()):
 		return c.reader.Buffered() > 0 || !c.acceptsNoMore() && sock.Waiting(c.Conn)
 	case c.openCommands() > 0:
 		c.SetReadDeadline(time.Time{})
@@ -227,8 +235,9 @@
 	return true
 }
 
-// readCommands reads commands until the client leaves, is turned away for what it sent, or the connection's time is up.
-func (c *clientConn) readCommands() (turnedAway bool) {
+// readCommands reads commands until the client disconnects, is rejected because of its input, or the
+// connection times out.
+func (c *clientConn) readCommands() (rejected bool) {
 	unknown := 0
 	for first := true; ; first = false {
 		_, err := c.reader.Peek(1)
@@ -241,7 +250,7 @@
 		}
 		c.beginCommand(first)
 		cmd, err := c.session.Read(c.reader, c.manager.engine, c.manager.Ready)
-		read := c.arrival.earliest
+		arrived := c.arrival.earliest
 		if err != nil {
 			text, ok := c.session.Malformed(err)
 			if !ok {
@@ -261,24 +270,24 @@
 		if cmd.OrderKey > 0 {
 			c.waitForOrder(cmd.OrderKey)
 		}
-		sl := c.enqueue(cmd.OrderKey)
+		answer := c.enqueue(cmd.OrderKey)
 		if cmd.Request == nil {
-			sl.complete(cmd.Text, false)
+			answer.complete(cmd.Text, false)
 		} else {
-			sl.request = cmd.Request
-			sl.Client = c
-			sl.OnAnswer = func(q *engine.Request, a engine.Answer) {
+			answer.request = cmd.Request
+			answer.Client = c
+			answer.OnAnswer = func(q *engine.Request, a engine.Answer) {
 				text := []byte(nil)
 				if a.Result != engine.ClientGone {
 					text = cmd.Render(q, a)
 				}
 				if a.Streamed != nil {
-					sl.completeStream(text, q.Class, a.Streamed)
+					answer.completeStream(text, q.Class, a.Streamed)
 					return
 				}
-				sl.complete(text, true)
+				answer.complete(text, true)
 			}
-			c.manager.engine.Post(func() { c.manager.engine.Submit(cmd.Request, read, &sl.RequestHandle) })
+			c.manager.engine.Post(func() { c.manager.engine.Submit(cmd.Request, arrived, &answer.RequestHandle) })
 		}
 		if cmd.Invalid {
 			unknown++
@@ -295,8 +304,9 @@
 	}
 }
 
-// endReading ends the reading of a connection after an error. Where the client has not left, what was taken is answered.
-func (c *clientConn) endReading(err error) (turnedAway bool) {
+// endReading handles the error that ends reading. After a timeout, the open commands are still answered;
+// after any other error they are abandoned. Always returns false.
+func (c *clientConn) endReading(err error) (rejected bool) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
@@ -304,7 +314,7 @@
 	return false
 }
 
-// abandonOpen gives up all that is open: nobody takes an answer any more.
+// abandonOpen gives up all open commands, as the client no longer takes answers.
 func (c *clientConn) abandonOpen() {
 	c.mu.Lock()
 	open := c.queue
@@ -321,11 +331,11 @@
 	}
 }
 
-// finish waits until all answers are out and closes the connection. A close with input unread would reset it, and might
-// destroy answers on their way: a client that was turned away sees the end of the answers first, and is read on for a
-// bounded time.
-func (c *clientConn) finish(turnedAway bool) {
-	c.logClose(turnedAway)
+// finish waits until all answers are written and closes the connection. Closing with unread input would
+// reset the connection and might destroy answers in transit. A rejected client therefore sees the end of
+// the answers first, and its input is read and discarded for a bounded time.
+func (c *clientConn) finish(rejected bool) {
+	c.logClose(rejected)
 	c.mu.Lock()
 	for c.openCommands() > 0 && !c.broken {
 		c.queueChanged.Wait()
@@ -335,14 +345,14 @@
 	if broken {
 		c.abandonOpen()
 	}
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && turnedAway && !broken && half.CloseWrite() == nil {
+	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && rejected && !broken && half.CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(lingerTime))
-		io.CopyBuffer(io.Discard, io.LimitReader(onlyReader{c.Conn}, lingerBytes), make([]byte, maxLineBytes)) //nolint:errcheck // it is unwanted
+		io.CopyBuffer(io.Discard, io.LimitReader(onlyReader{c.Conn}, lingerBytes), make([]byte, maxLineBytes)) //nolint:errcheck // discarded
 	}
 	c.Close()
 }
 
-// forceClose closes the connection whatever is open on it, as the process ends.
+// forceClose closes the connection even if commands are open, as the process ends.
 func (c *clientConn) forceClose() {
 	c.mu.Lock()
 	open, broken := c.openCommands(), c.broken
@@ -355,10 +365,11 @@
 	c.Close()
 }
 
-// onlyReader hides the methods by which a copy would do without the buffer it is given.
+// onlyReader hides the methods that would let io.CopyBuffer bypass its buffer.
 type onlyReader struct{ io.Reader }
 
-// waitForOrder waits until no command of the same lane waits for its answer. Their deadlines bound the wait.
+// waitForOrder waits until no command with the same order key is unanswered. Their deadlines bound the
+// wait.
 func (c *clientConn) waitForOrder(lane int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,5 @@
-// Package front serves the connections of clients, in whatever protocol they speak: places, idle times, pipelined commands
-// and their answers in order.
+// Package front serves client connections, whatever protocol the clients speak. It limits the number of
+// connections, enforces timeouts, and answers pipelined commands in order.
 package front
 
 import (
@@ -18,80 +18,93 @@
 	"mossproxy.example/mossproxy/internal/sock"
 )
 
-// Bounds on clients. What a client is owed an answer for is bounded by its own deadline.
+// Limits on clients. The time until a request is answered is bounded by its own deadline.
 const (
-	maxLineBytes         = 4096                    // of a reader's buffer, and the longest line that a protocol can read
-	maxPipelinedCommands = 16                      // commands of a connection that wait for their answer
-	maxInvalidCommands   = 4                       // commands of a connection that the router does not know
-	firstCommandTimeout  = 2600 * time.Millisecond // for the first command to come whole: a client may take two seconds for its head, and more is no good one
-	commandTimeout       = 2200 * time.Millisecond // for a later one to come whole once it has begun
-	valueTimePerByte     = 4 * time.Microsecond    // more for each byte of a long value: a client writes 250 kB a second at least
-	minRestTime          = 100 * time.Millisecond  // a connection that has just been answered is kept for
-	answerWriteTimeout   = 5 * time.Second         // for a client to take its answers
-	lingerTime           = 500 * time.Millisecond  // for a client that was turned away to close
-	lingerBytes          = 256 << 10               // of its input that are read meanwhile
-	throttleDelay        = 500 * time.Millisecond  // before who floods is answered: it costs a place that gives way, and little else
-	firstByteTimeout     = 300 * time.Millisecond  // a connection that comes while others are closed has for its first byte
-	throttlePollInterval = 25 * time.Millisecond   // looks at whether the place is wanted meanwhile
-	bufferRetryTimeout   = time.Second             // for which a call is made again that the system lacks buffers for,
-	bufferRetryInterval  = 2 * time.Millisecond    // so often
-	silentGrace          = 200 * time.Millisecond  // a connection that has asked nothing after that
-	silentPenalty        = time.Second             // counts as idle for that much longer
+	maxLineBytes         = 4096 // size of a read buffer, and the longest line that a protocol can read
+	maxPipelinedCommands = 16   // unanswered commands per connection
+	maxInvalidCommands   = 4    // invalid commands per connection before it is closed
+	// Time to read the first command completely. A well-behaved client takes up to two seconds to send its
+	// head.
+	firstCommandTimeout = 2600 * time.Millisecond
+	// Time to read a later command completely, from its first byte.
+	commandTimeout = 2200 * time.Millisecond
+	// Added per byte of a long value: the minimum rate is 250 kB/s.
+	valueTimePerByte = 4 * time.Microsecond
+	// Minimum idle time before an active connection may be evicted.
+	minRestTime        = 100 * time.Millisecond
+	answerWriteTimeout = 5 * time.Second        // for each write of answers to a client
+	lingerTime         = 500 * time.Millisecond // for a client to close its side after it was rejected
+	lingerBytes        = 256 << 10              // input read and discarded during lingerTime
+	// Delay before a throttled sender is answered. It costs only a connection slot, which can be reclaimed.
+	throttleDelay = 500 * time.Millisecond
+	// Time for the first byte of a connection that arrives while connections are being drained.
+	firstByteTimeout     = 300 * time.Millisecond
+	throttlePollInterval = 25 * time.Millisecond // between checks for closing during throttleDelay
+	// How long a call that fails for lack of system buffers is retried.
+	bufferRetryTimeout  = time.Second
+	bufferRetryInterval = 2 * time.Millisecond // between these retries
+	// A connection that has sent no command for silentGrace counts as idle for silentPenalty longer.
+	silentGrace   = 200 * time.Millisecond
+	silentPenalty = time.Second
 )
 
-// Protocol is what clients speak.
+// Protocol is a protocol that clients speak.
 type Protocol interface {
 	Session(Peer) Session
-	Idle() time.Duration // for the next command to begin
-	Drain(yes bool)      // whether clients are to be sent elsewhere, where the protocol can
+	Idle() time.Duration // timeout for the next command to begin
+	Drain(yes bool)      // whether to redirect clients to another router, if the protocol can
 }
 
-// Session is the protocol on one connection. Its methods are called by the connection's reader alone, but for Render.
+// Session handles the protocol on one connection. Except for Revoked, its methods are called only by the
+// connection's reader goroutine.
 type Session interface {
-	// Read reads one command whose first byte has come, and takes its room from e where it holds a value. An error that is
-	// none of Malformed means that nothing more can be read. ready says whether clients may be sent here.
+	// Read reads one command whose first byte has arrived, and reserves memory for its value from e. After
+	// an error that Malformed does not recognize, nothing more can be read. ready reports whether clients
+	// may be sent to this router.
 	Read(in *bufio.Reader, e *engine.Engine, ready func() bool) (Command, error)
-	// Malformed gives the answer to input that makes no sense; ok is false where the error is another.
+	// Malformed returns the answer to malformed input; ok is false if err has another cause.
 	Malformed(err error) (text []byte, ok bool)
-	// Revoked says whether what the connection's caller rests on has been taken back. It may be called from any goroutine.
+	// Revoked reports whether the credentials of the connection's caller have been revoked. It may be
+	// called from any goroutine.
 	Revoked() bool
-	// Tenant is whose connection it is, "" = nobody's that is known. The reader alone calls it.
+	// Tenant returns the tenant of the connection, or "" if it is not identified. Only the reader calls it.
 	Tenant() string
-	// TooManyConnections is the answer to who has come while that tenant has all the connections it may have.
+	// TooManyConnections returns the answer to a connection whose tenant is at its connection limit.
 	TooManyConnections() []byte
 }
 
-// Command is one command of a client.
+// Command is a command read from a client.
 type Command struct {
-	Text     []byte                                      // the answer, where there is no request
-	Request  *engine.Request                             // nil: Text is the answer
-	Render   func(*engine.Request, engine.Answer) []byte // of the request's final answer; runs on the engine's goroutine
-	Invalid  bool                                        // counts towards the few that a client may send
-	OrderKey int                                         // commands of a connection with the same, above 0, are carried out one after the other
-	End      bool                                        // the connection ends behind the answer
-	Delayed  bool                                        // its sender floods: the answer comes after throttleDelay
+	Text    []byte          // the answer, if Request is nil
+	Request *engine.Request // nil: Text is the answer
+	// Render formats the request's final answer. It runs on the engine's goroutine.
+	Render   func(*engine.Request, engine.Answer) []byte
+	Invalid  bool // counts towards maxInvalidCommands
+	OrderKey int  // commands of a connection with the same key above 0 run one after the other
+	End      bool // the connection is closed after the answer
+	Delayed  bool // the sender is throttled: the answer is sent after throttleDelay
 }
 
-// ConnManager serves the connections of one listener.
+// ConnManager accepts and serves the connections of one listener.
 type ConnManager struct {
 	engine        *engine.Engine
 	protocol      Protocol
 	listener      net.Listener
-	slots         chan struct{} // a place for each connection that may be open
-	readers       sync.Pool     // of *bufio.Reader: bad clients come and go by hundreds
-	advertised    atomic.Bool   // clients may be sent here
-	draining      atomic.Bool   // a connection ends as soon as nothing is open on it
-	activeConns   atomic.Int64  // connections that have asked
-	reservedSlots atomic.Int64  // places that are kept free
-	limiter       *connLimiter  // nil = they are divided between nobody
+	slots         chan struct{} // one element for each open connection or reserved slot
+	readers       sync.Pool     // of *bufio.Reader, as misbehaving clients reconnect by the hundreds
+	advertised    atomic.Bool   // clients may be sent to this router
+	draining      atomic.Bool   // connections are closed as soon as nothing is open on them
+	activeConns   atomic.Int64  // connections that have sent a command
+	reservedSlots atomic.Int64  // slots withheld by SetUsableShare
+	limiter       *connLimiter  // nil = slots are not divided between tenants
 	wg            sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[*clientConn]struct{}
 }
 
-// New serves the clients that come to ln, at most limit at once, once Start is called. Their places are divided between tenants, within
-// quota; nil = they are not.
+// New returns a ConnManager that serves at most limit connections of ln at a time, once Start is called.
+// The slots are divided between tenants, within quota; if quota is nil, they are not.
 func New(e *engine.Engine, proto Protocol, ln net.Listener, limit int, quota *Quota) *ConnManager {
 	s := &ConnManager{engine: e, protocol: proto, listener: ln, limiter: newConnLimiter(limit, quota), slots: make(chan struct{}, limit), conns: map[*clientConn]struct{}{},
 		readers: sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}}
@@ -99,49 +112,51 @@
 	return s
 }
 
-// Start takes connections until the listener is closed. Drain waits for all that it starts.
+// Start accepts connections until the listener is closed. Drain waits for all goroutines that it starts.
 func (s *ConnManager) Start() { s.wg.Go(s.acceptLoop) }
 
-// acceptLoop takes connections until the listener is closed.
+// acceptLoop accepts connections until the listener is closed.
 func (s *ConnManager) acceptLoop() {
-	var away acceptGap
+	var gap acceptGap
 	for {
-		began := time.Now()
+		start := time.Now()
 		c, err := s.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			slog.Warn("accepting failed", "err", err)
+			slog.Warn("accept failed", "err", err)
 			if !sock.Pending(err) {
 				time.Sleep(acceptRetryDelay)
-				away = acceptGap{began, time.Now()}
+				gap = acceptGap{start, time.Now()}
 			}
 			continue
 		}
-		came := away.earliestArrival(began, time.Now())
-		placed := time.Now()
+		arrived := gap.earliestArrival(start, time.Now())
+		slotWait := time.Now()
 		s.acquireSlot()
-		if now := time.Now(); now.Sub(placed) > immediateAcceptTime {
-			away = acceptGap{placed, now}
+		if now := time.Now(); now.Sub(slotWait) > immediateAcceptTime {
+			gap = acceptGap{slotWait, now}
 		}
-		s.serveConn(c, came)
+		s.serveConn(c, arrived)
 	}
 }
 
-// acceptGap is a time in which no connection was accepted: those that came meanwhile waited in the system's queue.
+// acceptGap is a period in which no connection was accepted: those that arrived waited in the listen
+// backlog.
 type acceptGap struct{ start, end time.Time }
 
-// addUnidentified is when a connection came, at the earliest, that accept was called for and gave at these times.
-func (a acceptGap) earliestArrival(called, gave time.Time) time.Time {
-	if gave.Sub(called) < immediateAcceptTime && gave.Sub(a.end) < backlogDrainTime {
+// earliestArrival returns the earliest time at which a connection may have arrived whose call to accept
+// began and returned at the given times.
+func (a acceptGap) earliestArrival(called, returned time.Time) time.Time {
+	if returned.Sub(called) < immediateAcceptTime && returned.Sub(a.end) < backlogDrainTime {
 		return a.start
 	}
-	return gave
+	return returned
 }
 
-// acquireSlot takes a place for a connection. When all are taken, the connection that has been idle for longest gives way;
-// where each has a request open, the next one waits.
+// acquireSlot takes a slot for a connection. When all are taken, it evicts the connection that has been
+// idle for longest; if none is idle, it waits.
 func (s *ConnManager) acquireSlot() {
 	for {
 		select {
@@ -153,20 +168,21 @@
 		select {
 		case s.slots <- struct{}{}:
 			return
-		case <-time.After(10 * time.Millisecond): // it may have got a request just then
+		case <-time.After(10 * time.Millisecond): // its connection may have got a request just then
 		}
 	}
 }
 
-// SetUsableShare has connections take a part of the places from now on, and returns once no more than those are taken, or ctx ends. Idle connections
-// give way. One caller at a time.
-func (s *ConnManager) SetUsableShare(ctx context.Context, part float64) error {
-	keep := int64(float64(cap(s.slots)) * (1 - part))
-	for s.reservedSlots.Load() > keep {
+// SetUsableShare limits connections to a share of the slots (0 to 1). It evicts idle connections and
+// returns when no more than that share is taken, or with an error when ctx ends. Not safe for concurrent
+// use.
+func (s *ConnManager) SetUsableShare(ctx context.Context, share float64) error {
+	reserve := int64(float64(cap(s.slots)) * (1 - share))
+	for s.reservedSlots.Load() > reserve {
 		<-s.slots
 		s.reservedSlots.Add(-1)
 	}
-	for s.reservedSlots.Load() < keep {
+	for s.reservedSlots.Load() < reserve {
 		select {
 		case s.slots <- struct{}{}:
 			s.reservedSlots.Add(1)
@@ -179,14 +195,15 @@
 			s.reservedSlots.Add(1)
 		case <-time.After(10 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("places: %d are still taken of %d: %w", int64(cap(s.slots))-s.reservedSlots.Load(), int64(cap(s.slots))-keep, ctx.Err())
+			return fmt.Errorf("connection slots: %d still in use, limit %d: %w", int64(cap(s.slots))-s.reservedSlots.Load(), int64(cap(s.slots))-reserve, ctx.Err())
 		}
 	}
 	return nil
 }
 
-// countActive counts a connection that has asked for the first time. Where many ask once and keep their connection, its end by
-// time comes too late: they would hold all that clients may have, and the next requests had none.
+// countActive counts a connection that has sent its first command. If more than half of the slots belong to
+// such connections, it evicts an idle one: clients that ask once and keep their connection would otherwise
+// hold all slots until the idle timeout, and leave none for new requests.
 func (s *ConnManager) countActive(c *clientConn) {
 	c.countedActive.Store(true)
 	if s.activeConns.Add(1) > (int64(cap(s.slots))-s.reservedSlots.Load())/2 {
@@ -194,25 +211,26 @@
 	}
 }
 
-// acceptRetryDelay is waited for where accepting fails for want of a descriptor or of memory.
+// acceptRetryDelay is the delay after accept fails for lack of file descriptors or memory.
 const acceptRetryDelay = 100 * time.Millisecond
 
-// backlogDrainTime is how long after an absence the system's queue may still hold connections of before.
+// backlogDrainTime is how long after an acceptGap the backlog may still hold connections from before its
+// end.
 const backlogDrainTime = 50 * time.Millisecond
 
-// immediateAcceptTime is how long accepting takes at most where a connection was there already.
+// immediateAcceptTime is the longest that accept takes when a connection is already in the backlog.
 const immediateAcceptTime = 2 * time.Millisecond
 
-// completeStream serves a connection that came at a time.
-func (s *ConnManager) serveConn(nc net.Conn, came time.Time) {
+// serveConn serves a connection that arrived at the given time.
+func (s *ConnManager) serveConn(nc net.Conn, arrived time.Time) {
 	r := s.readers.Get().(*bufio.Reader)
 	c := &clientConn{Conn: nc, manager: s, reader: r, idleSince: time.Now()}
 	r.Reset(c)
-	c.arrival.lastEmpty = s.engine.Now() - float64(time.Since(came))/float64(time.Millisecond)
+	c.arrival.lastEmpty = s.engine.Now() - float64(time.Since(arrived))/float64(time.Millisecond)
 	c.queueChanged.L = &c.mu
 	c.flushFunc, c.directWrite.writeFunc = c.flushAnswers, c.directWrite.write
 	if sc, ok := nc.(syscall.Conn); ok {
-		c.rawConn, _ = sc.SyscallConn() // nil where there is none
+		c.rawConn, _ = sc.SyscallConn() // nil if there is none
 	}
 	nc.SetReadDeadline(time.Now().Add(firstCommandTimeout))
 	s.mu.Lock()
@@ -232,9 +250,9 @@
 		}
 		s.mu.Lock()
 		delete(s.conns, c)
-		party := c.tenant
+		tenant := c.tenant
 		s.mu.Unlock()
-		s.limiter.remove(party)
+		s.limiter.remove(tenant)
 		r.Reset(nil)
 		s.readers.Put(r)
 		<-s.slots
@@ -244,33 +262,36 @@
 	}
 }
 
-// Ready says whether clients may be sent here: a list is held and the router goes on.
+// Ready reports whether clients may be sent to this router: the engine is ready and the router is
+// advertised.
 func (s *ConnManager) Ready() bool { return s.engine.Ready() && s.advertised.Load() }
 
-// DrainRevoked ends the connections whose caller rests on what has been taken back, once what they have asked is answered.
+// DrainRevoked closes the connections whose credentials have been revoked, once their open commands are
+// answered.
 func (s *ConnManager) DrainRevoked() {
 	s.mu.Lock()
-	var over []*clientConn
+	var revoked []*clientConn
 	for c := range s.conns {
 		if c.revoked() {
-			over = append(over, c)
+			revoked = append(revoked, c)
 		}
 	}
 	s.mu.Unlock()
-	for _, c := range over {
+	for _, c := range revoked {
 		c.drain()
 	}
 }
 
-// SetAdvertised says whether clients may be sent here, to who asks. Without stay they are sent elsewhere, where the protocol can; what they
-// send all the same is served.
+// SetAdvertised sets whether Ready may report true. Without stay, clients are redirected to another router
+// if the protocol can; commands that they send nevertheless are served.
 func (s *ConnManager) SetAdvertised(yes, stay bool) {
 	s.advertised.Store(yes)
 	s.protocol.Drain(!stay)
 }
 
-// SetDraining has every connection closed once it has nothing to answer, and those that still come behind their first answer; or no longer.
-// Those that are being closed stay so.
+// SetDraining starts or stops draining. While draining, each connection is closed once all its commands are
+// answered, and new ones after their first answer. Stopping does not affect connections that are already
+// closing.
 func (s *ConnManager) SetDraining(yes bool) {
 	if s.draining.Swap(yes) == yes || !yes {
 		return
@@ -282,7 +303,8 @@
 	}
 }
 
-// Drain has every connection closed once it has nothing to answer, and returns when all are, or ctx ends.
+// Drain starts draining and returns when all connections are closed. When ctx ends, it closes those that
+// remain.
 func (s *ConnManager) Drain(ctx context.Context) {
 	s.SetDraining(true)
 	closed := make(chan struct{})
--- a/internal/front/places.go
+++ b/internal/front/places.go
@@ -9,50 +9,50 @@
 	"mossproxy.example/mossproxy/internal/pure/shares"
 )
 
-// Quota bounds the connections of each tenant, at all listeners and engines of a pool together.
+// Quota limits the connections of each tenant, over all listeners and engines of a pool.
 type Quota struct {
-	limit func(tenant string) int // 0 = no bound
+	limit func(tenant string) int // 0 = no limit
 
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// NewQuota bounds tenants' connections by most, which is asked each time.
-func NewQuota(most func(tenant string) int) *Quota {
-	return &Quota{limit: most, counts: map[string]int{}}
+// NewQuota returns a Quota that asks limit for the limit of a tenant each time.
+func NewQuota(limit func(tenant string) int) *Quota {
+	return &Quota{limit: limit, counts: map[string]int{}}
 }
 
-// acquire takes one more for a tenant, within its bound unless forced.
-func (q *Quota) acquire(who string, forced bool) bool {
+// acquire counts one more connection for a tenant, up to its limit unless forced.
+func (q *Quota) acquire(tenant string, forced bool) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if who != unidentified {
-		if most := q.limit(who); most > 0 && q.counts[who] >= most && !forced {
+	if tenant != unidentified {
+		if limit := q.limit(tenant); limit > 0 && q.counts[tenant] >= limit && !forced {
 			return false
 		}
 	}
-	q.counts[who]++
+	q.counts[tenant]++
 	return true
 }
 
-// release gives one back.
-func (q *Quota) release(who string) {
+// release counts one connection less.
+func (q *Quota) release(tenant string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.counts[who]--; q.counts[who] <= 0 {
-		delete(q.counts, who)
+	if q.counts[tenant]--; q.counts[tenant] <= 0 {
+		delete(q.counts, tenant)
 	}
 }
 
-// OpenConns is how many connections a tenant has; "" = those of nobody known.
+// OpenConns returns the number of connections of a tenant; "" = connections that are not identified.
 func (q *Quota) OpenConns(tenant string) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.counts[tenant]
 }
 
-// connLimiter are those of one listener at one engine, divided between tenants. Who is not known yet counts as one more party, which gives way
-// first. A nil one divides nothing.
+// connLimiter divides the slots of one listener at one engine between tenants. Connections that are not
+// identified count as a tenant of their own, which is evicted first. A nil connLimiter divides nothing.
 type connLimiter struct {
 	quota *Quota
 	mu    sync.Mutex
@@ -60,9 +60,10 @@
 }
 
 const (
-	// unidentified is the party of connections whose caller is not known, which no tenant's name can be.
+	// unidentified counts connections whose caller is not known. No tenant can have this name.
 	unidentified = shares.Unidentified
-	// freeSlotsFactor is how many times what is free a tenant may hold: one alone gets eight ninths, and what it leaves is others'.
+	// freeSlotsFactor limits a tenant to this many times the free slots: a single one gets 8/9 and leaves
+	// the rest to others.
 	freeSlotsFactor = 8
 )
 
@@ -73,7 +74,7 @@
 	return &connLimiter{quota: q, pool: shares.New(int64(total), freeSlotsFactor)}
 }
 
-// addUnidentified books a connection that has come, of nobody known, and says whether there are too many of them.
+// addUnidentified counts a new connection and reports whether there are too many unidentified ones.
 func (p *connLimiter) addUnidentified() (crowded bool) {
 	if p == nil {
 		return false
@@ -85,27 +86,27 @@
 	return p.pool.OverLimit(unidentified, 0)
 }
 
-// remove ends a connection of a party.
-func (p *connLimiter) remove(who string) {
+// remove counts a connection of a tenant less.
+func (p *connLimiter) remove(tenant string) {
 	if p == nil {
 		return
 	}
-	p.quota.release(who)
+	p.quota.release(tenant)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pool.Add(who, -1)
+	p.pool.Add(tenant, -1)
 }
 
-// moveResult is why a connection can't go over to a party.
+// moveResult is the result of moving a connection to a tenant.
 type moveResult int
 
 const (
 	moveOK          moveResult = iota
-	quotaReached               // the party's own bound is reached
-	capacityReached            // it would hold too much beside others
+	quotaReached               // the tenant's own limit is reached
+	capacityReached            // the tenant would exceed its share of the slots
 )
 
-// moveConn has a connection go over to another party, where that has room or forced is set.
+// moveConn counts a connection for another tenant, if its limits allow it or forced is set.
 func (p *connLimiter) moveConn(from, to string, forced bool) moveResult {
 	if !p.quota.acquire(to, forced) {
 		return quotaReached
@@ -123,9 +124,10 @@
 	return moveOK
 }
 
-// chooseVictim names the party that gives way to one more of another, of those that have an idle connection.
-func (p *connLimiter) chooseVictim(to string, idle []string) (who string, ok bool) {
-	if p == nil { // all are one party
+// chooseVictim chooses, among the tenants with an idle connection, the one to evict from in favor of a new
+// one of tenant to.
+func (p *connLimiter) chooseVictim(to string, idle []string) (victim string, ok bool) {
+	if p == nil { // all are one tenant
 		return unidentified, len(idle) > 0
 	}
 	p.mu.Lock()
@@ -133,61 +135,63 @@
 	return p.pool.ChooseVictim(to, idle)
 }
 
-// assignTenant has a connection count as its caller's from now on. Where that has no place left, an idle connection gives way; at a bound of its
-// own, one of its own. ok is false where there is none, and the connection stays whose it was. The connection's reader alone calls it.
+// assignTenant counts a connection for the tenant of its caller. If that tenant is at a limit, an idle
+// connection is evicted: one of its own if its quota is reached. ok is false if there is none; the
+// connection then stays counted as before. Only the reader of the connection calls it.
 func (s *ConnManager) assignTenant(c *clientConn) (ok bool) {
 	if s.limiter == nil {
 		return true
 	}
-	to := c.session.Tenant()
-	if to == c.readerTenant {
+	tenant := c.session.Tenant()
+	if tenant == c.readerTenant {
 		return true
 	}
-	if why := s.limiter.moveConn(c.readerTenant, to, false); why != moveOK {
-		if !s.evictIdle(evictionRule{tenant: to, sameTenant: why == quotaReached, exclude: c}) {
+	if result := s.limiter.moveConn(c.readerTenant, tenant, false); result != moveOK {
+		if !s.evictIdle(evictionRule{tenant: tenant, sameTenant: result == quotaReached, exclude: c}) {
 			return false
 		}
-		s.limiter.moveConn(c.readerTenant, to, true) // the other one is on its way out
+		s.limiter.moveConn(c.readerTenant, tenant, true) // the evicted connection is about to close
 	}
 	s.mu.Lock()
-	c.tenant = to
+	c.tenant = tenant
 	s.mu.Unlock()
-	c.readerTenant = to
+	c.readerTenant = tenant
 	return true
 }
 
-// evictionRule says which connection is to give way.
+// evictionRule selects the connection to evict.
 type evictionRule struct {
-	tenant      string      // the party that one more comes of
-	sameTenant  bool        // one of that party
-	requireRest bool        // one that has asked, and since rested for a moment
-	exclude     *clientConn // never this one
+	tenant      string      // of the connection that needs the slot
+	sameTenant  bool        // only connections of that tenant
+	requireRest bool        // only active connections that have been idle for minRestTime
+	exclude     *clientConn // never evicted
 }
 
-// evictIdle ends the connection that has been idle for longest, of the party that gives way, and says whether there was one.
-func (s *ConnManager) evictIdle(by evictionRule) bool {
-	type idleOne struct {
+// evictIdle closes the connection that has been idle for longest, of the tenant chosen by the limiter.
+// Reports whether there was one.
+func (s *ConnManager) evictIdle(rule evictionRule) bool {
+	type idleConn struct {
 		c     *clientConn
 		since time.Time
 	}
-	longest := map[string]idleOne{} // few: those that hold something
+	longest := map[string]idleConn{} // one per tenant with an idle connection
 	s.mu.Lock()
 	for c := range s.conns {
-		if c == by.exclude || by.sameTenant && c.tenant != by.tenant {
+		if c == rule.exclude || rule.sameTenant && c.tenant != rule.tenant {
 			continue
 		}
-		at, idle := c.idleState()
-		if by.requireRest && (!c.countedActive.Load() || time.Since(at) < minRestTime) {
+		since, idle := c.idleState()
+		if rule.requireRest && (!c.countedActive.Load() || time.Since(since) < minRestTime) {
 			continue
 		}
-		if was, there := longest[c.tenant]; idle && (!there || at.Before(was.since)) {
-			longest[c.tenant] = idleOne{c, at}
+		if current, found := longest[c.tenant]; idle && (!found || since.Before(current.since)) {
+			longest[c.tenant] = idleConn{c, since}
 		}
 	}
 	s.mu.Unlock()
-	who, ok := s.limiter.chooseVictim(by.tenant, slices.Collect(maps.Keys(longest)))
+	victim, ok := s.limiter.chooseVictim(rule.tenant, slices.Collect(maps.Keys(longest)))
 	if ok {
-		longest[who].c.closeIfIdle()
+		longest[victim].c.closeIfIdle()
 	}
 	return ok
 }
