--- a/internal/front/meta/callers.go
+++ b/internal/front/meta/callers.go
@@ -10,28 +10,29 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// login is auth token TOKEN or auth key ID SECRET. One that fails leaves the connection as it was, and counts towards the few that a
-// client may get wrong.
-func (s session) login(words []string) front.Command {
-	why := caller.Malformed
+// login handles "auth token TOKEN" and "auth key ID SECRET". A failed login leaves the connection unchanged
+// and counts towards the limit of invalid commands.
+func (s session) login(args []string) front.Command {
+	reason := caller.Malformed
 	switch {
-	case len(words) == 2 && words[0] == "token":
-		why = s.connCaller.LoginToken(words[1])
-	case len(words) == 3 && words[0] == "key":
-		why = s.connCaller.LoginSecret(words[1], []byte(words[2]))
+	case len(args) == 2 && args[0] == "token":
+		reason = s.connCaller.LoginToken(args[1])
+	case len(args) == 3 && args[0] == "key":
+		reason = s.connCaller.LoginSecret(args[1], []byte(args[2]))
 	}
-	if why != caller.None {
-		return front.Command{Text: meta.NotTaken(why.String(), 0), Invalid: true, Delayed: why == caller.Throttled, End: why == caller.Throttled}
+	if reason != caller.None {
+		return front.Command{Text: meta.NotTaken(reason.String(), 0), Invalid: true, Delayed: reason == caller.Throttled, End: reason == caller.Throttled}
 	}
 	return front.Command{Text: []byte("HD\r\n")}
 }
 
-// readAuthenticated is a request on a pool that asks who calls. Until that is known nothing of it is looked at but where it ends. What it names is
-// its tenant's own from here on: key, id and idempotency key.
+// readAuthenticated reads a request on a pool that requires authentication. Until the caller is known, the
+// request is parsed only to find its end. Its key, id and idempotency key are then mapped to the namespace
+// of the tenant.
 func (s session) readAuthenticated(in *bufio.Reader, e *engine.Engine, cmd meta.Command) (front.Command, error) {
-	pass, why := s.authenticate(&cmd)
-	if why != caller.None {
-		return s.reject(in, &cmd, why, 0, isUnauthenticated(why))
+	pass, reason := s.authenticate(&cmd)
+	if reason != caller.None {
+		return s.reject(in, &cmd, reason, 0, isUnauthenticated(reason))
 	}
 	if cmd.Tenant != "" && cmd.Tenant != pass.Tenant.Name {
 		s.connCaller.ReportRefused(pass, caller.NoRight)
@@ -41,30 +42,31 @@
 	if cmd.Verb == "ms" {
 		access = caller.Write
 	}
-	if again, why := s.connCaller.Allow(pass, cmd.Class, cmd.Key, access); why != caller.None {
-		return s.reject(in, &cmd, why, again, false)
+	if retryAfter, reason := s.connCaller.Allow(pass, cmd.Class, cmd.Key, access); reason != caller.None {
+		return s.reject(in, &cmd, reason, retryAfter, false)
 	}
 	key, err := s.protocol.ServerKey(pass, cmd.Key)
 	if err != nil {
 		return s.skipValue(in, &cmd, front.Command{Text: meta.NotTaken(err.Error(), 0)})
 	}
 	id := cmd.ID
-	idem := cmd.Idem
-	if idem != "" {
-		idem = pass.Space.ID(idem, meta.MaxID)
+	idempotencyKey := cmd.Idem
+	if idempotencyKey != "" {
+		idempotencyKey = pass.Space.ID(idempotencyKey, meta.MaxID)
 	}
 	cmd.Key, cmd.ID = key, pass.Space.ID(id, meta.MaxID)
-	cmd.Restate(pass.Tenant.Name, idem)
+	cmd.Restate(pass.Tenant.Name, idempotencyKey)
 	return s.readRequest(in, e, cmd, pass.Tenant.Generation, func(q *engine.Request, a engine.Answer) []byte { return renderWithID(id, q, a) })
 }
 
-// Tenant is front.Session's.
+// Tenant implements front.Session.
 func (s session) Tenant() string { return s.connCaller.Tenant() }
 
-// Crowded is front.Session's.
+// TooManyConnections implements front.Session.
 func (session) TooManyConnections() []byte { return meta.NotTaken(caller.Connections.String(), 0) }
 
-// authenticate is who makes a request: whom its own token stands for, or the connection's caller.
+// authenticate returns the caller of a request, by the token of the request itself or else by the
+// connection.
 func (s session) authenticate(cmd *meta.Command) (*caller.Pass, caller.Reason) {
 	if cmd.Auth != "" {
 		return s.connCaller.AuthenticateRequest(cmd.Auth)
@@ -72,22 +74,23 @@
 	return s.connCaller.Pass()
 }
 
-// isUnauthenticated says whether a reason is that of somebody who has proven nothing. Few such commands are answered on a connection; those of
-// a caller that was known are answered all, as they were taken.
-func isUnauthenticated(why caller.Reason) bool {
-	switch why {
+// isUnauthenticated reports whether a reason means that the sender has not proven its identity. A
+// connection may send only a few such commands; those of an authenticated caller are all answered, as they
+// were accepted.
+func isUnauthenticated(reason caller.Reason) bool {
+	switch reason {
 	case caller.NoCaller, caller.UnknownKey, caller.BadSignature, caller.BadAlgorithm, caller.Malformed, caller.TooLong, caller.Throttled:
 		return true
 	}
 	return false
 }
 
-// reject answers a request that is not taken.
-func (s session) reject(in *bufio.Reader, cmd *meta.Command, why caller.Reason, again float64, unknown bool) (front.Command, error) {
-	return s.skipValue(in, cmd, front.Command{Text: meta.NotTaken(why.String(), again), Invalid: unknown, Delayed: why == caller.Throttled})
+// reject returns the answer to a request that is not accepted.
+func (s session) reject(in *bufio.Reader, cmd *meta.Command, reason caller.Reason, retryAfter float64, unknown bool) (front.Command, error) {
+	return s.skipValue(in, cmd, front.Command{Text: meta.NotTaken(reason.String(), retryAfter), Invalid: unknown, Delayed: reason == caller.Throttled})
 }
 
-// skipValue passes over a command's value, so that the next one can be read.
+// skipValue reads and discards a command's value, so that the next command can be read, and returns answer.
 func (s session) skipValue(in *bufio.Reader, cmd *meta.Command, answer front.Command) (front.Command, error) {
 	if cmd.Verb == "ms" {
 		if _, err := meta.ReadValue(in, cmd.Length, true); err != nil {
@@ -97,7 +100,7 @@
 	return answer, nil
 }
 
-// renderWithID is the final answer to a request that its client knows by another id.
+// renderWithID formats the final answer to a request that its client knows by another id than the router.
 func renderWithID(id string, q *engine.Request, a engine.Answer) []byte {
 	if a.Result == engine.Served && a.Content == nil {
 		switch {
@@ -108,10 +111,11 @@
 		}
 		return meta.Served(q.Write, id, a.Body)
 	}
-	return render(q, a) // which names no id
+	return render(q, a) // without an id
 }
 
-// Login is the command by which a connection says who calls, by a token or, where there is an id, by that key's secret.
+// Login returns the command that authenticates a connection by a token or, if id is set, by the secret of
+// that key.
 func Login(id, credential string) string {
 	if id == "" {
 		return "auth token " + credential + "\r\n"
--- a/internal/front/meta/meta.go
+++ b/internal/front/meta/meta.go
@@ -1,4 +1,4 @@
-// Package meta speaks the memcache meta text protocol to clients.
+// Package meta implements the memcache meta text protocol towards clients.
 package meta
 
 import (
@@ -13,36 +13,37 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// Protocol is a front.Protocol.
+// Protocol implements front.Protocol.
 type Protocol struct {
-	// Owners gives the servers that may serve a key; nil = any may. Servers that own keys drop no repeats.
+	// Owners returns the servers that may serve a key; nil = any may. Servers that own keys do not
+	// deduplicate retries.
 	Owners func(key string, write bool) []uint32
-	// Callers settles who calls; nil = nobody is asked, and commands say all that there is to know.
+	// Callers authenticates callers; nil = no authentication, and the commands name the tenant themselves.
 	Callers front.Authenticator
-	// ServerKey is a caller's key as servers know it; an error says how long it may be.
+	// ServerKey maps a key of a caller to the key that servers use; the error states how long it may be.
 	ServerKey func(p *caller.Pass, key string) (string, error)
 }
 
-// Session is a client's connection.
+// Session implements front.Protocol.
 func (p Protocol) Session(peer front.Peer) front.Session {
 	return session{p, front.NewConnCaller(p.Callers, peer)}
 }
 
-// Idle is how long a connection may stand between two commands.
+// Idle returns how long a connection may be idle between two commands.
 func (Protocol) Idle() time.Duration { return 3 * time.Second }
 
-// Drain changes nothing: clients come through a front that sends them elsewhere.
+// Drain does nothing: clients connect through a front end that redirects them.
 func (Protocol) Drain(bool) {}
 
 type session struct {
 	protocol   Protocol
-	connCaller *front.ConnCaller // nil = nobody is asked who calls
+	connCaller *front.ConnCaller // nil = no authentication
 }
 
-// Withdrawn is front.Session's.
+// Revoked implements front.Session.
 func (s session) Revoked() bool { return s.connCaller.Revoked() }
 
-// Malformed is the answer to input that makes no sense.
+// Malformed returns the answer to malformed input.
 func (session) Malformed(err error) ([]byte, bool) {
 	if !errors.Is(err, meta.ErrMalformed) {
 		return nil, false
@@ -50,7 +51,7 @@
 	return []byte("CLIENT_ERROR " + err.Error() + "\r\n"), true
 }
 
-// Read reads a command. Its value is read only if the rest makes sense, and kept only if there is room.
+// Read reads a command. Its value is read only if the rest is valid, and kept only if there is capacity.
 func (s session) Read(in *bufio.Reader, e *engine.Engine, ready func() bool) (front.Command, error) {
 	cmd, err := meta.ReadCommand(in)
 	if err != nil {
@@ -66,7 +67,7 @@
 		if s.connCaller != nil {
 			return s.login(cmd.Words), nil
 		}
-	case "mn": // the router is used from MN on, so it must be able to serve
+	case "mn": // clients use the router after MN, so it must be able to serve
 		if ready() {
 			return front.Command{Text: []byte("MN\r\n")}, nil
 		}
@@ -77,10 +78,11 @@
 	return front.Command{Text: []byte("ERROR\r\n"), Invalid: true}, nil
 }
 
-// renderer gives the text of a request's final answer.
+// renderer formats the final answer to a request.
 type renderer func(*engine.Request, engine.Answer) []byte
 
-// readRequest reads the rest of a request, and checks it against what this deployment takes. generation is that of the caller's tenant.
+// readRequest reads the rest of a request and checks it against the settings of this deployment. generation
+// is that of the caller's tenant.
 func (s session) readRequest(in *bufio.Reader, e *engine.Engine, cmd meta.Command, generation uint32, render renderer) (front.Command, error) {
 	if err := s.checkCommand(e, &cmd); err != nil {
 		return front.Command{}, err
@@ -95,7 +97,7 @@
 			return front.Command{}, err
 		}
 	}
-	if refuse { // many large writes at once must not cost the router its life
+	if refuse { // many large writes at once must not exhaust memory
 		e.CountRejected(cmd.Class)
 		return front.Command{Text: meta.Refused(0)}, nil
 	}
@@ -107,7 +109,7 @@
 		Value: cmd.Value, HeldBytes: cmd.Length, Wait: cmd.Wait, Hint: cmd.Hint, Size: cmd.Size, Retry: cmd.Retry, Write: cmd.Verb == "ms"}}, nil
 }
 
-// checkCommand tells what is wrong with a command for this deployment.
+// checkCommand returns an error if this deployment does not accept a command.
 func (s session) checkCommand(e *engine.Engine, cmd *meta.Command) error {
 	c, ok := e.Class(cmd.Class)
 	switch {
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// render is the final answer to a request.
+// render formats the final answer to a request.
 func render(q *engine.Request, a engine.Answer) []byte {
 	switch a.Result {
 	case engine.Served:
@@ -130,7 +132,7 @@
 			return meta.Absent(q.ID)
 		case a.Streamed != nil:
 			return meta.ServedHead(q.ID, a.Streamed.Len())
-		case a.Content != nil: // in terms that this protocol has no words for
+		case a.Content != nil: // this protocol cannot express it
 			return meta.Failure()
 		}
 		return meta.Served(q.Write, q.ID, a.Body)
