--- a/internal/front/answers.go
+++ b/internal/front/answers.go
@@ -30,55 +30,55 @@
 }
 
 // enqueue appends an entry for the answer to a command that was read.
-func (c *clientConn) enqueue(lane int) *pendingAnswer {
-	sl := &pendingAnswer{conn: c, orderKey: lane}
+func (c *clientConn) enqueue(orderKey int) *pendingAnswer {
+	pending := &pendingAnswer{conn: c, orderKey: orderKey}
 	c.mu.Lock()
-	c.queue = append(c.queue, sl)
+	c.queue = append(c.queue, pending)
 	c.mu.Unlock()
-	return sl
+	return pending
 }
 
 // completeStream sets an answer that ends with a long value; text precedes it.
-func (sl *pendingAnswer) completeStream(text []byte, streamClass string, stream engine.StreamedValue) {
-	sl.conn.mu.Lock()
-	sl.stream, sl.streamClass = stream, streamClass
-	sl.conn.mu.Unlock()
-	sl.complete(text, true)
+func (a *pendingAnswer) completeStream(text []byte, streamClass string, stream engine.StreamedValue) {
+	a.conn.mu.Lock()
+	a.stream, a.streamClass = stream, streamClass
+	a.conn.mu.Unlock()
+	a.complete(text, true)
 }
 
 // discardStream releases a long value that will not be written.
-func (sl *pendingAnswer) discardStream() {
-	if sl.stream != nil {
-		sl.stream.Discard()
-		sl.conn.manager.engine.StreamEnded(sl.streamClass, false)
+func (a *pendingAnswer) discardStream() {
+	if a.stream != nil {
+		a.stream.Discard()
+		a.conn.manager.engine.StreamEnded(a.streamClass, false)
 	}
 }
 
 // complete sets the answer to a command. It does not block. Answers set on the engine's goroutine
 // (onEngine) are written together at the end of its batch of events.
-func (sl *pendingAnswer) complete(text []byte, onEngine bool) {
-	c := sl.conn
-	tenant := c.manager.engine.ReserveAnswer(sl.request, len(text))
-	sl.request = nil // releases the request's value while the client takes the answer
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	sl.tenant = tenant
-	if sl.orderKey > 0 {
-		defer c.queueChanged.Broadcast()
-	}
-	if sl.text, sl.ready = text, true; c.broken {
-		c.manager.engine.ReleaseAnswer(tenant, len(text))
-		sl.discardStream()
+func (a *pendingAnswer) complete(text []byte, onEngine bool) {
+	conn := a.conn
+	tenant := conn.manager.engine.ReserveAnswer(a.request, len(text))
+	a.request = nil // releases the request's value while the client takes the answer
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	a.tenant = tenant
+	if a.orderKey > 0 {
+		defer conn.queueChanged.Broadcast()
+	}
+	if a.text, a.ready = text, true; conn.broken {
+		conn.manager.engine.ReleaseAnswer(tenant, len(text))
+		a.discardStream()
 		return
 	}
 	switch {
-	case c.answersInWrite > 0 || c.flushScheduled || !c.queue[0].ready:
+	case conn.answersInWrite > 0 || conn.flushScheduled || !conn.queue[0].ready:
 	case onEngine:
-		c.flushScheduled = true
-		c.manager.engine.AtBatchEnd(c.flushFunc)
+		conn.flushScheduled = true
+		conn.manager.engine.AtBatchEnd(conn.flushFunc)
 	default:
-		out, _ := c.takeReady()
-		c.manager.wg.Go(func() { c.writeAnswers(out) })
+		out, _ := conn.takeReady()
+		conn.manager.wg.Go(func() { conn.writeAnswers(out) })
 	}
 }
 
@@ -114,8 +114,8 @@
 	writeFunc func(fd uintptr) bool
 }
 
-func (q *nonBlockingWrite) write(fd uintptr) bool {
-	q.written, _ = syscall.Write(int(fd), q.text) // an error recurs when the rest is written
+func (w *nonBlockingWrite) write(fd uintptr) bool {
+	w.written, _ = syscall.Write(int(fd), w.text) // an error recurs when the rest is written
 	return true
 }
 
@@ -125,23 +125,23 @@
 	if c.rawConn == nil || size > maxDirectWriteBytes {
 		return false
 	}
-	q := &c.directWrite
-	if q.text = (*out)[0]; len(*out) > 1 {
-		q.buf = q.buf[:0]
+	w := &c.directWrite
+	if w.text = (*out)[0]; len(*out) > 1 {
+		w.buf = w.buf[:0]
 		for _, b := range *out {
-			q.buf = append(q.buf, b...)
+			w.buf = append(w.buf, b...)
 		}
-		q.text = q.buf
+		w.text = w.buf
 	}
-	q.written = 0
-	if err := c.rawConn.Write(q.writeFunc); err != nil {
+	w.written = 0
+	if err := c.rawConn.Write(w.writeFunc); err != nil {
 		return false
 	}
-	q.text = nil
-	if q.written = max(0, q.written); q.written >= size {
+	w.text = nil
+	if w.written = max(0, w.written); w.written >= size {
 		return true
 	}
-	for left := q.written; left > 0; {
+	for left := w.written; left > 0; {
 		n := min(left, len((*out)[0]))
 		if left -= n; n == len((*out)[0]) {
 			*out = (*out)[1:]
@@ -157,11 +157,11 @@
 func (c *clientConn) takeReady() (out net.Buffers, size int) {
 	c.answersInWrite = 0
 	for len(c.queue) > 0 && c.queue[0].ready {
-		sl := c.queue[0]
-		out, size, c.reservations = append(out, sl.text), size+len(sl.text), append(c.reservations, answerReservation{sl.tenant, len(sl.text)})
+		pending := c.queue[0]
+		out, size, c.reservations = append(out, pending.text), size+len(pending.text), append(c.reservations, answerReservation{pending.tenant, len(pending.text)})
 		c.queue, c.answersInWrite = c.queue[1:], c.answersInWrite+1
-		if sl.stream != nil { // the next answer follows the complete value
-			c.streaming = sl
+		if pending.stream != nil { // the next answer follows the complete value
+			c.streaming = pending
 			break
 		}
 	}
@@ -177,9 +177,9 @@
 			time.Sleep(bufferRetryInterval)
 			_, err = out.WriteTo(c.Conn)
 		}
-		if sl := c.streaming; sl != nil { // used only by the writer
+		if pending := c.streaming; pending != nil { // used only by the writer
 			c.streaming = nil
-			err = c.writeStream(sl, err)
+			err = c.writeStream(pending, err)
 		}
 		out, _ = c.finishWrite(err)
 	}
@@ -191,13 +191,13 @@
 
 // writeStream writes the long value of an answer to the client. err is the result of writing the text
 // before it; if it is set, the value is discarded.
-func (c *clientConn) writeStream(sl *pendingAnswer, err error) error {
+func (c *clientConn) writeStream(pending *pendingAnswer, err error) error {
 	if err != nil {
-		sl.stream.Discard()
-	} else if err = sl.stream.Stream(deadlineWriter{c.Conn}); err == nil {
+		pending.stream.Discard()
+	} else if err = pending.stream.Stream(deadlineWriter{c.Conn}); err == nil {
 		_, err = deadlineWriter{c.Conn}.Write(streamTerminator)
 	}
-	c.manager.engine.StreamEnded(sl.streamClass, err == nil)
+	c.manager.engine.StreamEnded(pending.streamClass, err == nil)
 	return err
 }
 
@@ -219,8 +219,8 @@
 func (c *clientConn) finishWrite(err error) (out net.Buffers, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, d := range c.reservations {
-		c.manager.engine.ReleaseAnswer(d.tenant, d.bytes)
+	for _, reservation := range c.reservations {
+		c.manager.engine.ReleaseAnswer(reservation.tenant, reservation.bytes)
 	}
 	c.reservations = c.reservations[:0]
 	c.queueChanged.Broadcast()
--- a/internal/front/callers.go
+++ b/internal/front/callers.go
@@ -47,83 +47,83 @@
 	if authenticator == nil {
 		return nil
 	}
-	g := &ConnCaller{authenticator: authenticator, RemoteAddr: p.RemoteAddr}
+	c := &ConnCaller{authenticator: authenticator, RemoteAddr: p.RemoteAddr}
 	pass, reason := authenticator.Certificate(p.RemoteAddr, p.TLS)
-	g.state.Store(&authState{pass: pass, reason: reason})
-	return g
+	c.state.Store(&authState{pass: pass, reason: reason})
+	return c
 }
 
 // Pass returns the pass that now applies to the connection, or the reason why there is none. It does not
 // allocate while the pass remains valid.
-func (g *ConnCaller) Pass() (*caller.Pass, caller.Reason) {
-	s := g.state.Load()
+func (c *ConnCaller) Pass() (*caller.Pass, caller.Reason) {
+	s := c.state.Load()
 	if s.pass == nil {
 		return nil, s.reason
 	}
-	p, reason := g.authenticator.Check(s.pass)
+	p, reason := c.authenticator.Check(s.pass)
 	if p == s.pass {
 		return p, caller.None
 	}
-	if g.state.CompareAndSwap(s, &authState{p, reason, p == nil}) && p == nil {
-		g.authenticator.Withdrawn(g.RemoteAddr, s.pass, reason)
+	if c.state.CompareAndSwap(s, &authState{p, reason, p == nil}) && p == nil {
+		c.authenticator.Withdrawn(c.RemoteAddr, s.pass, reason)
 	}
 	return p, reason
 }
 
 // Revoked reports whether there was a pass that is no longer valid.
-func (g *ConnCaller) Revoked() bool {
-	if g == nil {
+func (c *ConnCaller) Revoked() bool {
+	if c == nil {
 		return false
 	}
-	if s := g.state.Load(); s.pass == nil {
+	if s := c.state.Load(); s.pass == nil {
 		return s.revoked
 	}
-	_, reason := g.Pass()
+	_, reason := c.Pass()
 	return reason != caller.None
 }
 
 // Tenant returns the tenant of the connection, or "" if it is not identified. It does not check whether the
 // pass is still valid.
-func (g *ConnCaller) Tenant() string {
-	if g == nil {
+func (c *ConnCaller) Tenant() string {
+	if c == nil {
 		return ""
 	}
-	if s := g.state.Load(); s.pass != nil {
+	if s := c.state.Load(); s.pass != nil {
 		return s.pass.Tenant.Name
 	}
 	return ""
 }
 
 // LoginToken logs in with a token. A failed login leaves the connection's state unchanged.
-func (g *ConnCaller) LoginToken(text string) caller.Reason {
-	return g.storeLogin(g.authenticator.Token(g.RemoteAddr, text))
+func (c *ConnCaller) LoginToken(text string) caller.Reason {
+	return c.storeLogin(c.authenticator.Token(c.RemoteAddr, text))
 }
 
 // LoginSecret logs in with the id and secret of a key. A failed login leaves the connection's state
 // unchanged.
-func (g *ConnCaller) LoginSecret(id string, secret []byte) caller.Reason {
-	return g.storeLogin(g.authenticator.Secret(g.RemoteAddr, id, secret))
+func (c *ConnCaller) LoginSecret(id string, secret []byte) caller.Reason {
+	return c.storeLogin(c.authenticator.Secret(c.RemoteAddr, id, secret))
 }
 
-func (g *ConnCaller) storeLogin(p *caller.Pass, reason caller.Reason) caller.Reason {
+func (c *ConnCaller) storeLogin(p *caller.Pass, reason caller.Reason) caller.Reason {
 	if reason == caller.None {
-		g.state.Store(&authState{pass: p})
+		c.state.Store(&authState{pass: p})
 	}
 	return reason
 }
 
 // AuthenticateRequest returns the pass for a single request that carries its own token.
-func (g *ConnCaller) AuthenticateRequest(text string) (*caller.Pass, caller.Reason) {
-	return g.authenticator.Once(g.RemoteAddr, text)
+func (c *ConnCaller) AuthenticateRequest(text string) (*caller.Pass, caller.Reason) {
+	return c.authenticator.Once(c.RemoteAddr, text)
 }
 
 // Allow reports whether the caller may make a request for the key; caller.None means yes. Otherwise
 // retryAfter is the delay, in ms, after which a retry may be allowed, if it is not 0.
-func (g *ConnCaller) Allow(p *caller.Pass, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
-	return g.authenticator.Allow(g.RemoteAddr, p, class, key, access)
+func (c *ConnCaller) Allow(p *caller.Pass, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
+	return c.authenticator.Allow(c.RemoteAddr, p, class, key, access)
 }
 
 // ReportRefused reports a rejected request to the audit log.
-func (g *ConnCaller) ReportRefused(p *caller.Pass, reason caller.Reason) {
-	g.authenticator.Refused(g.RemoteAddr, p, reason)
+func (c *ConnCaller) ReportRefused(p *caller.Pass, reason caller.Reason) {
+	c.authenticator.Refused(c.RemoteAddr, p, reason)
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -142,12 +142,12 @@
 		return
 	}
 	c.closing, c.closingSince = true, time.Now()
-	switch first := c.idleSince.Add(firstByteTimeout); {
+	switch firstByteDeadline := c.idleSince.Add(firstByteTimeout); {
 	case c.reading:
 	// Commands that arrive before the last answer are still accepted; writing that answer wakes the reader.
 	case c.openCommands() > 0:
-	case !c.commandSeen && c.closingSince.Before(first): // a new connection gets time for its first byte
-		c.SetReadDeadline(first)
+	case !c.commandSeen && c.closingSince.Before(firstByteDeadline): // a new connection gets time for its first byte
+		c.SetReadDeadline(firstByteDeadline)
 	default:
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -319,15 +319,15 @@
 	c.mu.Lock()
 	open := c.queue
 	c.broken, c.queue = true, nil
-	for _, sl := range open {
-		if sl.ready {
-			c.manager.engine.ReleaseAnswer(sl.tenant, len(sl.text))
-			sl.discardStream()
+	for _, pending := range open {
+		if pending.ready {
+			c.manager.engine.ReleaseAnswer(pending.tenant, len(pending.text))
+			pending.discardStream()
 		}
 	}
 	c.mu.Unlock()
-	for _, sl := range open {
-		c.manager.engine.Post(func() { c.manager.engine.ClientLeft(&sl.RequestHandle) })
+	for _, pending := range open {
+		c.manager.engine.Post(func() { c.manager.engine.ClientLeft(&pending.RequestHandle) })
 	}
 }
 
@@ -345,7 +345,7 @@
 	if broken {
 		c.abandonOpen()
 	}
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && rejected && !broken && half.CloseWrite() == nil {
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok && rejected && !broken && closer.CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(lingerTime))
 		io.CopyBuffer(io.Discard, io.LimitReader(onlyReader{c.Conn}, lingerBytes), make([]byte, maxLineBytes)) //nolint:errcheck // discarded
 	}
@@ -370,10 +370,10 @@
 
 // waitForOrder waits until no command with the same order key is unanswered. Their deadlines bound the
 // wait.
-func (c *clientConn) waitForOrder(lane int) {
+func (c *clientConn) waitForOrder(orderKey int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !c.broken && slices.ContainsFunc(c.queue, func(sl *pendingAnswer) bool { return sl.orderKey == lane && !sl.ready }) {
+	for !c.broken && slices.ContainsFunc(c.queue, func(pending *pendingAnswer) bool { return pending.orderKey == orderKey && !pending.ready }) {
 		c.queueChanged.Wait()
 	}
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -106,21 +106,21 @@
 // New returns a ConnManager that serves at most limit connections of ln at a time, once Start is called.
 // The slots are divided between tenants, within quota; if quota is nil, they are not.
 func New(e *engine.Engine, proto Protocol, ln net.Listener, limit int, quota *Quota) *ConnManager {
-	s := &ConnManager{engine: e, protocol: proto, listener: ln, limiter: newConnLimiter(limit, quota), slots: make(chan struct{}, limit), conns: map[*clientConn]struct{}{},
+	m := &ConnManager{engine: e, protocol: proto, listener: ln, limiter: newConnLimiter(limit, quota), slots: make(chan struct{}, limit), conns: map[*clientConn]struct{}{},
 		readers: sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}}
-	s.advertised.Store(true)
-	return s
+	m.advertised.Store(true)
+	return m
 }
 
 // Start accepts connections until the listener is closed. Drain waits for all goroutines that it starts.
-func (s *ConnManager) Start() { s.wg.Go(s.acceptLoop) }
+func (m *ConnManager) Start() { m.wg.Go(m.acceptLoop) }
 
 // acceptLoop accepts connections until the listener is closed.
-func (s *ConnManager) acceptLoop() {
+func (m *ConnManager) acceptLoop() {
 	var gap acceptGap
 	for {
 		start := time.Now()
-		c, err := s.listener.Accept()
+		c, err := m.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -133,12 +133,12 @@
 			continue
 		}
 		arrived := gap.earliestArrival(start, time.Now())
-		slotWait := time.Now()
-		s.acquireSlot()
-		if now := time.Now(); now.Sub(slotWait) > immediateAcceptTime {
-			gap = acceptGap{slotWait, now}
+		waitStart := time.Now()
+		m.acquireSlot()
+		if now := time.Now(); now.Sub(waitStart) > immediateAcceptTime {
+			gap = acceptGap{waitStart, now}
 		}
-		s.serveConn(c, arrived)
+		m.serveConn(c, arrived)
 	}
 }
 
@@ -157,16 +157,16 @@
 
 // acquireSlot takes a slot for a connection. When all are taken, it evicts the connection that has been
 // idle for longest; if none is idle, it waits.
-func (s *ConnManager) acquireSlot() {
+func (m *ConnManager) acquireSlot() {
 	for {
 		select {
-		case s.slots <- struct{}{}:
+		case m.slots <- struct{}{}:
 			return
 		default:
 		}
-		s.evictIdle(evictionRule{tenant: unidentified})
+		m.evictIdle(evictionRule{tenant: unidentified})
 		select {
-		case s.slots <- struct{}{}:
+		case m.slots <- struct{}{}:
 			return
 		case <-time.After(10 * time.Millisecond): // its connection may have got a request just then
 		}
@@ -176,26 +176,26 @@
 // SetUsableShare limits connections to a share of the slots (0 to 1). It evicts idle connections and
 // returns when no more than that share is taken, or with an error when ctx ends. Not safe for concurrent
 // use.
-func (s *ConnManager) SetUsableShare(ctx context.Context, share float64) error {
-	reserve := int64(float64(cap(s.slots)) * (1 - share))
-	for s.reservedSlots.Load() > reserve {
-		<-s.slots
-		s.reservedSlots.Add(-1)
+func (m *ConnManager) SetUsableShare(ctx context.Context, share float64) error {
+	reserve := int64(float64(cap(m.slots)) * (1 - share))
+	for m.reservedSlots.Load() > reserve {
+		<-m.slots
+		m.reservedSlots.Add(-1)
 	}
-	for s.reservedSlots.Load() < reserve {
+	for m.reservedSlots.Load() < reserve {
 		select {
-		case s.slots <- struct{}{}:
-			s.reservedSlots.Add(1)
+		case m.slots <- struct{}{}:
+			m.reservedSlots.Add(1)
 			continue
 		default:
 		}
-		s.evictIdle(evictionRule{tenant: unidentified})
+		m.evictIdle(evictionRule{tenant: unidentified})
 		select {
-		case s.slots <- struct{}{}:
-			s.reservedSlots.Add(1)
+		case m.slots <- struct{}{}:
+			m.reservedSlots.Add(1)
 		case <-time.After(10 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("connection slots: %d still in use, limit %d: %w", int64(cap(s.slots))-s.reservedSlots.Load(), int64(cap(s.slots))-reserve, ctx.Err())
+			return fmt.Errorf("connection slots: %d still in use, limit %d: %w", int64(cap(m.slots))-m.reservedSlots.Load(), int64(cap(m.slots))-reserve, ctx.Err())
 		}
 	}
 	return nil
@@ -204,10 +204,10 @@
 // countActive counts a connection that has sent its first command. If more than half of the slots belong to
 // such connections, it evicts an idle one: clients that ask once and keep their connection would otherwise
 // hold all slots until the idle timeout, and leave none for new requests.
-func (s *ConnManager) countActive(c *clientConn) {
+func (m *ConnManager) countActive(c *clientConn) {
 	c.countedActive.Store(true)
-	if s.activeConns.Add(1) > (int64(cap(s.slots))-s.reservedSlots.Load())/2 {
-		s.evictIdle(evictionRule{tenant: unidentified, requireRest: true})
+	if m.activeConns.Add(1) > (int64(cap(m.slots))-m.reservedSlots.Load())/2 {
+		m.evictIdle(evictionRule{tenant: unidentified, requireRest: true})
 	}
 }
 
@@ -222,104 +222,104 @@
 const immediateAcceptTime = 2 * time.Millisecond
 
 // serveConn serves a connection that arrived at the given time.
-func (s *ConnManager) serveConn(nc net.Conn, arrived time.Time) {
-	r := s.readers.Get().(*bufio.Reader)
-	c := &clientConn{Conn: nc, manager: s, reader: r, idleSince: time.Now()}
+func (m *ConnManager) serveConn(nc net.Conn, arrived time.Time) {
+	r := m.readers.Get().(*bufio.Reader)
+	c := &clientConn{Conn: nc, manager: m, reader: r, idleSince: time.Now()}
 	r.Reset(c)
-	c.arrival.lastEmpty = s.engine.Now() - float64(time.Since(arrived))/float64(time.Millisecond)
+	c.arrival.lastEmpty = m.engine.Now() - float64(time.Since(arrived))/float64(time.Millisecond)
 	c.queueChanged.L = &c.mu
 	c.flushFunc, c.directWrite.writeFunc = c.flushAnswers, c.directWrite.write
 	if sc, ok := nc.(syscall.Conn); ok {
 		c.rawConn, _ = sc.SyscallConn() // nil if there is none
 	}
 	nc.SetReadDeadline(time.Now().Add(firstCommandTimeout))
-	s.mu.Lock()
-	s.conns[c] = struct{}{}
-	s.mu.Unlock()
-	if s.limiter.addUnidentified() {
-		s.evictIdle(evictionRule{tenant: unidentified, sameTenant: true, exclude: c})
+	m.mu.Lock()
+	m.conns[c] = struct{}{}
+	m.mu.Unlock()
+	if m.limiter.addUnidentified() {
+		m.evictIdle(evictionRule{tenant: unidentified, sameTenant: true, exclude: c})
 	}
-	s.wg.Go(func() {
+	m.wg.Go(func() {
 		if c.startSession() {
 			c.finish(c.readCommands())
 		} else {
 			c.Close()
 		}
 		if c.countedActive.Load() {
-			s.activeConns.Add(-1)
+			m.activeConns.Add(-1)
 		}
-		s.mu.Lock()
-		delete(s.conns, c)
+		m.mu.Lock()
+		delete(m.conns, c)
 		tenant := c.tenant
-		s.mu.Unlock()
-		s.limiter.remove(tenant)
+		m.mu.Unlock()
+		m.limiter.remove(tenant)
 		r.Reset(nil)
-		s.readers.Put(r)
-		<-s.slots
+		m.readers.Put(r)
+		<-m.slots
 	})
-	if s.draining.Load() {
+	if m.draining.Load() {
 		c.drain()
 	}
 }
 
 // Ready reports whether clients may be sent to this router: the engine is ready and the router is
 // advertised.
-func (s *ConnManager) Ready() bool { return s.engine.Ready() && s.advertised.Load() }
+func (m *ConnManager) Ready() bool { return m.engine.Ready() && m.advertised.Load() }
 
 // DrainRevoked closes the connections whose credentials have been revoked, once their open commands are
 // answered.
-func (s *ConnManager) DrainRevoked() {
-	s.mu.Lock()
+func (m *ConnManager) DrainRevoked() {
+	m.mu.Lock()
 	var revoked []*clientConn
-	for c := range s.conns {
+	for c := range m.conns {
 		if c.revoked() {
 			revoked = append(revoked, c)
 		}
 	}
-	s.mu.Unlock()
+	m.mu.Unlock()
 	for _, c := range revoked {
 		c.drain()
 	}
 }
 
-// SetAdvertised sets whether Ready may report true. Without stay, clients are redirected to another router
-// if the protocol can; commands that they send nevertheless are served.
-func (s *ConnManager) SetAdvertised(yes, stay bool) {
-	s.advertised.Store(yes)
-	s.protocol.Drain(!stay)
+// SetAdvertised sets whether Ready may report true. Without keepClients, clients are redirected to another
+// router if the protocol can; commands that they send nevertheless are served.
+func (m *ConnManager) SetAdvertised(advertised, keepClients bool) {
+	m.advertised.Store(advertised)
+	m.protocol.Drain(!keepClients)
 }
 
 // SetDraining starts or stops draining. While draining, each connection is closed once all its commands are
 // answered, and new ones after their first answer. Stopping does not affect connections that are already
 // closing.
-func (s *ConnManager) SetDraining(yes bool) {
-	if s.draining.Swap(yes) == yes || !yes {
+func (m *ConnManager) SetDraining(draining bool) {
+	if m.draining.Swap(draining) == draining || !draining {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for c := range m.conns {
 		c.drain()
 	}
 }
 
 // Drain starts draining and returns when all connections are closed. When ctx ends, it closes those that
 // remain.
-func (s *ConnManager) Drain(ctx context.Context) {
-	s.SetDraining(true)
+func (m *ConnManager) Drain(ctx context.Context) {
+	m.SetDraining(true)
 	closed := make(chan struct{})
 	go func() {
-		s.wg.Wait()
+		m.wg.Wait()
 		close(closed)
 	}()
 	select {
 	case <-closed:
 	case <-ctx.Done():
-		s.mu.Lock()
-		for c := range s.conns {
+		m.mu.Lock()
+		for c := range m.conns {
 			c.forceClose()
 		}
-		s.mu.Unlock()
+		m.mu.Unlock()
 		<-closed
 	}
 }
--- a/internal/front/meta/callers.go
+++ b/internal/front/meta/callers.go
@@ -86,8 +86,8 @@
 }
 
 // reject returns the answer to a request that is not accepted.
-func (s session) reject(in *bufio.Reader, cmd *meta.Command, reason caller.Reason, retryAfter float64, unknown bool) (front.Command, error) {
-	return s.skipValue(in, cmd, front.Command{Text: meta.NotTaken(reason.String(), retryAfter), Invalid: unknown, Delayed: reason == caller.Throttled})
+func (s session) reject(in *bufio.Reader, cmd *meta.Command, reason caller.Reason, retryAfter float64, invalid bool) (front.Command, error) {
+	return s.skipValue(in, cmd, front.Command{Text: meta.NotTaken(reason.String(), retryAfter), Invalid: invalid, Delayed: reason == caller.Throttled})
 }
 
 // skipValue reads and discards a command's value, so that the next command can be read, and returns answer.
--- a/internal/front/places.go
+++ b/internal/front/places.go
@@ -75,26 +75,26 @@
 }
 
 // addUnidentified counts a new connection and reports whether there are too many unidentified ones.
-func (p *connLimiter) addUnidentified() (crowded bool) {
-	if p == nil {
+func (l *connLimiter) addUnidentified() (crowded bool) {
+	if l == nil {
 		return false
 	}
-	p.quota.acquire(unidentified, true)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pool.Add(unidentified, 1)
-	return p.pool.OverLimit(unidentified, 0)
+	l.quota.acquire(unidentified, true)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.pool.Add(unidentified, 1)
+	return l.pool.OverLimit(unidentified, 0)
 }
 
 // remove counts a connection of a tenant less.
-func (p *connLimiter) remove(tenant string) {
-	if p == nil {
+func (l *connLimiter) remove(tenant string) {
+	if l == nil {
 		return
 	}
-	p.quota.release(tenant)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pool.Add(tenant, -1)
+	l.quota.release(tenant)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.pool.Add(tenant, -1)
 }
 
 // moveResult is the result of moving a connection to a tenant.
@@ -107,54 +107,54 @@
 )
 
 // moveConn counts a connection for another tenant, if its limits allow it or forced is set.
-func (p *connLimiter) moveConn(from, to string, forced bool) moveResult {
-	if !p.quota.acquire(to, forced) {
+func (l *connLimiter) moveConn(from, to string, forced bool) moveResult {
+	if !l.quota.acquire(to, forced) {
 		return quotaReached
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pool.Add(from, -1)
-	if !forced && to != unidentified && !p.pool.CanTake(to, 1, 0) {
-		p.pool.Add(from, 1)
-		p.quota.release(to)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.pool.Add(from, -1)
+	if !forced && to != unidentified && !l.pool.CanTake(to, 1, 0) {
+		l.pool.Add(from, 1)
+		l.quota.release(to)
 		return capacityReached
 	}
-	p.pool.Add(to, 1)
-	p.quota.release(from)
+	l.pool.Add(to, 1)
+	l.quota.release(from)
 	return moveOK
 }
 
 // chooseVictim chooses, among the tenants with an idle connection, the one to evict from in favor of a new
 // one of tenant to.
-func (p *connLimiter) chooseVictim(to string, idle []string) (victim string, ok bool) {
-	if p == nil { // all are one tenant
+func (l *connLimiter) chooseVictim(to string, idle []string) (victim string, ok bool) {
+	if l == nil { // all are one tenant
 		return unidentified, len(idle) > 0
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.pool.ChooseVictim(to, idle)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.pool.ChooseVictim(to, idle)
 }
 
 // assignTenant counts a connection for the tenant of its caller. If that tenant is at a limit, an idle
 // connection is evicted: one of its own if its quota is reached. ok is false if there is none; the
 // connection then stays counted as before. Only the reader of the connection calls it.
-func (s *ConnManager) assignTenant(c *clientConn) (ok bool) {
-	if s.limiter == nil {
+func (m *ConnManager) assignTenant(c *clientConn) (ok bool) {
+	if m.limiter == nil {
 		return true
 	}
 	tenant := c.session.Tenant()
 	if tenant == c.readerTenant {
 		return true
 	}
-	if result := s.limiter.moveConn(c.readerTenant, tenant, false); result != moveOK {
-		if !s.evictIdle(evictionRule{tenant: tenant, sameTenant: result == quotaReached, exclude: c}) {
+	if result := m.limiter.moveConn(c.readerTenant, tenant, false); result != moveOK {
+		if !m.evictIdle(evictionRule{tenant: tenant, sameTenant: result == quotaReached, exclude: c}) {
 			return false
 		}
-		s.limiter.moveConn(c.readerTenant, tenant, true) // the evicted connection is about to close
+		m.limiter.moveConn(c.readerTenant, tenant, true) // the evicted connection is about to close
 	}
-	s.mu.Lock()
+	m.mu.Lock()
 	c.tenant = tenant
-	s.mu.Unlock()
+	m.mu.Unlock()
 	c.readerTenant = tenant
 	return true
 }
@@ -169,14 +169,14 @@
 
 // evictIdle closes the connection that has been idle for longest, of the tenant chosen by the limiter.
 // Reports whether there was one.
-func (s *ConnManager) evictIdle(rule evictionRule) bool {
+func (m *ConnManager) evictIdle(rule evictionRule) bool {
 	type idleConn struct {
 		c     *clientConn
 		since time.Time
 	}
 	longest := map[string]idleConn{} // one per tenant with an idle connection
-	s.mu.Lock()
-	for c := range s.conns {
+	m.mu.Lock()
+	for c := range m.conns {
 		if c == rule.exclude || rule.sameTenant && c.tenant != rule.tenant {
 			continue
 		}
@@ -188,8 +188,8 @@
 			longest[c.tenant] = idleConn{c, since}
 		}
 	}
-	s.mu.Unlock()
-	victim, ok := s.limiter.chooseVictim(rule.tenant, slices.Collect(maps.Keys(longest)))
+	m.mu.Unlock()
+	victim, ok := m.limiter.chooseVictim(rule.tenant, slices.Collect(maps.Keys(longest)))
 	if ok {
 		longest[victim].c.closeIfIdle()
 	}
