--- a/internal/front/callers.go
+++ b/internal/front/callers.go
@@ -30,7 +30,7 @@
 // authentication.
 type ConnCaller struct {
 	authenticator Authenticator
-	RemoteAddr    string
+	RemoteAddr    string // network address of the client
 	state         atomic.Pointer[authState]
 }
 
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -60,7 +60,8 @@
 func (c *clientConn) openCommands() int { return len(c.queue) + c.answersInWrite }
 
 // startSession completes the TLS handshake, if any, creates the session and assigns the connection to its
-// tenant. The handshake counts towards firstCommandTimeout. Reports whether the connection may go on.
+// tenant. The handshake counts towards firstCommandTimeout, and no command is read before. Reports whether
+// the connection may go on.
 func (c *clientConn) startSession() bool {
 	peer := Peer{RemoteAddr: c.RemoteAddr().String()}
 	if tlsConn, ok := c.Conn.(*tls.Conn); ok {
