--- a/internal/front/answers.go
+++ b/internal/front/answers.go
@@ -173,7 +173,7 @@
 	for len(out) > 0 {
 		c.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 		_, err := out.WriteTo(c.Conn)
-		for end := time.Now().Add(bufferRetryTimeout); sock.Short(err) && time.Now().Before(end); {
+		for end := time.Now().Add(bufferRetryTimeout); sock.IsOutOfBuffers(err) && time.Now().Before(end); {
 			time.Sleep(bufferRetryInterval)
 			_, err = out.WriteTo(c.Conn)
 		}
--- a/internal/front/callers.go
+++ b/internal/front/callers.go
@@ -10,14 +10,14 @@
 // Authenticator identifies and authorizes callers. Its methods may be called from any goroutine and do not
 // block.
 type Authenticator interface {
-	Token(from, text string) (*caller.Pass, caller.Reason) // for a connection
-	Once(from, text string) (*caller.Pass, caller.Reason)  // for a single request
-	Secret(from, id string, secret []byte) (*caller.Pass, caller.Reason)
-	Certificate(from string, link *tls.ConnectionState) (*caller.Pass, caller.Reason)
-	Check(*caller.Pass) (*caller.Pass, caller.Reason) // returns the pass that now applies
-	Allow(from string, p *caller.Pass, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason)
-	Withdrawn(from string, p *caller.Pass, reason caller.Reason) // audits a revoked pass
-	Refused(from string, p *caller.Pass, reason caller.Reason)   // audits a rejected request
+	Token(from, text string) (*caller.Identity, caller.Reason) // for a connection
+	Once(from, text string) (*caller.Identity, caller.Reason)  // for a single request
+	Secret(from, id string, secret []byte) (*caller.Identity, caller.Reason)
+	Certificate(from string, link *tls.ConnectionState) (*caller.Identity, caller.Reason)
+	Check(*caller.Identity) (*caller.Identity, caller.Reason) // returns the pass that now applies
+	Allow(from string, p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason)
+	Withdrawn(from string, p *caller.Identity, reason caller.Reason) // audits a revoked pass
+	Refused(from string, p *caller.Identity, reason caller.Reason)   // audits a rejected request
 }
 
 // Peer describes the remote end of a connection.
@@ -36,7 +36,7 @@
 
 // authState is a pass, or the reason why there is none, and whether an earlier one was revoked.
 type authState struct {
-	pass    *caller.Pass
+	pass    *caller.Identity
 	reason  caller.Reason
 	revoked bool
 }
@@ -55,7 +55,7 @@
 
 // Pass returns the pass that now applies to the connection, or the reason why there is none. It does not
 // allocate while the pass remains valid.
-func (c *ConnCaller) Pass() (*caller.Pass, caller.Reason) {
+func (c *ConnCaller) Pass() (*caller.Identity, caller.Reason) {
 	s := c.state.Load()
 	if s.pass == nil {
 		return nil, s.reason
@@ -105,7 +105,7 @@
 	return c.storeLogin(c.authenticator.Secret(c.RemoteAddr, id, secret))
 }
 
-func (c *ConnCaller) storeLogin(p *caller.Pass, reason caller.Reason) caller.Reason {
+func (c *ConnCaller) storeLogin(p *caller.Identity, reason caller.Reason) caller.Reason {
 	if reason == caller.None {
 		c.state.Store(&authState{pass: p})
 	}
@@ -113,17 +113,17 @@
 }
 
 // AuthenticateRequest returns the pass for a single request that carries its own token.
-func (c *ConnCaller) AuthenticateRequest(text string) (*caller.Pass, caller.Reason) {
+func (c *ConnCaller) AuthenticateRequest(text string) (*caller.Identity, caller.Reason) {
 	return c.authenticator.Once(c.RemoteAddr, text)
 }
 
 // Allow reports whether the caller may make a request for the key; caller.None means yes. Otherwise
 // retryAfter is the delay, in ms, after which a retry may be allowed, if it is not 0.
-func (c *ConnCaller) Allow(p *caller.Pass, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
+func (c *ConnCaller) Allow(p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
 	return c.authenticator.Allow(c.RemoteAddr, p, class, key, access)
 }
 
 // ReportRefused reports a rejected request to the audit log.
-func (c *ConnCaller) ReportRefused(p *caller.Pass, reason caller.Reason) {
+func (c *ConnCaller) ReportRefused(p *caller.Identity, reason caller.Reason) {
 	c.authenticator.Refused(c.RemoteAddr, p, reason)
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -165,7 +165,7 @@
 	c.mu.Lock()
 	expired := !c.dropped && c.acceptsNoMore()
 	c.mu.Unlock()
-	return !expired && sock.Waiting(c.Conn)
+	return !expired && sock.HasInput(c.Conn)
 }
 
 // closeIfIdle closes the connection at once if no command is open; one that is only partly read does not
@@ -196,7 +196,7 @@
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.arrival.readStarted(c.manager.engine.Now())
 	n, err := c.Conn.Read(b)
-	for end := time.Now().Add(bufferRetryTimeout); n <= 0 && sock.Short(err) && time.Now().Before(end); {
+	for end := time.Now().Add(bufferRetryTimeout); n <= 0 && sock.IsOutOfBuffers(err) && time.Now().Before(end); {
 		time.Sleep(bufferRetryInterval)
 		n, err = c.Conn.Read(b)
 	}
@@ -227,7 +227,7 @@
 		return false
 	// Input that has already arrived is answered.
 	case c.closing && (c.openCommands() == 0 || c.acceptsNoMore()):
-		return c.reader.Buffered() > 0 || !c.acceptsNoMore() && sock.Waiting(c.Conn)
+		return c.reader.Buffered() > 0 || !c.acceptsNoMore() && sock.HasInput(c.Conn)
 	case c.openCommands() > 0:
 		c.SetReadDeadline(time.Time{})
 	default:
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -126,7 +126,7 @@
 				return
 			}
 			slog.Warn("accept failed", "err", err)
-			if !sock.Pending(err) {
+			if !sock.IsPendingConnError(err) {
 				time.Sleep(acceptRetryDelay)
 				gap = acceptGap{start, time.Now()}
 			}
--- a/internal/front/meta/callers.go
+++ b/internal/front/meta/callers.go
@@ -21,7 +21,7 @@
 		reason = s.connCaller.LoginSecret(args[1], []byte(args[2]))
 	}
 	if reason != caller.None {
-		return front.Command{Text: meta.NotTaken(reason.String(), 0), Invalid: true, Delayed: reason == caller.Throttled, End: reason == caller.Throttled}
+		return front.Command{Text: meta.ClientError(reason.String(), 0), Invalid: true, Delayed: reason == caller.Throttled, End: reason == caller.Throttled}
 	}
 	return front.Command{Text: []byte("HD\r\n")}
 }
@@ -47,15 +47,15 @@
 	}
 	key, err := s.protocol.ServerKey(pass, cmd.Key)
 	if err != nil {
-		return s.skipValue(in, &cmd, front.Command{Text: meta.NotTaken(err.Error(), 0)})
+		return s.skipValue(in, &cmd, front.Command{Text: meta.ClientError(err.Error(), 0)})
 	}
 	id := cmd.ID
-	idempotencyKey := cmd.Idem
+	idempotencyKey := cmd.IdempotencyKey
 	if idempotencyKey != "" {
 		idempotencyKey = pass.Space.ID(idempotencyKey, meta.MaxID)
 	}
 	cmd.Key, cmd.ID = key, pass.Space.ID(id, meta.MaxID)
-	cmd.Restate(pass.Tenant.Name, idempotencyKey)
+	cmd.RewriteFacts(pass.Tenant.Name, idempotencyKey)
 	return s.readRequest(in, e, cmd, pass.Tenant.Generation, func(q *engine.Request, a engine.Answer) []byte { return renderWithID(id, q, a) })
 }
 
@@ -63,11 +63,11 @@
 func (s session) Tenant() string { return s.connCaller.Tenant() }
 
 // TooManyConnections implements front.Session.
-func (session) TooManyConnections() []byte { return meta.NotTaken(caller.Connections.String(), 0) }
+func (session) TooManyConnections() []byte { return meta.ClientError(caller.Connections.String(), 0) }
 
 // authenticate returns the caller of a request, by the token of the request itself or else by the
 // connection.
-func (s session) authenticate(cmd *meta.Command) (*caller.Pass, caller.Reason) {
+func (s session) authenticate(cmd *meta.Command) (*caller.Identity, caller.Reason) {
 	if cmd.Auth != "" {
 		return s.connCaller.AuthenticateRequest(cmd.Auth)
 	}
@@ -87,7 +87,7 @@
 
 // reject returns the answer to a request that is not accepted.
 func (s session) reject(in *bufio.Reader, cmd *meta.Command, reason caller.Reason, retryAfter float64, invalid bool) (front.Command, error) {
-	return s.skipValue(in, cmd, front.Command{Text: meta.NotTaken(reason.String(), retryAfter), Invalid: invalid, Delayed: reason == caller.Throttled})
+	return s.skipValue(in, cmd, front.Command{Text: meta.ClientError(reason.String(), retryAfter), Invalid: invalid, Delayed: reason == caller.Throttled})
 }
 
 // skipValue reads and discards a command's value, so that the next command can be read, and returns answer.
@@ -105,9 +105,9 @@
 	if a.Result == engine.Served && a.Content == nil {
 		switch {
 		case a.Absent:
-			return meta.Absent(id)
+			return meta.NotFound(id)
 		case a.Streamed != nil:
-			return meta.ServedHead(id, a.Streamed.Len())
+			return meta.ServedHeader(id, a.Streamed.Len())
 		}
 		return meta.Served(q.Write, id, a.Body)
 	}
--- a/internal/front/meta/meta.go
+++ b/internal/front/meta/meta.go
@@ -21,7 +21,7 @@
 	// Callers authenticates callers; nil = no authentication, and the commands name the tenant themselves.
 	Callers front.Authenticator
 	// ServerKey maps a key of a caller to the key that servers use; the error states how long it may be.
-	ServerKey func(p *caller.Pass, key string) (string, error)
+	ServerKey func(p *caller.Identity, key string) (string, error)
 }
 
 // Session implements front.Protocol.
@@ -65,7 +65,7 @@
 		return s.readRequest(in, e, cmd, 0, render)
 	case "auth":
 		if s.connCaller != nil {
-			return s.login(cmd.Words), nil
+			return s.login(cmd.Args), nil
 		}
 	case "mn": // clients use the router after MN, so it must be able to serve
 		if ready() {
@@ -115,7 +115,7 @@
 	switch {
 	case !ok:
 		return meta.Malformed("class %.40q", cmd.Class)
-	case c.Effect == decide.Keyed && cmd.Idem == "":
+	case c.Effect == decide.Keyed && cmd.IdempotencyKey == "":
 		return meta.Malformed("class %s takes k", cmd.Class)
 	case c.Effect == decide.Keyed && s.protocol.Owners != nil:
 		return meta.Malformed("class %s: the servers of this pool drop no repeats", cmd.Class)
@@ -129,9 +129,9 @@
 	case engine.Served:
 		switch {
 		case a.Absent:
-			return meta.Absent(q.ID)
+			return meta.NotFound(q.ID)
 		case a.Streamed != nil:
-			return meta.ServedHead(q.ID, a.Streamed.Len())
+			return meta.ServedHeader(q.ID, a.Streamed.Len())
 		case a.Content != nil: // this protocol cannot express it
 			return meta.Failure()
 		}
--- a/internal/router/callers.go
+++ b/internal/router/callers.go
@@ -41,22 +41,22 @@
 
 // keys gives a caller's keys as the servers of the pool know them: in the space of its tenant, and where servers own slots in the
 // slot that the caller counts. The longest is that of the meta dialect, as clients of both may come to one pool.
-func (s Setup) keys() func(p *caller.Pass, key string) (string, error) {
+func (s Setup) keys() func(p *caller.Identity, key string) (string, error) {
 	if s.cluster == nil {
-		return func(p *caller.Pass, key string) (string, error) {
+		return func(p *caller.Identity, key string) (string, error) {
 			if err := tenant.CheckPath(key); err != nil { // it is the origin's path too
 				return "", err
 			}
-			return p.Space.Key(key, protocol.MaxKey)
+			return p.Space.ServerKey(key, protocol.MaxKey)
 		}
 	}
-	tags, origin := slots.NewTags(), s.RESP.Origin != ""
-	return func(p *caller.Pass, key string) (string, error) {
+	tags, origin := slots.NewHashTags(), s.RESP.Origin != ""
+	return func(p *caller.Identity, key string) (string, error) {
 		if origin {
 			if err := tenant.CheckPath(key); err != nil {
 				return "", err
 			}
 		}
-		return p.Space.SlotKey(key, tags.Of(slots.Of([]byte(key))), protocol.MaxKey)
+		return p.Space.SlotKey(key, tags.ForSlot(slots.ForKey([]byte(key))), protocol.MaxKey)
 	}
 }
