--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -127,7 +127,7 @@
 			port := uint16(ln.Addr().(*net.TCPAddr).Port)
 			wg.Go(func() { cfg.Doors.follow(work, cfg.Pool, port, p, rs.ready) })
 		} else {
-			wg.Go(func() { p.Follow(work, logTo(cfg.Name)) })
+			wg.Go(func() { p.PollPeers(work, logTo(cfg.Name)) })
 		}
 	}
 	if cfg.Gate != nil {
@@ -330,9 +330,9 @@
 		return s.metaClients()
 	}
 	r := s.RESP
-	c := resp.Config{Read: r.Read, Write: r.Write, Tenant: r.Tenant, Peers: r.Peers, Me: s.Checked.Config.Me, Owners: s.cluster.Owners}
+	c := resp.Config{ReadClass: r.Read, WriteClass: r.Write, DefaultTenant: r.Tenant, Peers: r.Peers, Self: s.Checked.Config.Me, Owners: s.cluster.Owners}
 	if r.Fleet {
-		c.Name, addr = r.FleetName, net.JoinHostPort(r.FleetHost, portOf(addr))
+		c.RouterName, addr = r.FleetName, net.JoinHostPort(r.FleetHost, portOf(addr))
 	}
 	for _, x := range r.Rules {
 		c.Rules = append(c.Rules, resp.Rule(x))
@@ -341,7 +341,7 @@
 		c.Logins = append(c.Logins, resp.Login(x))
 	}
 	if s.Gate != nil {
-		c.Callers, c.Key = s.Gate, s.keys()
+		c.Callers, c.ServerKey = s.Gate, s.keys()
 	}
 	return resp.New(c, addr)
 }
