--- a/internal/front/resp/callers.go
+++ b/internal/front/resp/callers.go
@@ -8,16 +8,17 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// tokenUser is the user of AUTH whose password is a token; any other is the id of a key, whose secret the password is.
+// tokenUser is the AUTH user name whose password is a token. Any other user name is a key ID, and the
+// password is that key's secret.
 const tokenUser = "token"
 
-// maxIdempotencyIDBytes bounds the part of a request's id that its idempotency key makes.
+// maxIdempotencyIDBytes limits the part of a request ID that is derived from its idempotency key.
 const maxIdempotencyIDBytes = 128
 
-// allowedBeforeLogin are the commands that a connection may send before its caller is known.
+// allowedBeforeLogin holds the commands that a connection may send before its caller is authenticated.
 var allowedBeforeLogin = map[string]bool{"AUTH": true, "HELLO": true, "PING": true, "QUIT": true}
 
-// DefaultTenant is front.Session's.
+// Tenant implements front.Session.
 func (s *session) Tenant() string {
 	switch {
 	case s.guest != nil:
@@ -28,45 +29,48 @@
 	return ""
 }
 
-// Crowded is front.Session's, in the words that clients know.
+// Crowded implements front.Session with the error text that Redis clients recognize.
 func (*session) Crowded() []byte {
 	return resp.AppendError(nil, "ERR max number of clients reached: "+caller.Connections.String())
 }
 
-// authenticate logs the connection in, or leaves it as it was.
+// authenticate logs the connection in with a token or a key's secret. On failure the login state is
+// unchanged.
 func (s *session) authenticate(user, password []byte) caller.Reason {
-	why := caller.None
+	reason := caller.None
 	if string(user) == tokenUser {
-		why = s.guest.Token(string(password))
+		reason = s.guest.Token(string(password))
 	} else {
-		why = s.guest.Secret(string(user), password)
+		reason = s.guest.Secret(string(user), password)
 	}
-	s.throttled = why == caller.Throttled
-	return why
+	s.throttled = reason == caller.Throttled
+	return reason
 }
 
-// wrongPassReply is the answer to a login that failed: the word that clients know, and the reason by its stable name.
-func wrongPassReply(why caller.Reason) []byte {
-	return resp.AppendError(nil, "WRONGPASS invalid username-password pair or user is disabled: "+why.String())
+// wrongPassReply returns the error for a failed login: the WRONGPASS error that clients recognize, followed
+// by the stable name of the reason.
+func wrongPassReply(reason caller.Reason) []byte {
+	return resp.AppendError(nil, "WRONGPASS invalid username-password pair or user is disabled: "+reason.String())
 }
 
-// noAuthReply is the answer to a command of a connection whose caller is not known, or no longer. Those of a connection that never had one
-// count towards the few that it may send.
-func noAuthReply(why caller.Reason) front.Command {
-	if why == caller.NoCaller {
+// noAuthReply returns the error for a command on a connection whose caller is unknown or no longer valid.
+// Commands on a connection that never had a caller count towards the limit on unknown commands.
+func noAuthReply(reason caller.Reason) front.Command {
+	if reason == caller.NoCaller {
 		return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required."), Unknown: true}
 	}
-	return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required: "+why.String())}
+	return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required: "+reason.String())}
 }
 
-// authorizeKeys gives a command's words with the caller's keys as servers know them, or the answer where the caller may not send it.
-func (s *session) authorizeKeys(pass *caller.Pass, c *commandSpec, args [][]byte, class string) (out [][]byte, refused []byte) {
-	access := c.access(args)
+// authorizeKeys returns the arguments with the caller's keys translated to server keys, or an error reply
+// if the caller may not access one of them.
+func (s *session) authorizeKeys(pass *caller.Pass, spec *commandSpec, args [][]byte, class string) (out [][]byte, errorReply []byte) {
+	access := spec.access(args)
 	out = append(make([][]byte, 0, len(args)), args...)
-	for _, i := range c.keyPositions(args) {
+	for _, i := range spec.keyPositions(args) {
 		key := string(args[i])
-		if again, why := s.guest.Allow(pass, class, key, access); why != caller.None {
-			return nil, noPermReply(why, again)
+		if retryAfterMS, reason := s.guest.Allow(pass, class, key, access); reason != caller.None {
+			return nil, noPermReply(reason, retryAfterMS)
 		}
 		name, err := s.protocol.cfg.ServerKey(pass, key)
 		if err != nil {
@@ -77,10 +81,10 @@
 	return out, nil
 }
 
-// noPermReply is the answer to a command that its caller may not send: it has not run.
-func noPermReply(why caller.Reason, again float64) []byte {
-	if again >= 1 {
-		return resp.AppendError(nil, fmt.Sprintf("NOPERM %s, come again after %d ms", why, int64(again)))
+// noPermReply returns the error for a command that the caller may not send. The command has not run.
+func noPermReply(reason caller.Reason, retryAfterMS float64) []byte {
+	if retryAfterMS >= 1 {
+		return resp.AppendError(nil, fmt.Sprintf("NOPERM %s, come again after %d ms", reason, int64(retryAfterMS)))
 	}
-	return resp.AppendError(nil, "NOPERM "+why.String())
+	return resp.AppendError(nil, "NOPERM "+reason.String())
 }
--- a/internal/front/resp/commands.go
+++ b/internal/front/resp/commands.go
@@ -8,18 +8,19 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// commandSpec is what is known of a command: as COMMAND tells it, and how safe it is to repeat.
+// commandSpec describes a command: what COMMAND reports about it and whether it is safe to repeat.
 type commandSpec struct {
 	name                       string
-	arity                      int // words with the name; below 0: at least so many
-	firstKey, lastKey, keyStep int // places of the keys
+	arity                      int // number of arguments including the name; negative: the minimum
+	firstKey, lastKey, keyStep int // positions of the keys, as in COMMAND
 	write                      bool
-	repeatable                 bool // running it twice leaves what running it once does, and answers the same
+	repeatable                 bool // running it twice has the same effect and reply as running it once
 	handler                    func(s *session, args [][]byte) []byte
 }
 
-// commandSpecs are the commands that are taken, by name in capitals. Writes that are repeatable answer alike the second time:
-// SET without options and MSET do, DEL does not (it answers how many there were), INCR and APPEND never do.
+// commandSpecs holds the supported commands by upper-case name. A repeatable write gives the same reply the
+// second time: SET without options and MSET do; DEL does not, because it returns how many keys existed;
+// INCR and APPEND never do.
 var commandSpecs = map[string]*commandSpec{}
 
 func defineCommands(names string, arity, first, last, step int, write, repeatable bool) {
@@ -28,10 +29,10 @@
 	}
 }
 
-func init() { // a table: Go has no constant maps
+func init() { // fills the table, as Go has no constant maps
 	defineCommands("GET STRLEN TTL PTTL EXPIRETIME PEXPIRETIME", 2, 1, 1, 1, false, true)
 	defineCommands("MGET EXISTS", -2, 1, -1, 1, false, true)
-	defineCommands("SET", -3, 1, 1, 1, true, true) // with options it may not be: see repeatable
+	defineCommands("SET", -3, 1, 1, 1, true, true) // not with every option: see isRepeatable
 	defineCommands("MSET", -3, 1, -1, 2, true, true)
 	defineCommands("SETEX PSETEX", 4, 1, 1, 1, true, true)
 	defineCommands("SETNX GETSET APPEND INCRBY DECRBY INCRBYFLOAT", 3, 1, 1, 1, true, false)
@@ -47,23 +48,23 @@
 	commandSpecs["CLUSTER"].arity, commandSpecs["CLIENT"].arity = -2, -2
 }
 
-// unsupportedCommands are commands that are known and not taken, and why.
+// unsupportedCommands maps the names of known but unsupported commands to their error replies.
 var unsupportedCommands = map[string]string{}
 
-func init() { // as above
-	for names, why := range map[string]string{
+func init() { // fills the table, as Go has no constant maps
+	for names, reason := range map[string]string{
 		"MULTI EXEC DISCARD WATCH UNWATCH":                                                            "transactions are not taken: a router can't hold several commands together",
 		"EVAL EVALSHA EVAL_RO EVALSHA_RO FCALL FCALL_RO SCRIPT FUNCTION":                              "scripts are not taken: nobody can tell what running one twice does",
 		"SUBSCRIBE PSUBSCRIBE SSUBSCRIBE UNSUBSCRIBE PUNSUBSCRIBE SUNSUBSCRIBE PUBLISH SPUBLISH":      "subscriptions are not taken: connect to a server for them",
 		"BLPOP BRPOP BLMOVE BLMPOP BZPOPMIN BZPOPMAX BZMPOP BRPOPLPUSH XREAD XREADGROUP WAIT MONITOR": "blocking commands are not taken: each request has a deadline",
 	} {
 		for n := range strings.FieldsSeq(names) {
-			unsupportedCommands[n] = "ERR " + n + ": " + why
+			unsupportedCommands[n] = "ERR " + n + ": " + reason
 		}
 	}
 }
 
-// keyPositions are where the keys stand among a command's words.
+// keyPositions returns the indexes of the keys in the command's arguments.
 func (c *commandSpec) keyPositions(args [][]byte) (out []int) {
 	last := c.lastKey
 	if last < 0 {
@@ -75,7 +76,7 @@
 	return out
 }
 
-// keys are a command's keys.
+// keys returns the keys in the command's arguments.
 func (c *commandSpec) keys(args [][]byte) (out [][]byte) {
 	for _, i := range c.keyPositions(args) {
 		out = append(out, args[i])
@@ -83,7 +84,8 @@
 	return out
 }
 
-// access is what a command does with its keys. Some writes tell what was there, so they are reads too.
+// access returns how the command accesses its keys. Writes that return the previous or resulting value also
+// need read access.
 func (c *commandSpec) access(args [][]byte) caller.Access {
 	switch {
 	case !c.write:
@@ -100,12 +102,12 @@
 	return caller.Write
 }
 
-// isRepeatable says whether a command with these words may run twice.
+// isRepeatable reports whether the command with these arguments may run twice.
 func (c *commandSpec) isRepeatable(args [][]byte) bool {
 	if c.name != "SET" {
 		return c.repeatable
 	}
-	for _, a := range args[3:] { // NX, XX and GET answer otherwise the second time; EX and the like don't
+	for _, a := range args[3:] { // NX, XX and GET reply differently the second time; EX and similar options do not
 		switch strings.ToUpper(string(a)) {
 		case "NX", "XX", "GET":
 			return false
@@ -114,7 +116,8 @@
 	return true
 }
 
-// appendCommandSpec writes an entry of COMMAND's answer: name, arity, flags, first, last, step, and what is empty here.
+// appendCommandSpec appends one entry of the COMMAND reply: name, arity, flags, first key, last key, step,
+// and four lists that are always empty.
 func appendCommandSpec(b []byte, c *commandSpec) []byte {
 	flags := []string{"fast"}
 	switch {
@@ -131,7 +134,7 @@
 		b = resp.AppendSimple(b, f)
 	}
 	b = resp.AppendInt(resp.AppendInt(resp.AppendInt(b, int64(c.firstKey)), int64(c.lastKey)), int64(c.keyStep))
-	for range 4 { // categories, tips, key specifications, subcommands
+	for range 4 { // ACL categories, tips, key specifications, subcommands
 		b = resp.AppendArray(b, 0)
 	}
 	return b
--- a/internal/front/resp/local.go
+++ b/internal/front/resp/local.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"crypto/sha1" //nolint:gosec // names of nodes, no secrets
+	"crypto/sha1" //nolint:gosec // used for node IDs, not for security
 
 	"mossproxy.example/mossproxy/internal/proto/resp"
 	"mossproxy.example/mossproxy/internal/pure/caller"
@@ -17,7 +17,7 @@
 	"mossproxy.example/mossproxy/internal/pure/tier"
 )
 
-// The commands that the router answers itself.
+// The commands that the router answers without a server.
 
 func replyOK(*session, [][]byte) []byte { return resp.AppendSimple(nil, "OK") }
 
@@ -30,7 +30,7 @@
 
 func handleEcho(_ *session, args [][]byte) []byte { return resp.AppendBulk(nil, args[1]) }
 
-// handleAsking lets the next command be for a slot of another router.
+// handleAsking lets the next command address a slot of another router.
 func handleAsking(s *session, _ [][]byte) []byte {
 	s.asking = true
 	return resp.AppendSimple(nil, "OK")
@@ -45,7 +45,7 @@
 
 var wrongPassError = resp.AppendError(nil, "WRONGPASS invalid username-password pair or user is disabled.")
 
-// handleAuth logs in: AUTH PASSWORD or AUTH USER PASSWORD. A wrong one leaves the connection as it was.
+// handleAuth handles AUTH PASSWORD and AUTH USER PASSWORD. On failure the login state is unchanged.
 func handleAuth(s *session, args [][]byte) []byte {
 	user, password := []byte("default"), args[len(args)-1]
 	switch {
@@ -55,8 +55,8 @@
 		user = args[1]
 	}
 	if s.guest != nil {
-		if why := s.authenticate(user, password); why != caller.None {
-			return wrongPassReply(why)
+		if reason := s.authenticate(user, password); reason != caller.None {
+			return wrongPassReply(reason)
 		}
 		return resp.AppendSimple(nil, "OK")
 	}
@@ -71,12 +71,12 @@
 	return resp.AppendSimple(nil, "OK")
 }
 
-// handleHello is HELLO [2|3 [AUTH user password] [SETNAME name]].
+// handleHello handles HELLO [2|3 [AUTH user password] [SETNAME name]].
 func handleHello(s *session, args [][]byte) []byte {
 	proto, tenant, in, name := s.respVersion, s.tenant, s.loggedIn, s.name
 	if s.guest != nil {
-		_, why := s.guest.Pass()
-		in = why == caller.None
+		_, reason := s.guest.Pass()
+		in = reason == caller.None
 	}
 	if len(args) > 1 {
 		n, err := strconv.Atoi(string(args[1]))
@@ -90,8 +90,8 @@
 		case word == "AUTH" && i+2 < len(args):
 			switch {
 			case s.guest != nil:
-				if why := s.authenticate(args[i+1], args[i+2]); why != caller.None {
-					return wrongPassReply(why)
+				if reason := s.authenticate(args[i+1], args[i+2]); reason != caller.None {
+					return wrongPassReply(reason)
 				}
 				in = true
 			case len(s.protocol.cfg.Logins) > 0:
@@ -115,7 +115,7 @@
 	if !in {
 		return resp.AppendError(nil, "NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time")
 	}
-	if s.guest != nil { // its pass says who it is, and whether it still does
+	if s.guest != nil { // the pass identifies the caller and tells whether it is still valid
 		in = true
 	}
 	s.respVersion, s.tenant, s.loggedIn, s.name = proto, tenant, in, name
@@ -136,19 +136,19 @@
 	return b
 }
 
-// redisVersion is the version of the dialect that is spoken: clients switch on it.
+// redisVersion is the Redis version that the router reports. Clients enable features according to it.
 const redisVersion = "7.0.0"
 
 var invalidNameError = resp.AppendError(nil, "ERR Client names cannot contain spaces, newlines or special characters.")
 
-// maxClientNameBytes bounds what a client may call itself.
+// maxClientNameBytes limits the name that a client may set.
 const maxClientNameBytes = 64
 
 func isValidClientName(n []byte) bool {
 	return len(n) <= maxClientNameBytes && !bytes.ContainsFunc(n, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// handleClient is CLIENT: what names and describes a connection.
+// handleClient handles the CLIENT subcommands that name and describe a connection.
 func handleClient(s *session, args [][]byte) []byte {
 	switch sub := strings.ToUpper(string(args[1])); {
 	case sub == "SETNAME" && len(args) == 3:
@@ -172,7 +172,7 @@
 	return resp.AppendError(nil, "ERR CLIENT "+printable(args[1])+" is not taken here; SETNAME, GETNAME, ID, INFO, SETINFO, NO-EVICT and NO-TOUCH are")
 }
 
-// handleCommand is COMMAND, COMMAND COUNT, INFO, GETKEYS and DOCS.
+// handleCommand handles COMMAND and its subcommands COUNT, INFO, GETKEYS and DOCS.
 func handleCommand(s *session, args [][]byte) []byte {
 	names := make([]string, 0, len(commandSpecs))
 	for n := range commandSpecs {
@@ -230,10 +230,11 @@
 	return resp.AppendBulk(nil, []byte("# Server\r\nredis_version:"+redisVersion+"\r\nredis_mode:cluster\r\nserver_name:cottonyoke\r\n# Replication\r\nrole:master\r\n# Cluster\r\ncluster_enabled:1\r\n"))
 }
 
-// nodeID is the name of a router, the same at all of them.
+// nodeID returns the cluster node ID of a router. It depends only on the address, so all routers compute
+// the same ID.
 func nodeID(addr string) string { return fmt.Sprintf("%x", sha1.Sum([]byte(addr))) }
 
-// routerRanges is one router of the tier with the runs of slots that it serves now.
+// routerRanges is a router of the tier with the slot ranges that it currently serves.
 type routerRanges struct {
 	index      int
 	isSelf     bool
@@ -242,33 +243,33 @@
 	ranges     [][2]int
 }
 
-// routerSlots are the routers of the tier, by number.
+// routerSlots returns all routers of the tier, by number, with the slot ranges that each serves.
 func (p *Protocol) routerSlots() (out []routerRanges) {
-	now := p.peers.assignment.Load()
-	n := len(now.ServedBy)
-	for i, addr := range now.Routers {
+	assignment := p.peers.assignment.Load()
+	n := len(assignment.ServedBy)
+	for i, addr := range assignment.Routers {
 		host, port, _ := net.SplitHostPort(addr)
-		num, _ := strconv.ParseInt(port, 10, 64)
-		m := routerRanges{index: i, isSelf: i == now.Self, addr: addr, host: host, port: num}
-		for _, home := range tier.PartitionsOf(now.ServedBy, i) {
-			run := [2]int{(home*slots.Count + n - 1) / n, ((home+1)*slots.Count+n-1)/n - 1}
-			if last := len(m.ranges) - 1; last >= 0 && m.ranges[last][1]+1 == run[0] {
-				m.ranges[last][1] = run[1]
+		portNumber, _ := strconv.ParseInt(port, 10, 64)
+		entry := routerRanges{index: i, isSelf: i == assignment.Self, addr: addr, host: host, port: portNumber}
+		for _, partition := range tier.PartitionsOf(assignment.ServedBy, i) {
+			run := [2]int{(partition*slots.Count + n - 1) / n, ((partition+1)*slots.Count+n-1)/n - 1}
+			if last := len(entry.ranges) - 1; last >= 0 && entry.ranges[last][1]+1 == run[0] {
+				entry.ranges[last][1] = run[1]
 			} else {
-				m.ranges = append(m.ranges, run)
+				entry.ranges = append(entry.ranges, run)
 			}
 		}
-		out = append(out, m)
+		out = append(out, entry)
 	}
 	return out
 }
 
-// servingRouters are the routers that serve any slots.
+// servingRouters returns the routers that serve at least one slot.
 func (p *Protocol) servingRouters() []routerRanges {
 	return slices.DeleteFunc(p.routerSlots(), func(n routerRanges) bool { return len(n.ranges) == 0 })
 }
 
-// handleCluster is CLUSTER: the routers as a cluster.
+// handleCluster handles the CLUSTER subcommands, which present the routers as the nodes of a cluster.
 func handleCluster(s *session, args [][]byte) []byte {
 	p := s.protocol
 	switch sub := strings.ToUpper(string(args[1])); {
@@ -279,14 +280,14 @@
 	case sub == "NODES":
 		return resp.AppendBulk(nil, p.clusterNodes())
 	case sub == "INFO":
-		now := p.peers.assignment.Load()
-		epoch := 1 + now.Version
+		assignment := p.peers.assignment.Load()
+		epoch := 1 + assignment.Version
 		return resp.AppendBulk(nil, fmt.Appendf(nil, "cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:%d\r\ncluster_slots_ok:%d\r\n"+
 			"cluster_slots_pfail:0\r\ncluster_slots_fail:0\r\ncluster_known_nodes:%d\r\ncluster_size:%d\r\ncluster_current_epoch:%d\r\ncluster_my_epoch:%d\r\n",
-			slots.Count, slots.Count, len(now.Routers), len(p.servingRouters()), epoch, epoch))
+			slots.Count, slots.Count, len(assignment.Routers), len(p.servingRouters()), epoch, epoch))
 	case sub == "MYID":
-		now := p.peers.assignment.Load()
-		return resp.AppendBulk(nil, []byte(nodeID(now.Routers[now.Self])))
+		assignment := p.peers.assignment.Load()
+		return resp.AppendBulk(nil, []byte(nodeID(assignment.Routers[assignment.Self])))
 	case sub == "KEYSLOT" && len(args) == 3:
 		return resp.AppendInt(nil, int64(slots.Of(args[2])))
 	}
@@ -294,19 +295,19 @@
 }
 
 func (p *Protocol) clusterSlots() []byte {
-	type run struct {
+	type ownedRange struct {
 		routerRanges
 		from, to int
 	}
-	var runs []run
+	var ranges []ownedRange
 	for _, n := range p.routerSlots() {
 		for _, r := range n.ranges {
-			runs = append(runs, run{n, r[0], r[1]})
+			ranges = append(ranges, ownedRange{n, r[0], r[1]})
 		}
 	}
-	slices.SortFunc(runs, func(a, b run) int { return a.from - b.from })
-	b := resp.AppendArray(nil, len(runs))
-	for _, n := range runs {
+	slices.SortFunc(ranges, func(a, b ownedRange) int { return a.from - b.from })
+	b := resp.AppendArray(nil, len(ranges))
+	for _, n := range ranges {
 		b = resp.AppendInt(resp.AppendInt(resp.AppendArray(b, 3), int64(n.from)), int64(n.to))
 		b = resp.AppendBulk(resp.AppendInt(resp.AppendBulk(resp.AppendArray(b, 3), []byte(n.host)), n.port), []byte(nodeID(n.addr)))
 	}
@@ -314,31 +315,32 @@
 }
 
 func (p *Protocol) clusterShards(proto int) []byte {
-	parts := p.servingRouters()
-	b := resp.AppendArray(nil, len(parts))
-	str := func(t string) { b = resp.AppendBulk(b, []byte(t)) }
-	for _, n := range parts {
+	routers := p.servingRouters()
+	b := resp.AppendArray(nil, len(routers))
+	appendString := func(t string) { b = resp.AppendBulk(b, []byte(t)) }
+	for _, n := range routers {
 		b = resp.AppendMap(b, 2, proto)
-		str("slots")
+		appendString("slots")
 		b = resp.AppendArray(b, 2*len(n.ranges))
 		for _, r := range n.ranges {
 			b = resp.AppendInt(resp.AppendInt(b, int64(r[0])), int64(r[1]))
 		}
-		str("nodes")
+		appendString("nodes")
 		b = resp.AppendMap(resp.AppendArray(b, 1), 7, proto)
 		for _, kv := range [][2]string{{"id", nodeID(n.addr)}, {"ip", n.host}, {"endpoint", n.host}, {"role", "master"}, {"health", "online"}} {
-			str(kv[0])
-			str(kv[1])
+			appendString(kv[0])
+			appendString(kv[1])
 		}
-		str("port")
+		appendString("port")
 		b = resp.AppendInt(b, n.port)
-		str("replication-offset")
+		appendString("replication-offset")
 		b = resp.AppendInt(b, 0)
 	}
 	return b
 }
 
-// clusterNodes names all routers: one that serves nothing just now has no slots, and may be back soon.
+// clusterNodes lists all routers. One that currently serves nothing is listed without slots, as it may
+// return soon.
 func (p *Protocol) clusterNodes() []byte {
 	var b []byte
 	epoch := 1 + p.peers.assignment.Load().Version
--- a/internal/front/resp/peers.go
+++ b/internal/front/resp/peers.go
@@ -18,81 +18,86 @@
 )
 
 const (
-	// pollInterval is the time between two questions to a peer. A router that drains must be known before its grace is over.
+	// pollInterval is the time between two state polls of a peer. It is short enough that peers learn of a
+	// drain before the drain's grace period ends.
 	pollInterval = 150 * time.Millisecond
-	// pollTimeout is how long the answer is waited for, connecting included.
+	// pollTimeout limits a poll, including connection setup.
 	pollTimeout = 300 * time.Millisecond
 )
 
-// statesByName are the words of YOKE STATE.
+// statesByName maps the replies to YOKE STATE to states.
 var statesByName = map[string]tier.State{"serving": tier.Serving, "draining": tier.Draining, "loading": tier.Loading}
 
-// peers is what is known of the other routers. Sessions read now; the rest is guarded by mu.
+// peers holds the known state of the routers in the tier. Sessions read assignment; mu guards the other
+// fields.
 type peers struct {
 	assignment atomic.Pointer[tier.Assignment]
 	mu         sync.Mutex
-	addrs      []string    // of the routers by number
-	table      *tier.Table // of those; nil where group is not
-	group      *tier.Group // of those that the view of the fleet names; nil where a file numbers them
+	addrs      []string    // addresses of the routers, by number
+	table      *tier.Table // states of the numbered routers; nil if group is set
+	group      *tier.Group // routers named by the fleet view; nil if a file numbers them
 }
 
-// initNumbered has routers asked that a file numbers.
-func (p *peers) initNumbered(addrs []string, me int) {
-	p.addrs, p.table = addrs, tier.New(len(addrs), me)
+// initNumbered sets up a tier whose routers are numbered by a configuration file and are polled.
+func (p *peers) initNumbered(addrs []string, self int) {
+	p.addrs, p.table = addrs, tier.New(len(addrs), self)
 	p.publish()
 }
 
-// initFromView has a view of the fleet name the routers. This one may not be asked before Among says that it may.
-func (p *peers) initFromView(me, addr string) {
-	p.group = tier.NewGroup(tier.Router{Name: me, Addr: addr, State: tier.Loading})
+// initFromView sets up a tier whose routers come from the fleet view. This router counts as loading until
+// UpdateRouters reports it ready.
+func (p *peers) initFromView(name, addr string) {
+	p.group = tier.NewGroup(tier.Router{Name: name, Addr: addr, State: tier.Loading})
 	p.publish()
 }
 
-// publish makes what is known so to sessions. The caller holds mu, or is alone.
+// publish makes the current assignment visible to sessions. The caller holds mu or has exclusive access.
 func (p *peers) publish() {
-	var s tier.Assignment
+	var assignment tier.Assignment
 	if p.group != nil {
-		s = p.group.Assignment()
+		assignment = p.group.Assignment()
 	} else {
-		s = p.table.Assignment(p.addrs)
+		assignment = p.table.Assignment(p.addrs)
 	}
-	p.assignment.Store(&s)
+	p.assignment.Store(&assignment)
 }
 
-func (p *peers) update(do func(*tier.Table) bool) (news bool) {
+// update applies a change to the table and publishes the assignment if apply reports a change. It reports
+// whether there was a change; without a table it does nothing.
+func (p *peers) update(apply func(*tier.Table) bool) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.table == nil {
 		return false
 	}
-	if news = do(p.table); news {
+	if changed = apply(p.table); changed {
 		p.publish()
 	}
-	return news
+	return changed
 }
 
-// UpdateRouters takes from a view of the fleet which routers are heard and what they say of this pool, and from ready whether this one has its
-// servers. It returns the word of this one's that the others are to hear.
-func (p *Protocol) UpdateRouters(rs []tier.Router, ready bool) tier.State {
-	word := tier.Serving
+// UpdateRouters takes the routers of this pool and their states from the fleet view; ready tells whether
+// this router has its servers. It returns the state of this router that is to be announced to the others.
+func (p *Protocol) UpdateRouters(routers []tier.Router, ready bool) tier.State {
+	state := tier.Serving
 	switch {
 	case p.draining.Load():
-		word = tier.Draining
+		state = tier.Draining
 	case !ready:
-		word = tier.Loading
+		state = tier.Loading
 	}
 	p.peers.mu.Lock()
 	defer p.peers.mu.Unlock()
 	if g := p.peers.group; g != nil {
-		said := g.SetOwnState(word)
-		if heard := g.SetPeers(rs); said || heard {
+		ownChanged := g.SetOwnState(state)
+		if peersChanged := g.SetPeers(routers); ownChanged || peersChanged {
 			p.peers.publish()
 		}
 	}
-	return word
+	return state
 }
 
-// PollPeers asks the other routers of the tier how they are until ctx ends. log gets each change.
+// PollPeers polls the state of the other routers in the tier until ctx ends and logs each change.
 func (p *Protocol) PollPeers(ctx context.Context, log func(format string, args ...any)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -103,14 +108,14 @@
 	}
 }
 
-// pollPeer asks one router, over one connection as long as that holds.
+// pollPeer polls one router, reusing one connection while it works.
 func (p *Protocol) pollPeer(ctx context.Context, router int, addr string, log func(format string, args ...any)) {
-	a := &statePoller{addr: addr}
-	defer a.close()
+	poller := &statePoller{addr: addr}
+	defer poller.close()
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		word, err := a.poll(ctx)
+		state, err := poller.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -118,12 +123,12 @@
 			if err != nil {
 				return t.RecordMissedReply(router)
 			}
-			return t.RecordState(router, parseState(word))
+			return t.RecordState(router, parseState(state))
 		}) {
 			if err != nil {
-				word = "silent: " + err.Error()
+				state = "unresponsive: " + err.Error()
 			}
-			log("router %d at %s is %s", router, addr, word)
+			log("router %d at %s is %s", router, addr, state)
 		}
 		select {
 		case <-tick.C:
@@ -133,10 +138,11 @@
 	}
 }
 
-// parseState reads an answer to YOKE STATE. One of another version may know no such question, and lives.
-func parseState(word string) tier.State { return statesByName[word] }
+// parseState parses a reply to YOKE STATE. A router of another version may not know the command and reply
+// with an error; any unknown reply counts as serving, since the router is alive.
+func parseState(reply string) tier.State { return statesByName[reply] }
 
-// statePoller holds a connection to another router.
+// statePoller holds the connection that polls another router.
 type statePoller struct {
 	addr   string
 	conn   net.Conn
@@ -150,22 +156,22 @@
 	}
 }
 
-// stateCommand is YOKE STATE.
+// stateCommand is the encoded YOKE STATE command.
 var stateCommand = resp.AppendCommand(nil, []byte("YOKE"), []byte("STATE"))
 
-// poll asks once. A connection that was closed since the last time is opened anew.
-func (a *statePoller) poll(ctx context.Context) (word string, err error) {
+// poll sends one poll. If the connection was closed since the last one, it reconnects and tries once more.
+func (a *statePoller) poll(ctx context.Context) (state string, err error) {
 	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
-	kept := a.conn != nil
-	if word, err = a.pollOnce(ctx); err != nil {
-		if a.close(); kept && ctx.Err() == nil {
-			if word, err = a.pollOnce(ctx); err != nil {
+	reused := a.conn != nil
+	if state, err = a.pollOnce(ctx); err != nil {
+		if a.close(); reused && ctx.Err() == nil {
+			if state, err = a.pollOnce(ctx); err != nil {
 				a.close()
 			}
 		}
 	}
-	return word, err
+	return state, err
 }
 
 func (a *statePoller) pollOnce(ctx context.Context) (string, error) {
@@ -176,8 +182,8 @@
 		}
 		a.conn, a.reader = c, bufio.NewReaderSize(c, resp.MaxLine)
 	}
-	conn := a.conn                                                               // by the time it runs, the asker may have let it go
-	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })() //nolint:errcheck // the read tells
+	conn := a.conn                                                               // the poller may have dropped it by the time the callback runs
+	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })() //nolint:errcheck // a failure shows in the read
 	if _, err := a.conn.Write(stateCommand); err != nil {
 		return "", err
 	}
@@ -186,12 +192,13 @@
 		return "", err
 	}
 	if a.reader.Buffered() > 0 {
-		return "", errors.New("an answer without a question")
+		return "", errors.New("unexpected data after the reply")
 	}
 	return fmt.Sprintf("%.40s", r.Text), nil
 }
 
-// stateReply answers YOKE STATE: whether clients may be sent here. No login is asked for, as it tells nothing else.
+// stateReply answers YOKE STATE: whether clients may be sent to this router. It needs no login, as it
+// reveals nothing else.
 func (s *session) stateReply(e *engine.Engine) []byte {
 	switch {
 	case s.protocol.draining.Load():
@@ -202,40 +209,42 @@
 	return resp.AppendSimple(nil, "serving")
 }
 
-// redirect is the error that sends a client to the router that serves a slot, "" where it is this one. A router that
-// drains hands its slots on by ASK: the next one serves them by leave, whether it has heard of the drain or not.
+// redirect returns the error that redirects a client to the router that serves a slot, or "" if this router
+// serves it. A draining router hands its slots over with ASK: the next router serves them after ASKING,
+// whether or not it has learned of the drain.
 func (p *Protocol) redirect(slot int, asking bool) string {
-	now := p.peers.assignment.Load()
-	home := slot * len(now.ServedBy) / slots.Count
-	at := now.ServedBy[home]
-	if at == now.Self || asking && !p.draining.Load() {
+	assignment := p.peers.assignment.Load()
+	partition := slot * len(assignment.ServedBy) / slots.Count
+	serving := assignment.ServedBy[partition]
+	if serving == assignment.Self || asking && !p.draining.Load() {
 		return ""
 	}
-	word := "MOVED"
-	if p.draining.Load() && now.HandsOver[home] {
-		word = "ASK"
+	kind := "MOVED"
+	if p.draining.Load() && assignment.HandsOver[partition] {
+		kind = "ASK"
 	}
-	return fmt.Sprintf("%s %d %s", word, slot, now.Routers[at])
+	return fmt.Sprintf("%s %d %s", kind, slot, assignment.Routers[serving])
 }
 
-// Drain hands this router's slots on from now on, to the next router that serves; or takes them again.
-func (p *Protocol) Drain(yes bool) {
-	if p.draining.Swap(yes) == yes {
+// Drain starts handing this router's slots over to the next serving router, or stops doing so and takes
+// them back.
+func (p *Protocol) Drain(draining bool) {
+	if p.draining.Swap(draining) == draining {
 		return
 	}
 	state := tier.Serving
-	if yes {
+	if draining {
 		state = tier.Draining
 	}
 	p.peers.update(func(t *tier.Table) bool { return t.RecordState(p.cfg.Self, state) })
 	p.peers.mu.Lock()
 	defer p.peers.mu.Unlock()
-	if g := p.peers.group; g != nil && yes && g.SetOwnState(state) { // that it serves again Among says, which knows whether it can
+	if g := p.peers.group; g != nil && draining && g.SetOwnState(state) { // UpdateRouters announces serving again, as it knows whether the router is ready
 		p.peers.publish()
 	}
 }
 
-// isStateCommand says whether a command is YOKE STATE.
+// isStateCommand reports whether a command is YOKE STATE.
 func isStateCommand(args [][]byte) bool {
 	return len(args) == 2 && strings.EqualFold(string(args[1]), "STATE")
 }
--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -1,4 +1,5 @@
-// Package resp speaks the cluster dialect of RESP to clients: they see a cluster whose nodes are the routers of the tier.
+// Package resp speaks the cluster dialect of RESP to clients. They see a cluster whose nodes are the
+// routers of the tier.
 package resp
 
 import (
@@ -21,50 +22,51 @@
 	"mossproxy.example/mossproxy/internal/pure/slots"
 )
 
-// Rule maps commands on keys with a prefix to a class.
+// Rule maps commands on keys with a given prefix to a class.
 type Rule struct {
-	Commands []string // names in capitals; empty = any
+	Commands []string // upper-case names; empty = any
 	Prefix   string
 	Class    string
 }
 
-// Login is a user's way to a tenant.
+// Login maps a user and password to a tenant.
 type Login struct {
 	User   string
-	SHA256 [32]byte // of the password
+	SHA256 [32]byte // hash of the password
 	Tenant string
 }
 
-// Config is what a RESP front works by.
+// Config configures a RESP front end.
 type Config struct {
-	ReadClass, WriteClass string   // classes of what no rule maps: reads, and writes
-	Rules                 []Rule   // the first that fits counts
-	Logins                []Login  // empty: no AUTH is asked for
-	DefaultTenant         string   // of clients that have not logged in
-	Peers                 []string // addresses of the routers of the tier, by number; empty = this one alone
-	Self                  int
-	RouterName            string                              // by which a view of the fleet names this router; "" = Peers count
-	Owners                func(slot int, write bool) []uint32 // who may serve a slot
-	Callers               front.Callers                       // settles who calls, by AUTH, HELLO or certificate; nil = Logins say
-	// ServerKey is a caller's key as servers know it, in the slot that the caller's own key has.
+	ReadClass, WriteClass string                              // classes of reads and writes that no rule matches
+	Rules                 []Rule                              // the first match applies
+	Logins                []Login                             // empty = no AUTH required
+	DefaultTenant         string                              // tenant of clients that have not logged in
+	Peers                 []string                            // addresses of the tier's routers, by number; empty = only this one
+	Self                  int                                 // number of this router in Peers
+	RouterName            string                              // name of this router in the fleet view; "" = use Peers
+	Owners                func(slot int, write bool) []uint32 // IDs of the servers that may serve a slot
+	Callers               front.Callers                       // authenticates by AUTH, HELLO or certificate; nil = use Logins
+	// ServerKey translates a caller's key to the key that servers store it under. Both are in the same slot.
 	ServerKey func(p *caller.Pass, key string) (string, error)
 }
 
-// Protocol is a front.Protocol.
+// Protocol implements front.Protocol for RESP.
 type Protocol struct {
 	cfg      Config
-	lastID   atomic.Uint64 // of requests and connections
-	draining atomic.Bool   // slots are handed on
+	lastID   atomic.Uint64 // last ID given to a request or connection
+	draining atomic.Bool   // whether slots are being handed over
 	peers    peers
 }
 
-// idleTimeout is how long a connection may stand between two commands: clients keep pools of them for long.
+// idleTimeout limits the time between two commands on a connection. It is long because clients keep pools
+// of idle connections.
 const idleTimeout = 5 * time.Minute
 
-// Idle is front.Protocol's.
+// Idle implements front.Protocol.
 func (p *Protocol) Idle() time.Duration { return idleTimeout }
 
-// New is the protocol of a listener at an address.
+// New returns the protocol for a listener at addr.
 func New(cfg Config, addr string) *Protocol {
 	p := &Protocol{cfg: cfg}
 	switch {
@@ -79,29 +81,29 @@
 	return p
 }
 
-// Session is a client's connection.
+// Session implements front.Protocol.
 func (p *Protocol) Session(peer front.Peer) front.Session {
 	return &session{protocol: p, id: p.lastID.Add(1), respVersion: 2, tenant: p.cfg.DefaultTenant, loggedIn: len(p.cfg.Logins) == 0, guest: front.NewGuest(p.cfg.Callers, peer)}
 }
 
-// Withdrawn is front.Session's.
+// Withdrawn implements front.Session.
 func (s *session) Withdrawn() bool { return s.guest.Withdrawn() }
 
-// session is what one connection has set. Only its reader uses it.
+// session is the state of one connection. Only the connection's reader uses it.
 type session struct {
 	protocol    *Protocol
 	id          uint64
 	cmd         resp.Command
 	respVersion int
 	tenant      string
-	loggedIn    bool // logged in, or nobody has to
-	asking      bool // the next command may be for a slot of another router
+	loggedIn    bool // logged in, or no login required
+	asking      bool // the next command may address a slot of another router
 	name        []byte
-	throttled   bool         // the command that is answered is one of a flood
-	guest       *front.Guest // nil = nobody is asked who calls beyond Logins
+	throttled   bool         // the current command was a login rejected because of too many failed ones
+	guest       *front.Guest // authentication state; nil = use Logins
 }
 
-// Malformed is the answer to input that makes no sense.
+// Malformed returns the error reply to malformed input; ok is false if err is another kind of error.
 func (s *session) Malformed(err error) ([]byte, bool) {
 	if !errors.Is(err, resp.ErrProtocol) {
 		return nil, false
@@ -109,7 +111,7 @@
 	return resp.AppendError(nil, "ERR "+err.Error()), true
 }
 
-// ReadClass reads a command.
+// Read reads a command and answers it or turns it into a request.
 func (s *session) Read(in *bufio.Reader, e *engine.Engine, _ func() bool) (front.Command, error) {
 	if err := resp.NewReader(in).ReadCommand(&s.cmd); err != nil {
 		return front.Command{}, err
@@ -130,83 +132,85 @@
 	return s.runCommand(e, name, args, asking, commandOptions{})
 }
 
-// commandOptions are what a client says of one command by YOKE.
+// commandOptions holds what a client sets for one command with YOKE.
 type commandOptions struct {
 	class          string
 	deadline       float64
-	idempotencyKey string // no two commands of a tenant with the same are open at once
+	idempotencyKey string // at most one command of a tenant with this key is in flight
 }
 
-// maxIdempotencyKeyBytes bounds an idempotency key.
+// maxIdempotencyKeyBytes limits the idempotency key that a client may set.
 const maxIdempotencyKeyBytes = 64
 
-// readYoke reads YOKE class=NAME,d=MS,k=KEY COMMAND ...: the class, the deadline and the key of that one command.
+// readYoke parses YOKE class=NAME,d=MS,k=KEY COMMAND ..., which sets the class, the deadline in
+// milliseconds and the idempotency key of that one command.
 func (s *session) readYoke(e *engine.Engine, args [][]byte, asking bool) (front.Command, error) {
 	if len(args) < 3 {
 		return textReply(resp.AppendError(nil, "ERR wrong number of arguments for 'yoke' command: YOKE class=NAME,d=MS,k=KEY COMMAND ...")), nil
 	}
-	var f commandOptions
-	for part := range strings.SplitSeq(string(args[1]), ",") {
-		k, v, _ := strings.Cut(part, "=")
+	var opts commandOptions
+	for option := range strings.SplitSeq(string(args[1]), ",") {
+		k, v, _ := strings.Cut(option, "=")
 		switch n, err := strconv.ParseFloat(v, 64); {
 		case k == "class" && v != "":
-			f.class = v
+			opts.class = v
 		case k == "d" && err == nil && n >= 1 && n < 1e9:
-			f.deadline = n
+			opts.deadline = n
 		case k == "k" && v != "" && len(v) <= maxIdempotencyKeyBytes && !strings.ContainsFunc(v, func(r rune) bool { return r <= ' ' || r > '~' }):
-			f.idempotencyKey = v
+			opts.idempotencyKey = v
 		default:
-			return textReply(resp.AppendError(nil, fmt.Sprintf("ERR yoke: %.40q; class=NAME, d=MS and k=KEY are taken", part))), nil
+			return textReply(resp.AppendError(nil, fmt.Sprintf("ERR yoke: %.40q; class=NAME, d=MS and k=KEY are taken", option))), nil
 		}
 	}
 	rest := args[2:]
-	return s.runCommand(e, strings.ToUpper(string(rest[0][:min(len(rest[0]), 32)])), rest, asking, f)
+	return s.runCommand(e, strings.ToUpper(string(rest[0][:min(len(rest[0]), 32)])), rest, asking, opts)
 }
 
 func textReply(b []byte) front.Command { return front.Command{Text: b} }
 
-// runCommand answers a command, or makes a request of it.
-func (s *session) runCommand(e *engine.Engine, name string, args [][]byte, asking bool, f commandOptions) (front.Command, error) {
-	c := commandSpecs[name]
+// runCommand answers a command locally or turns it into a request.
+func (s *session) runCommand(e *engine.Engine, name string, args [][]byte, asking bool, opts commandOptions) (front.Command, error) {
+	spec := commandSpecs[name]
 	switch {
-	case c == nil && unsupportedCommands[name] != "":
+	case spec == nil && unsupportedCommands[name] != "":
 		return textReply(resp.AppendError(nil, unsupportedCommands[name])), nil
-	case c == nil:
+	case spec == nil:
 		return front.Command{Text: resp.AppendError(nil, fmt.Sprintf("ERR unknown command '%.40s'", printable(args[0])))}, nil
-	case c.arity >= 0 && len(args) != c.arity, len(args) < -c.arity, c.keyStep == 2 && len(args)%2 == 0:
+	case spec.arity >= 0 && len(args) != spec.arity, len(args) < -spec.arity, spec.keyStep == 2 && len(args)%2 == 0:
 		return textReply(resp.AppendError(nil, "ERR wrong number of arguments for '"+strings.ToLower(name)+"' command")), nil
 	}
 	var pass *caller.Pass
 	if s.guest != nil {
-		var why caller.Reason
-		if pass, why = s.guest.Pass(); why != caller.None && !allowedBeforeLogin[name] {
-			return noAuthReply(why), nil
+		var reason caller.Reason
+		if pass, reason = s.guest.Pass(); reason != caller.None && !allowedBeforeLogin[name] {
+			return noAuthReply(reason), nil
 		}
 	}
 	switch {
 	case !s.loggedIn && name != "AUTH" && name != "HELLO" && name != "QUIT":
 		return textReply(resp.AppendError(nil, "NOAUTH Authentication required.")), nil
-	case c.handler != nil:
+	case spec.handler != nil:
 		s.throttled = false
-		answer := c.handler(s, args)
+		answer := spec.handler(s, args)
 		return front.Command{Text: answer, End: name == "QUIT" || s.throttled, Slow: s.throttled}, nil
 	case !e.Ready():
 		return textReply(resp.AppendError(nil, "LOADING the router has no list of servers yet")), nil
 	}
-	keys := c.keys(args)
+	keys := spec.keys(args)
 	slot := slots.Of(keys[0])
 	for _, k := range keys[1:] {
 		if slots.Of(k) != slot {
 			return textReply(resp.AppendError(nil, "CROSSSLOT Keys in request don't hash to the same slot")), nil
 		}
 	}
-	if to := s.protocol.redirect(slot, asking); to != "" {
-		return textReply(resp.AppendError(nil, to)), nil
+	if redirectError := s.protocol.redirect(slot, asking); redirectError != "" {
+		return textReply(resp.AppendError(nil, redirectError)), nil
 	}
-	return s.newRequest(e, c, args, keys, slot, f, pass), nil
+	return s.newRequest(e, spec, args, keys, slot, opts, pass), nil
 }
 
-// printable keeps what a client has sent from breaking a line.
+// printable replaces control and non-ASCII characters in client input, so that it cannot break up the reply
+// line, and truncates it.
 func printable(b []byte) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
@@ -216,43 +220,44 @@
 	}, string(b[:min(len(b), 40)]))
 }
 
-// className is the class of a command: the client's word, a rule's, or the usual one.
-func (s *session) className(c *commandSpec, key []byte, f commandOptions) string {
-	if f.class != "" {
-		return f.class
+// className returns the class of a command: the one that the client set, that of the first matching rule,
+// or the default for reads or writes.
+func (s *session) className(spec *commandSpec, key []byte, opts commandOptions) string {
+	if opts.class != "" {
+		return opts.class
 	}
 	for _, r := range s.protocol.cfg.Rules {
-		named := len(r.Commands) == 0
+		matches := len(r.Commands) == 0
 		for _, n := range r.Commands {
-			named = named || n == c.name
+			matches = matches || n == spec.name
 		}
-		if named && bytes.HasPrefix(key, []byte(r.Prefix)) {
+		if matches && bytes.HasPrefix(key, []byte(r.Prefix)) {
 			return r.Class
 		}
 	}
-	if c.write {
+	if spec.write {
 		return s.protocol.cfg.WriteClass
 	}
 	return s.protocol.cfg.ReadClass
 }
 
-// newRequest makes a request of a command. What is kept of it is one copy of its words.
-func (s *session) newRequest(e *engine.Engine, c *commandSpec, args, keys [][]byte, slot int, f commandOptions, pass *caller.Pass) front.Command {
-	name := s.className(c, keys[0], f)
+// newRequest turns a command into an engine request. The request holds a single copy of the arguments.
+func (s *session) newRequest(e *engine.Engine, spec *commandSpec, args, keys [][]byte, slot int, opts commandOptions, pass *caller.Pass) front.Command {
+	name := s.className(spec, keys[0], opts)
 	class, ok := e.Class(name)
 	switch {
 	case !ok:
 		return textReply(resp.AppendError(nil, fmt.Sprintf("ERR unknown class %.40q", name)))
-	case class.Effect == decide.Repeatable && !c.isRepeatable(args):
-		return textReply(resp.AppendError(nil, fmt.Sprintf("ERR class %s may run twice, and %s must not: name another class for it", class.Name, c.name)))
+	case class.Effect == decide.Repeatable && !spec.isRepeatable(args):
+		return textReply(resp.AppendError(nil, fmt.Sprintf("ERR class %s may run twice, and %s must not: name another class for it", class.Name, spec.name)))
 	}
 	tenant, generation := s.tenant, uint32(0)
 	if pass != nil {
-		var refused []byte
-		if args, refused = s.authorizeKeys(pass, c, args, class.Name); refused != nil {
-			return textReply(refused)
+		var errorReply []byte
+		if args, errorReply = s.authorizeKeys(pass, spec, args, class.Name); errorReply != nil {
+			return textReply(errorReply)
 		}
-		keys, tenant, generation = c.keys(args), pass.Tenant.Name, pass.Tenant.Generation
+		keys, tenant, generation = spec.keys(args), pass.Tenant.Name, pass.Tenant.Generation
 	}
 	size := 0
 	for _, a := range args {
@@ -263,23 +268,23 @@
 		return textReply(refusedReply(0))
 	}
 	deadline := class.Deadline
-	if f.deadline > 0 {
-		deadline = min(deadline, f.deadline)
+	if opts.deadline > 0 {
+		deadline = min(deadline, opts.deadline)
 	}
 	id := "resp " + strconv.FormatUint(s.protocol.lastID.Add(1), 16)
 	switch {
-	case f.idempotencyKey != "" && pass != nil:
-		id = "resp k " + pass.Space.ID(f.idempotencyKey, maxIdempotencyIDBytes)
-	case f.idempotencyKey != "":
-		id = "resp k " + s.tenant + " " + f.idempotencyKey
+	case opts.idempotencyKey != "" && pass != nil:
+		id = "resp k " + pass.Space.ID(opts.idempotencyKey, maxIdempotencyIDBytes)
+	case opts.idempotencyKey != "":
+		id = "resp k " + s.tenant + " " + opts.idempotencyKey
 	}
 	proto := s.respVersion
 	return front.Command{Lane: slot + 1, Request: &engine.Request{ID: id, Class: class.Name, Tenant: tenant, TenantGeneration: generation,
-		Key: string(keys[0]), HeldBytes: size, Wait: deadline, Write: c.write, Owners: s.protocol.cfg.Owners(slot, c.write), Args: cloneArgs(args, size)},
+		Key: string(keys[0]), HeldBytes: size, Wait: deadline, Write: spec.write, Owners: s.protocol.cfg.Owners(slot, spec.write), Args: cloneArgs(args, size)},
 		Render: func(q *engine.Request, a engine.Answer) []byte { return renderAnswer(a, proto) }}
 }
 
-// cloneArgs copies words into one piece of memory.
+// cloneArgs copies the arguments into a single allocation.
 func cloneArgs(args [][]byte, size int) [][]byte {
 	buf, out := make([]byte, 0, size), make([][]byte, 0, len(args))
 	for _, a := range args {
@@ -290,8 +295,9 @@
 	return out
 }
 
-// refusedReply is a refusal. Clients of the cluster dialect resend by themselves after TRYAGAIN, which is harmless here, and
-// keep their map of slots; docs/design/resp.md has the table of what each resends after.
+// refusedReply returns the reply to a refused command. Cluster clients resend by themselves after TRYAGAIN,
+// which is harmless for a refusal, and keep their slot map; docs/design/resp.md has the table of errors
+// after which clients resend.
 func refusedReply(wait float64) []byte {
 	if wait < 1 {
 		return resp.AppendError(nil, "TRYAGAIN busy")
@@ -299,31 +305,33 @@
 	return resp.AppendError(nil, fmt.Sprintf("TRYAGAIN busy, come again after %d ms", int64(wait)))
 }
 
-// failedReply promises nothing. No client resends by itself after an error of the word ERR.
+// failedReply returns the reply to a failed command, which may have run. Clients do not resend by
+// themselves after an ERR error.
 func failedReply() []byte {
 	return resp.AppendError(nil, "ERR failed: the command may have run")
 }
 
-// renderAnswer is the final answer to a request.
-func renderAnswer(a engine.Answer, proto int) []byte {
-	switch a.Result {
+// renderAnswer encodes the final answer to a request.
+func renderAnswer(answer engine.Answer, proto int) []byte {
+	switch answer.Result {
 	case engine.Served:
-		if a.Absent {
+		if answer.Absent {
 			return resp.AppendNull(nil, proto)
 		}
-		if r, ok := a.Content.(*resp.Reply); ok {
+		if r, ok := answer.Content.(*resp.Reply); ok {
 			return resp.AppendReply(nil, r, proto)
 		}
-		return resp.AppendBulk(nil, a.Body)
+		return resp.AppendBulk(nil, answer.Body)
 	case engine.Refused:
-		return refusedReply(a.RetryAfter)
+		return refusedReply(answer.RetryAfter)
 	case engine.Duplicate:
 		return resp.AppendError(nil, "ERR doubled: a command with this key is open, and this one has not run")
 	}
 	return failedReply()
 }
 
-// checkPassword checks a password in constant time, whatever user is named.
+// checkPassword looks up a login. It compares in constant time and checks every entry, whichever user is
+// given.
 func (p *Protocol) checkPassword(user, password []byte) (tenant string, ok bool) {
 	sum := sha256.Sum256(password)
 	for _, l := range p.cfg.Logins {
