--- a/internal/front/resp/peers.go
+++ b/internal/front/resp/peers.go
@@ -53,13 +53,13 @@
 
 // publish makes the current assignment visible to sessions. The caller holds mu or has exclusive access.
 func (p *peers) publish() {
-	var assignment tier.Assignment
+	var current tier.Assignment
 	if p.group != nil {
-		assignment = p.group.Assignment()
+		current = p.group.Assignment()
 	} else {
-		assignment = p.table.Assignment(p.addrs)
+		current = p.table.Assignment(p.addrs)
 	}
-	p.assignment.Store(&assignment)
+	p.assignment.Store(&current)
 }
 
 // update applies a change to the table and publishes the assignment if apply reports a change. It reports
@@ -228,18 +228,18 @@
 
 // Drain starts handing this router's slots over to the next serving router, or stops doing so and takes
 // them back.
-func (p *Protocol) Drain(draining bool) {
-	if p.draining.Swap(draining) == draining {
+func (p *Protocol) Drain(drain bool) {
+	if p.draining.Swap(drain) == drain {
 		return
 	}
 	state := tier.Serving
-	if draining {
+	if drain {
 		state = tier.Draining
 	}
 	p.peers.update(func(t *tier.Table) bool { return t.RecordState(p.cfg.Self, state) })
 	p.peers.mu.Lock()
 	defer p.peers.mu.Unlock()
-	if g := p.peers.group; g != nil && draining && g.SetOwnState(state) { // UpdateRouters announces serving again, as it knows whether the router is ready
+	if g := p.peers.group; g != nil && drain && g.SetOwnState(state) { // UpdateRouters announces serving again, as it knows whether the router is ready
 		p.peers.publish()
 	}
 }
--- a/internal/front/resp/peers_test.go
+++ b/internal/front/resp/peers_test.go
@@ -18,18 +18,18 @@
 	"mossproxy.example/mossproxy/internal/standin/standintest"
 )
 
-// fakePeer is another router as far as its peers see it: it says of itself what it is told to.
+// fakePeer imitates another router of the tier: it answers each poll with a preset reply.
 type fakePeer struct {
 	addr  string
 	ln    net.Listener
 	mu    sync.Mutex
-	reply string // "" = nothing, "close" = ends the connection
+	reply string // "" = does not reply, "close" = closes the connection
 	wg    sync.WaitGroup
 }
 
-func startFakePeer(t *testing.T, say string) *fakePeer {
+func startFakePeer(t *testing.T, reply string) *fakePeer {
 	t.Helper()
-	o := &fakePeer{ln: standintest.Listen(t), reply: say}
+	o := &fakePeer{ln: standintest.Listen(t), reply: reply}
 	o.addr = o.ln.Addr().String()
 	o.wg.Go(func() {
 		for {
@@ -44,10 +44,10 @@
 	return o
 }
 
-func (o *fakePeer) setReply(say string) {
+func (o *fakePeer) setReply(reply string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.reply = say
+	o.reply = reply
 }
 
 func (o *fakePeer) serve(c net.Conn) {
@@ -55,22 +55,22 @@
 	r, cmd := resp.NewReader(bufio.NewReaderSize(c, resp.MaxLine)), new(resp.Command)
 	for r.ReadCommand(cmd) == nil {
 		o.mu.Lock()
-		say := o.reply
+		reply := o.reply
 		o.mu.Unlock()
-		switch say {
+		switch reply {
 		case "":
-			io.Copy(io.Discard, c) //nolint:errcheck // until the other side leaves
+			io.Copy(io.Discard, c) //nolint:errcheck // until the other side closes
 			return
 		case "close":
 			return
 		}
-		if _, err := io.WriteString(c, say+"\r\n"); err != nil {
+		if _, err := io.WriteString(c, reply+"\r\n"); err != nil {
 			return
 		}
 	}
 }
 
-// startPolling is router 0 of a tier with others, which it asks until the test ends.
+// startPolling returns router 0 of a tier with the given peers, which it polls until the test ends.
 func startPolling(t *testing.T, others ...*fakePeer) *Protocol {
 	t.Helper()
 	peers := []string{"127.0.0.1:1"}
@@ -88,7 +88,7 @@
 	return p
 }
 
-// slotInPartition is a slot of a router's own part.
+// slotInPartition returns a slot in the partition that belongs to a router by default.
 func slotInPartition(p *Protocol, router int) int {
 	for s := range slots.Count {
 		if s*len(p.peers.assignment.Load().ServedBy)/slots.Count == router {
@@ -98,50 +98,51 @@
 	return -1
 }
 
-// What another router says, or fails to say, moves its part to the next and back.
-func TestPartsFollowThePeers(t *testing.T) {
+// A peer that drains, loads, does not reply or replies with garbage loses its slots to the next router. It
+// gets them back when it serves again.
+func TestSlotsFollowPeerStates(t *testing.T) {
 	one, two := startFakePeer(t, "+serving"), startFakePeer(t, "+serving")
 	p := startPolling(t, one, two)
 	slot := slotInPartition(p, 1)
-	for _, step := range []struct{ say, want string }{
+	for _, step := range []struct{ reply, want string }{
 		{"+serving", one.addr}, {"+draining", two.addr}, {"+serving", one.addr}, {"+loading", two.addr}, {"-ERR what?", one.addr},
 		{"close", two.addr}, {"+serving", one.addr}, {"", two.addr}, {"+serving", one.addr}, {"no RESP", two.addr}, {"+draining\r\n+serving", two.addr},
 	} {
-		one.setReply(step.say)
-		standintest.Until(t, step.say, func() bool { return p.redirect(slot, false) == fmt.Sprintf("MOVED %d %s", slot, step.want) })
+		one.setReply(step.reply)
+		standintest.Until(t, step.reply, func() bool { return p.redirect(slot, false) == fmt.Sprintf("MOVED %d %s", slot, step.want) })
 	}
 	two.setReply("+draining")
-	standintest.Until(t, "both are out", func() bool { return p.redirect(slot, false) == "" })
+	standintest.Until(t, "neither peer serves", func() bool { return p.redirect(slot, false) == "" })
 	if got := string(p.clusterSlots()); strings.Contains(got, two.addr[strings.LastIndex(two.addr, ":")+1:]) {
-		t.Errorf("the map names who drains: %q", got)
+		t.Errorf("the slot map names a draining router: %q", got)
 	}
 	if p.redirect(slotInPartition(p, 2), true) != "" || p.redirect(slotInPartition(p, 0), false) != "" {
-		t.Error("what is nobody else's is not served")
+		t.Error("a slot that no other router serves is redirected")
 	}
 }
 
-// A router that drains hands on what it serves by then, to one that serves: not to one that drains too.
-func TestDrainHandsOnToWhoServes(t *testing.T) {
+// A draining router redirects the slots that it serves to a serving router, not to one that is draining too.
+func TestDrainRedirectsToServingRouter(t *testing.T) {
 	one, two := startFakePeer(t, "+draining"), startFakePeer(t, "+serving")
 	p := startPolling(t, one, two)
-	own, taken, others := slotInPartition(p, 0), slotInPartition(p, 1), slotInPartition(p, 2)
-	standintest.Until(t, "one drains", func() bool { return p.redirect(taken, false) != fmt.Sprintf("MOVED %d %s", taken, one.addr) })
+	ownSlot, movedSlot, peerSlot := slotInPartition(p, 0), slotInPartition(p, 1), slotInPartition(p, 2)
+	standintest.Until(t, "the first peer is known to drain", func() bool { return p.redirect(movedSlot, false) != fmt.Sprintf("MOVED %d %s", movedSlot, one.addr) })
 	p.Drain(true)
-	for _, s := range []int{own} {
+	for _, s := range []int{ownSlot} {
 		if got, want := p.redirect(s, false), fmt.Sprintf("ASK %d %s", s, two.addr); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 		if got := p.redirect(s, true); got == "" {
-			t.Error("who drains serves nothing by leave: the next would send it back")
+			t.Error("a draining router serves a slot after ASKING, although the next router would redirect it back")
 		}
 	}
-	for _, s := range []int{taken, others} {
+	for _, s := range []int{movedSlot, peerSlot} {
 		if got, want := p.redirect(s, false), fmt.Sprintf("MOVED %d %s", s, two.addr); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
 	two.setReply("+draining")
-	standintest.Until(t, "nobody serves", func() bool { return p.redirect(own, false) == "" })
+	standintest.Until(t, "no router serves", func() bool { return p.redirect(ownSlot, false) == "" })
 }
 
 func TestState(t *testing.T) {
@@ -158,14 +159,14 @@
 	if got, _ := readCommand(t, s, e, "YOKE", "STATE"); got != "+draining" {
 		t.Errorf("%q", got)
 	}
-	p.Drain(false) // operators have it back in service
+	p.Drain(false) // an operator puts it back into service
 	if got, _ := readCommand(t, s, e, "YOKE", "STATE"); got != "+serving" {
-		t.Errorf("back: %q", got)
+		t.Errorf("after the drain has ended: %q", got)
 	}
 }
 
-// The map that clients read: whole, without overlap, and with the parts of a silent router at the next.
-func TestMapOfATier(t *testing.T) {
+// The slot map covers all slots without overlap and assigns those of an unresponsive router to the next one.
+func TestClusterMapOfTier(t *testing.T) {
 	p := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners, Peers: []string{"10.0.0.1:1", "10.0.0.2:2", "10.0.0.3:3"}, Self: 1}, "")
 	for range 3 {
 		p.peers.update(func(t *tier.Table) bool { return t.RecordMissedReply(2) })
@@ -175,16 +176,16 @@
 		t.Fatal(err)
 	}
 	next, ports := 0, ""
-	for _, run := range r.Items {
-		if got := string(run.Items[0].Text); got != fmt.Sprint(next) {
-			t.Errorf("a run begins at %s, want %d", got, next)
+	for _, slotRange := range r.Items {
+		if got := string(slotRange.Items[0].Text); got != fmt.Sprint(next) {
+			t.Errorf("a slot range begins at %s, want %d", got, next)
 		}
-		fmt.Sscan(string(run.Items[1].Text), &next)
+		fmt.Sscan(string(slotRange.Items[1].Text), &next)
 		next++
-		ports += string(run.Items[2].Items[1].Text)
+		ports += string(slotRange.Items[2].Items[1].Text)
 	}
 	if next != slots.Count || ports != "121" {
-		t.Errorf("up to %d, by %s", next, ports)
+		t.Errorf("slots covered up to %d, by the ports %s", next, ports)
 	}
 	if nodes := string(p.clusterNodes()); strings.Count(nodes, "\n") != 3 || !strings.Contains(nodes, "10.0.0.3:3@10003 master - 0 0 2 connected\n") ||
 		!strings.Contains(nodes, "10.0.0.1:1@10001 master - 0 0 2 connected 0-5461 10923-16383\n") {
@@ -196,9 +197,9 @@
 	}
 }
 
-// A router that is asked ends the connection in the moment in which the time for its answer is up: the asker lets go of the connection, which
-// what ends its waiting must not look for any more.
-func TestAskEndsAsItsTimeIsUp(t *testing.T) {
+// Guards against a nil connection in the cancellation callback: the peer closes the connection just as the
+// context ends, so the poller drops its connection while the callback that interrupts the read still runs.
+func TestPollCancelledAsConnectionCloses(t *testing.T) {
 	ln := standintest.Listen(t)
 	go func() {
 		for {
@@ -206,39 +207,39 @@
 			if err != nil {
 				return
 			}
-			c.Read(make([]byte, 100)) //nolint:errcheck // it is closed whatever comes
+			c.Read(make([]byte, 100)) //nolint:errcheck // the connection is closed whatever arrives
 			c.Close()
 		}
 	}()
 	for i := range 300 {
 		ctx, stop := context.WithCancel(t.Context())
-		a := &statePoller{addr: ln.Addr().String()}
+		poller := &statePoller{addr: ln.Addr().String()}
 		cancel := time.AfterFunc(time.Duration(i%100)*3*time.Microsecond, stop)
-		if word, err := a.poll(ctx); err == nil {
-			t.Fatalf("answered %q", word)
+		if reply, err := poller.poll(ctx); err == nil {
+			t.Fatalf("unexpected reply %q", reply)
 		}
-		a.close()
+		poller.close()
 		cancel.Stop()
 		stop()
 	}
 }
 
-// Where a view names the routers, what a pool's client hears follows it and this router's own state.
-func TestPartsFollowTheView(t *testing.T) {
+// If the fleet view names the routers, redirects follow the view and this router's own state.
+func TestSlotsFollowFleetView(t *testing.T) {
 	p := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners, RouterName: "b"}, "127.0.0.2:2")
-	all := func(state tier.State) []tier.Router {
+	view := func(state tier.State) []tier.Router {
 		return []tier.Router{{Name: "a", Addr: "127.0.0.1:1", State: state}, {Name: "b", Addr: "127.0.0.9:9"}}
 	}
-	count := func(word string) (n int) {
+	count := func(errorName string) (n int) {
 		for slot := range slots.Count {
-			if strings.HasPrefix(p.redirect(slot, false), word+" ") {
+			if strings.HasPrefix(p.redirect(slot, false), errorName+" ") {
 				n++
 			}
 		}
 		return n
 	}
 	if n := count("MOVED"); n != 0 {
-		t.Errorf("alone it sends clients away from %d slots", n)
+		t.Errorf("a router without peers redirects clients for %d slots", n)
 	}
 	for _, step := range []struct {
 		what        string
@@ -246,29 +247,29 @@
 		word        tier.State
 		moved, asks bool
 	}{
-		{"it loads", func() tier.State { return p.UpdateRouters(all(tier.Serving), false) }, tier.Loading, true, false},
-		{"it serves", func() tier.State { return p.UpdateRouters(all(tier.Serving), true) }, tier.Serving, true, false},
-		{"the other drains", func() tier.State { return p.UpdateRouters(all(tier.Draining), true) }, tier.Serving, false, false},
-		{"both drain", func() tier.State { p.Drain(true); return p.UpdateRouters(all(tier.Draining), true) }, tier.Draining, true, true},
-		{"it drains", func() tier.State { return p.UpdateRouters(all(tier.Serving), true) }, tier.Draining, true, true},
+		{"it loads", func() tier.State { return p.UpdateRouters(view(tier.Serving), false) }, tier.Loading, true, false},
+		{"it serves", func() tier.State { return p.UpdateRouters(view(tier.Serving), true) }, tier.Serving, true, false},
+		{"the other drains", func() tier.State { return p.UpdateRouters(view(tier.Draining), true) }, tier.Serving, false, false},
+		{"both drain", func() tier.State { p.Drain(true); return p.UpdateRouters(view(tier.Draining), true) }, tier.Draining, true, true},
+		{"it drains", func() tier.State { return p.UpdateRouters(view(tier.Serving), true) }, tier.Draining, true, true},
 		{"it drains alone", func() tier.State { return p.UpdateRouters(nil, true) }, tier.Draining, false, false},
-		{"it serves again", func() tier.State { p.Drain(false); return p.UpdateRouters(all(tier.Serving), true) }, tier.Serving, true, false},
+		{"it serves again", func() tier.State { p.Drain(false); return p.UpdateRouters(view(tier.Serving), true) }, tier.Serving, true, false},
 	} {
 		if got := step.do(); got != step.word {
-			t.Errorf("%s: its word is %v", step.what, got)
+			t.Errorf("%s: announced state is %v", step.what, got)
 		}
 		moved, asks := count("MOVED"), count("ASK")
-		if step.what == "both drain" { // each keeps its part: what comes there is refused by who knows why
+		if step.what == "both drain" { // each keeps its slots and refuses the requests with the reason
 			if asks != 0 || moved == 0 {
-				t.Errorf("both drain: %d moved, %d asked elsewhere", moved, asks)
+				t.Errorf("both drain: %d slots redirected by MOVED, %d by ASK", moved, asks)
 			}
 			continue
 		}
 		if (moved > 0) != step.moved || (asks > 0) != step.asks || moved+asks > slots.Count {
-			t.Errorf("%s: %d moved, %d asked elsewhere", step.what, moved, asks)
+			t.Errorf("%s: %d slots redirected by MOVED, %d by ASK", step.what, moved, asks)
 		}
 	}
 	if p.redirect(0, true) != "" {
-		t.Error("by leave it does not serve")
+		t.Error("a slot is redirected although ASKING was sent")
 	}
 }
--- a/internal/front/resp/resp_test.go
+++ b/internal/front/resp/resp_test.go
@@ -22,7 +22,8 @@
 	"mossproxy.example/mossproxy/internal/standin/standintest"
 )
 
-// startAnsweringNode is a cluster of one node that gives every INCR the same answer and counts them; "" ends the connection.
+// startAnsweringNode starts a cluster of one node that gives every INCR the same answer and counts them;
+// the answer "" closes the connection.
 func startAnsweringNode(t *testing.T, answer string) (addr string, incrs *atomic.Int64) {
 	t.Helper()
 	ln := standintest.Listen(t)
@@ -69,8 +70,8 @@
 	}
 }
 
-// TestWhatClientsResend asks a real client library what it sends again by itself after each answer: the table in
-// docs/design/resp.md, on which rests what a refusal and a failure look like.
+// Checks after which answers a real client library resends by itself. The format of refusals and failures
+// relies on this table, which docs/design/resp.md contains too.
 func TestWhatClientsResend(t *testing.T) {
 	for _, row := range []struct {
 		answer  string
@@ -81,7 +82,7 @@
 		{strings.TrimSpace(string(failedReply())), false},
 		{"-LOADING x", true}, {"-CLUSTERDOWN x", true}, {"-READONLY x", true}, {"-MASTERDOWN x", true},
 		{"-BUSY x", false}, {"-WRONGTYPE x", false}, {":1", false},
-		{"", true}, // a connection that ends: never done while a command is open
+		{"", true}, // a closed connection; the router never closes one while a command is in flight
 	} {
 		t.Run(strconv.Quote(row.answer), func(t *testing.T) {
 			t.Parallel()
@@ -98,12 +99,12 @@
 	}
 }
 
-// noEndpoints is a backend without a way to any server.
+// noEndpoints is a backend that has no endpoint for any server.
 type noEndpoints struct{}
 
 func (noEndpoints) Endpoint(engine.Server) engine.Endpoint { return nil }
 
-// newEngine is an engine that holds a list and whose requests nobody serves.
+// newEngine returns an engine that has a list of servers but cannot reach any.
 func newEngine(t testing.TB) *engine.Engine {
 	t.Helper()
 	e, err := engine.New(engine.Options{MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1,
@@ -119,7 +120,7 @@
 
 func testOwners(int, bool) []uint32 { return []uint32{7} }
 
-// readCommand reads one command of a session.
+// readCommand passes one command to a session and returns the immediate reply or the request.
 func readCommand(t testing.TB, s *session, e *engine.Engine, words ...string) (text string, q *engine.Request) {
 	t.Helper()
 	var args [][]byte
@@ -156,12 +157,12 @@
 		}
 	}
 	if e.HeldBytes.Used() != 0 {
-		t.Errorf("%d bytes are held", e.HeldBytes.Used())
+		t.Errorf("%d bytes are still held", e.HeldBytes.Used())
 	}
 }
 
-// The words of a request are its own: the next command uses the reader's memory again.
-func TestWordsAreKept(t *testing.T) {
+// A request owns its arguments, because the next command reuses the reader's memory.
+func TestRequestOwnsItsArguments(t *testing.T) {
 	e := newEngine(t)
 	s := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners}, "127.0.0.1:1").Session(front.Peer{}).(*session)
 	_, q := readCommand(t, s, e, "SET", "key-one", "value-one")
@@ -171,8 +172,8 @@
 	}
 }
 
-// Beyond the memory that is there, commands are refused.
-func TestNoRoom(t *testing.T) {
+// Commands are refused once the memory limit for values is reached.
+func TestRefusedBeyondMemoryLimit(t *testing.T) {
 	e := newEngine(t)
 	s := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners}, "127.0.0.1:1").Session(front.Peer{}).(*session)
 	value := strings.Repeat("v", resp.MaxBulk)
@@ -189,7 +190,8 @@
 	}
 }
 
-// Whatever a client sends, a session answers, takes, or ends with an error; it holds no more than what it took.
+// For any input, a session replies, creates a request or ends with an error. It reserves memory only for
+// requests.
 func FuzzSession(f *testing.F) {
 	f.Add([]byte("*3\r\n$3\r\nSET\r\n$1\r\nk\r\n$1\r\nv\r\nYOKE class=r,d=5 GET k\r\nCOMMAND INFO get x\r\n"))
 	f.Add([]byte("HELLO 3 AUTH a b SETNAME x\r\nCLIENT SETNAME \"a b\"\r\nCLUSTER SLOTS\r\nCOMMAND GETKEYS mset a b\r\nMSET a\r\n"))
