--- a/internal/front/resp/local.go
+++ b/internal/front/resp/local.go
@@ -73,36 +73,36 @@
 
 // handleHello handles HELLO [2|3 [AUTH user password] [SETNAME name]].
 func handleHello(s *session, args [][]byte) []byte {
-	proto, tenant, in, name := s.respVersion, s.tenant, s.loggedIn, s.name
+	respVersion, tenant, loggedIn, name := s.respVersion, s.tenant, s.loggedIn, s.name
 	if s.guest != nil {
 		_, reason := s.guest.Pass()
-		in = reason == caller.None
+		loggedIn = reason == caller.None
 	}
 	if len(args) > 1 {
 		n, err := strconv.Atoi(string(args[1]))
 		if err != nil || n < 2 || n > 3 {
 			return resp.AppendError(nil, "NOPROTO unsupported protocol version")
 		}
-		proto = n
+		respVersion = n
 	}
 	for i := 2; i < len(args); i++ {
-		switch word := strings.ToUpper(string(args[i])); {
-		case word == "AUTH" && i+2 < len(args):
+		switch option := strings.ToUpper(string(args[i])); {
+		case option == "AUTH" && i+2 < len(args):
 			switch {
 			case s.guest != nil:
 				if reason := s.authenticate(args[i+1], args[i+2]); reason != caller.None {
 					return wrongPassReply(reason)
 				}
-				in = true
+				loggedIn = true
 			case len(s.protocol.cfg.Logins) > 0:
 				var ok bool
 				if tenant, ok = s.protocol.checkPassword(args[i+1], args[i+2]); !ok {
 					return wrongPassError
 				}
-				in = true
+				loggedIn = true
 			}
 			i += 2
-		case word == "SETNAME" && i+1 < len(args):
+		case option == "SETNAME" && i+1 < len(args):
 			if !isValidClientName(args[i+1]) {
 				return invalidNameError
 			}
@@ -112,25 +112,25 @@
 			return resp.AppendError(nil, "ERR Syntax error in HELLO option '"+printable(args[i])+"'")
 		}
 	}
-	if !in {
+	if !loggedIn {
 		return resp.AppendError(nil, "NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time")
 	}
 	if s.guest != nil { // the pass identifies the caller and tells whether it is still valid
-		in = true
+		loggedIn = true
 	}
-	s.respVersion, s.tenant, s.loggedIn, s.name = proto, tenant, in, name
-	b := resp.AppendMap(nil, 7, proto)
-	for _, kv := range [][2]string{{"server", "redis"}, {"version", redisVersion}, {"proto", ""}, {"id", ""}, {"mode", "cluster"}, {"role", "master"}, {"modules", ""}} {
-		b = resp.AppendBulk(b, []byte(kv[0]))
-		switch kv[0] {
+	s.respVersion, s.tenant, s.loggedIn, s.name = respVersion, tenant, loggedIn, name
+	b := resp.AppendMap(nil, 7, respVersion)
+	for _, field := range [][2]string{{"server", "redis"}, {"version", redisVersion}, {"proto", ""}, {"id", ""}, {"mode", "cluster"}, {"role", "master"}, {"modules", ""}} {
+		b = resp.AppendBulk(b, []byte(field[0]))
+		switch field[0] {
 		case "proto":
-			b = resp.AppendInt(b, int64(proto))
+			b = resp.AppendInt(b, int64(respVersion))
 		case "id":
 			b = resp.AppendInt(b, int64(s.id))
 		case "modules":
 			b = resp.AppendArray(b, 0)
 		default:
-			b = resp.AppendBulk(b, []byte(kv[1]))
+			b = resp.AppendBulk(b, []byte(field[1]))
 		}
 	}
 	return b
@@ -252,11 +252,11 @@
 		portNumber, _ := strconv.ParseInt(port, 10, 64)
 		entry := routerRanges{index: i, isSelf: i == assignment.Self, addr: addr, host: host, port: portNumber}
 		for _, partition := range tier.PartitionsOf(assignment.ServedBy, i) {
-			run := [2]int{(partition*slots.Count + n - 1) / n, ((partition+1)*slots.Count+n-1)/n - 1}
-			if last := len(entry.ranges) - 1; last >= 0 && entry.ranges[last][1]+1 == run[0] {
-				entry.ranges[last][1] = run[1]
+			slotRange := [2]int{(partition*slots.Count + n - 1) / n, ((partition+1)*slots.Count+n-1)/n - 1}
+			if last := len(entry.ranges) - 1; last >= 0 && entry.ranges[last][1]+1 == slotRange[0] {
+				entry.ranges[last][1] = slotRange[1]
 			} else {
-				entry.ranges = append(entry.ranges, run)
+				entry.ranges = append(entry.ranges, slotRange)
 			}
 		}
 		out = append(out, entry)
@@ -314,22 +314,22 @@
 	return b
 }
 
-func (p *Protocol) clusterShards(proto int) []byte {
+func (p *Protocol) clusterShards(respVersion int) []byte {
 	routers := p.servingRouters()
 	b := resp.AppendArray(nil, len(routers))
 	appendString := func(t string) { b = resp.AppendBulk(b, []byte(t)) }
 	for _, n := range routers {
-		b = resp.AppendMap(b, 2, proto)
+		b = resp.AppendMap(b, 2, respVersion)
 		appendString("slots")
 		b = resp.AppendArray(b, 2*len(n.ranges))
 		for _, r := range n.ranges {
 			b = resp.AppendInt(resp.AppendInt(b, int64(r[0])), int64(r[1]))
 		}
 		appendString("nodes")
-		b = resp.AppendMap(resp.AppendArray(b, 1), 7, proto)
-		for _, kv := range [][2]string{{"id", nodeID(n.addr)}, {"ip", n.host}, {"endpoint", n.host}, {"role", "master"}, {"health", "online"}} {
-			appendString(kv[0])
-			appendString(kv[1])
+		b = resp.AppendMap(resp.AppendArray(b, 1), 7, respVersion)
+		for _, field := range [][2]string{{"id", nodeID(n.addr)}, {"ip", n.host}, {"endpoint", n.host}, {"role", "master"}, {"health", "online"}} {
+			appendString(field[0])
+			appendString(field[1])
 		}
 		appendString("port")
 		b = resp.AppendInt(b, n.port)
--- a/internal/front/resp/peers_test.go
+++ b/internal/front/resp/peers_test.go
@@ -244,7 +244,7 @@
 	for _, step := range []struct {
 		what        string
 		do          func() tier.State
-		word        tier.State
+		wantState   tier.State
 		moved, asks bool
 	}{
 		{"it loads", func() tier.State { return p.UpdateRouters(view(tier.Serving), false) }, tier.Loading, true, false},
@@ -255,7 +255,7 @@
 		{"it drains alone", func() tier.State { return p.UpdateRouters(nil, true) }, tier.Draining, false, false},
 		{"it serves again", func() tier.State { p.Drain(false); return p.UpdateRouters(view(tier.Serving), true) }, tier.Serving, true, false},
 	} {
-		if got := step.do(); got != step.word {
+		if got := step.do(); got != step.wantState {
 			t.Errorf("%s: announced state is %v", step.what, got)
 		}
 		moved, asks := count("MOVED"), count("ASK")
--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -191,8 +191,8 @@
 		return textReply(resp.AppendError(nil, "NOAUTH Authentication required.")), nil
 	case spec.handler != nil:
 		s.throttled = false
-		answer := spec.handler(s, args)
-		return front.Command{Text: answer, End: name == "QUIT" || s.throttled, Slow: s.throttled}, nil
+		reply := spec.handler(s, args)
+		return front.Command{Text: reply, End: name == "QUIT" || s.throttled, Slow: s.throttled}, nil
 	case !e.Ready():
 		return textReply(resp.AppendError(nil, "LOADING the router has no list of servers yet")), nil
 	}
@@ -278,10 +278,10 @@
 	case opts.idempotencyKey != "":
 		id = "resp k " + s.tenant + " " + opts.idempotencyKey
 	}
-	proto := s.respVersion
+	respVersion := s.respVersion
 	return front.Command{Lane: slot + 1, Request: &engine.Request{ID: id, Class: class.Name, Tenant: tenant, TenantGeneration: generation,
 		Key: string(keys[0]), HeldBytes: size, Wait: deadline, Write: spec.write, Owners: s.protocol.cfg.Owners(slot, spec.write), Args: cloneArgs(args, size)},
-		Render: func(q *engine.Request, a engine.Answer) []byte { return renderAnswer(a, proto) }}
+		Render: func(q *engine.Request, a engine.Answer) []byte { return renderAnswer(a, respVersion) }}
 }
 
 // cloneArgs copies the arguments into a single allocation.
@@ -312,14 +312,14 @@
 }
 
 // renderAnswer encodes the final answer to a request.
-func renderAnswer(answer engine.Answer, proto int) []byte {
+func renderAnswer(answer engine.Answer, respVersion int) []byte {
 	switch answer.Result {
 	case engine.Served:
 		if answer.Absent {
-			return resp.AppendNull(nil, proto)
+			return resp.AppendNull(nil, respVersion)
 		}
 		if r, ok := answer.Content.(*resp.Reply); ok {
-			return resp.AppendReply(nil, r, proto)
+			return resp.AppendReply(nil, r, respVersion)
 		}
 		return resp.AppendBulk(nil, answer.Body)
 	case engine.Refused:
--- a/internal/front/resp/resp_test.go
+++ b/internal/front/resp/resp_test.go
@@ -177,16 +177,16 @@
 	e := newEngine(t)
 	s := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners}, "127.0.0.1:1").Session(front.Peer{}).(*session)
 	value := strings.Repeat("v", resp.MaxBulk)
-	taken := 0
+	accepted := 0
 	for {
 		text, q := readCommand(t, s, e, "SET", "k", value)
 		if q == nil {
-			if text != "-TRYAGAIN busy" || taken < 10 {
-				t.Errorf("%q after %d", text, taken)
+			if text != "-TRYAGAIN busy" || accepted < 10 {
+				t.Errorf("%q after %d", text, accepted)
 			}
 			return
 		}
-		taken++
+		accepted++
 	}
 }
 
