--- a/internal/front/resp/callers.go
+++ b/internal/front/resp/callers.go
@@ -30,7 +30,7 @@
 }
 
 // Crowded implements front.Session with the error text that Redis clients recognize.
-func (*session) Crowded() []byte {
+func (*session) TooManyConnections() []byte {
 	return resp.AppendError(nil, "ERR max number of clients reached: "+caller.Connections.String())
 }
 
@@ -39,9 +39,9 @@
 func (s *session) authenticate(user, password []byte) caller.Reason {
 	reason := caller.None
 	if string(user) == tokenUser {
-		reason = s.guest.Token(string(password))
+		reason = s.guest.LoginToken(string(password))
 	} else {
-		reason = s.guest.Secret(string(user), password)
+		reason = s.guest.LoginSecret(string(user), password)
 	}
 	s.throttled = reason == caller.Throttled
 	return reason
@@ -57,14 +57,14 @@
 // Commands on a connection that never had a caller count towards the limit on unknown commands.
 func noAuthReply(reason caller.Reason) front.Command {
 	if reason == caller.NoCaller {
-		return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required."), Unknown: true}
+		return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required."), Invalid: true}
 	}
 	return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required: "+reason.String())}
 }
 
 // authorizeKeys returns the arguments with the caller's keys translated to server keys, or an error reply
 // if the caller may not access one of them.
-func (s *session) authorizeKeys(pass *caller.Pass, spec *commandSpec, args [][]byte, class string) (out [][]byte, errorReply []byte) {
+func (s *session) authorizeKeys(pass *caller.Identity, spec *commandSpec, args [][]byte, class string) (out [][]byte, errorReply []byte) {
 	access := spec.access(args)
 	out = append(make([][]byte, 0, len(args)), args...)
 	for _, i := range spec.keyPositions(args) {
--- a/internal/front/resp/commands.go
+++ b/internal/front/resp/commands.go
@@ -126,16 +126,16 @@
 	case c.firstKey > 0:
 		flags = append(flags, "readonly")
 	}
-	b = resp.AppendArray(b, 10)
+	b = resp.AppendArrayHeader(b, 10)
 	b = resp.AppendBulk(b, []byte(strings.ToLower(c.name)))
 	b = resp.AppendInt(b, int64(c.arity))
-	b = resp.AppendArray(b, len(flags))
+	b = resp.AppendArrayHeader(b, len(flags))
 	for _, f := range flags {
 		b = resp.AppendSimple(b, f)
 	}
 	b = resp.AppendInt(resp.AppendInt(resp.AppendInt(b, int64(c.firstKey)), int64(c.lastKey)), int64(c.keyStep))
 	for range 4 { // ACL categories, tips, key specifications, subcommands
-		b = resp.AppendArray(b, 0)
+		b = resp.AppendArrayHeader(b, 0)
 	}
 	return b
 }
--- a/internal/front/resp/local.go
+++ b/internal/front/resp/local.go
@@ -119,7 +119,7 @@
 		loggedIn = true
 	}
 	s.respVersion, s.tenant, s.loggedIn, s.name = respVersion, tenant, loggedIn, name
-	b := resp.AppendMap(nil, 7, respVersion)
+	b := resp.AppendMapHeader(nil, 7, respVersion)
 	for _, field := range [][2]string{{"server", "redis"}, {"version", redisVersion}, {"proto", ""}, {"id", ""}, {"mode", "cluster"}, {"role", "master"}, {"modules", ""}} {
 		b = resp.AppendBulk(b, []byte(field[0]))
 		switch field[0] {
@@ -128,7 +128,7 @@
 		case "id":
 			b = resp.AppendInt(b, int64(s.id))
 		case "modules":
-			b = resp.AppendArray(b, 0)
+			b = resp.AppendArrayHeader(b, 0)
 		default:
 			b = resp.AppendBulk(b, []byte(field[1]))
 		}
@@ -185,7 +185,7 @@
 	}
 	switch sub {
 	case "":
-		b := resp.AppendArray(nil, len(names))
+		b := resp.AppendArrayHeader(nil, len(names))
 		for _, n := range names {
 			b = appendCommandSpec(b, commandSpecs[n])
 		}
@@ -193,7 +193,7 @@
 	case "COUNT":
 		return resp.AppendInt(nil, int64(len(names)))
 	case "INFO":
-		b := resp.AppendArray(nil, len(args)-2)
+		b := resp.AppendArrayHeader(nil, len(args)-2)
 		for _, a := range args[2:] {
 			if c := commandSpecs[strings.ToUpper(string(a))]; c != nil {
 				b = appendCommandSpec(b, c)
@@ -203,7 +203,7 @@
 		}
 		return b
 	case "DOCS":
-		return resp.AppendMap(nil, 0, s.respVersion)
+		return resp.AppendMapHeader(nil, 0, s.respVersion)
 	case "GETKEYS":
 		return handleGetKeys(args[2:])
 	}
@@ -219,7 +219,7 @@
 		return resp.AppendError(nil, "ERR The command has no key arguments")
 	}
 	keys := c.keys(args)
-	b := resp.AppendArray(nil, len(keys))
+	b := resp.AppendArrayHeader(nil, len(keys))
 	for _, k := range keys {
 		b = resp.AppendBulk(b, k)
 	}
@@ -289,7 +289,7 @@
 		assignment := p.peers.assignment.Load()
 		return resp.AppendBulk(nil, []byte(nodeID(assignment.Routers[assignment.Self])))
 	case sub == "KEYSLOT" && len(args) == 3:
-		return resp.AppendInt(nil, int64(slots.Of(args[2])))
+		return resp.AppendInt(nil, int64(slots.ForKey(args[2])))
 	}
 	return resp.AppendError(nil, "ERR CLUSTER "+printable(args[1])+" is not taken here; SLOTS, SHARDS, NODES, INFO, MYID and KEYSLOT are")
 }
@@ -306,27 +306,27 @@
 		}
 	}
 	slices.SortFunc(ranges, func(a, b ownedRange) int { return a.from - b.from })
-	b := resp.AppendArray(nil, len(ranges))
+	b := resp.AppendArrayHeader(nil, len(ranges))
 	for _, n := range ranges {
-		b = resp.AppendInt(resp.AppendInt(resp.AppendArray(b, 3), int64(n.from)), int64(n.to))
-		b = resp.AppendBulk(resp.AppendInt(resp.AppendBulk(resp.AppendArray(b, 3), []byte(n.host)), n.port), []byte(nodeID(n.addr)))
+		b = resp.AppendInt(resp.AppendInt(resp.AppendArrayHeader(b, 3), int64(n.from)), int64(n.to))
+		b = resp.AppendBulk(resp.AppendInt(resp.AppendBulk(resp.AppendArrayHeader(b, 3), []byte(n.host)), n.port), []byte(nodeID(n.addr)))
 	}
 	return b
 }
 
 func (p *Protocol) clusterShards(respVersion int) []byte {
 	routers := p.servingRouters()
-	b := resp.AppendArray(nil, len(routers))
+	b := resp.AppendArrayHeader(nil, len(routers))
 	appendString := func(t string) { b = resp.AppendBulk(b, []byte(t)) }
 	for _, n := range routers {
-		b = resp.AppendMap(b, 2, respVersion)
+		b = resp.AppendMapHeader(b, 2, respVersion)
 		appendString("slots")
-		b = resp.AppendArray(b, 2*len(n.ranges))
+		b = resp.AppendArrayHeader(b, 2*len(n.ranges))
 		for _, r := range n.ranges {
 			b = resp.AppendInt(resp.AppendInt(b, int64(r[0])), int64(r[1]))
 		}
 		appendString("nodes")
-		b = resp.AppendMap(resp.AppendArray(b, 1), 7, respVersion)
+		b = resp.AppendMapHeader(resp.AppendArrayHeader(b, 1), 7, respVersion)
 		for _, field := range [][2]string{{"id", nodeID(n.addr)}, {"ip", n.host}, {"endpoint", n.host}, {"role", "master"}, {"health", "online"}} {
 			appendString(field[0])
 			appendString(field[1])
--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -46,9 +46,9 @@
 	Self                  int                                 // number of this router in Peers
 	RouterName            string                              // name of this router in the fleet view; "" = use Peers
 	Owners                func(slot int, write bool) []uint32 // IDs of the servers that may serve a slot
-	Callers               front.Callers                       // authenticates by AUTH, HELLO or certificate; nil = use Logins
+	Callers               front.Authenticator                 // authenticates by AUTH, HELLO or certificate; nil = use Logins
 	// ServerKey translates a caller's key to the key that servers store it under. Both are in the same slot.
-	ServerKey func(p *caller.Pass, key string) (string, error)
+	ServerKey func(p *caller.Identity, key string) (string, error)
 }
 
 // Protocol implements front.Protocol for RESP.
@@ -83,11 +83,11 @@
 
 // Session implements front.Protocol.
 func (p *Protocol) Session(peer front.Peer) front.Session {
-	return &session{protocol: p, id: p.lastID.Add(1), respVersion: 2, tenant: p.cfg.DefaultTenant, loggedIn: len(p.cfg.Logins) == 0, guest: front.NewGuest(p.cfg.Callers, peer)}
+	return &session{protocol: p, id: p.lastID.Add(1), respVersion: 2, tenant: p.cfg.DefaultTenant, loggedIn: len(p.cfg.Logins) == 0, guest: front.NewConnCaller(p.cfg.Callers, peer)}
 }
 
 // Withdrawn implements front.Session.
-func (s *session) Withdrawn() bool { return s.guest.Withdrawn() }
+func (s *session) Revoked() bool { return s.guest.Revoked() }
 
 // session is the state of one connection. Only the connection's reader uses it.
 type session struct {
@@ -99,8 +99,8 @@
 	loggedIn    bool // logged in, or no login required
 	asking      bool // the next command may address a slot of another router
 	name        []byte
-	throttled   bool         // the current command was a login rejected because of too many failed ones
-	guest       *front.Guest // authentication state; nil = use Logins
+	throttled   bool              // the current command was a login rejected because of too many failed ones
+	guest       *front.ConnCaller // authentication state; nil = use Logins
 }
 
 // Malformed returns the error reply to malformed input; ok is false if err is another kind of error.
@@ -179,7 +179,7 @@
 	case spec.arity >= 0 && len(args) != spec.arity, len(args) < -spec.arity, spec.keyStep == 2 && len(args)%2 == 0:
 		return textReply(resp.AppendError(nil, "ERR wrong number of arguments for '"+strings.ToLower(name)+"' command")), nil
 	}
-	var pass *caller.Pass
+	var pass *caller.Identity
 	if s.guest != nil {
 		var reason caller.Reason
 		if pass, reason = s.guest.Pass(); reason != caller.None && !allowedBeforeLogin[name] {
@@ -192,14 +192,14 @@
 	case spec.handler != nil:
 		s.throttled = false
 		reply := spec.handler(s, args)
-		return front.Command{Text: reply, End: name == "QUIT" || s.throttled, Slow: s.throttled}, nil
+		return front.Command{Text: reply, End: name == "QUIT" || s.throttled, Delayed: s.throttled}, nil
 	case !e.Ready():
 		return textReply(resp.AppendError(nil, "LOADING the router has no list of servers yet")), nil
 	}
 	keys := spec.keys(args)
-	slot := slots.Of(keys[0])
+	slot := slots.ForKey(keys[0])
 	for _, k := range keys[1:] {
-		if slots.Of(k) != slot {
+		if slots.ForKey(k) != slot {
 			return textReply(resp.AppendError(nil, "CROSSSLOT Keys in request don't hash to the same slot")), nil
 		}
 	}
@@ -242,7 +242,7 @@
 }
 
 // newRequest turns a command into an engine request. The request holds a single copy of the arguments.
-func (s *session) newRequest(e *engine.Engine, spec *commandSpec, args, keys [][]byte, slot int, opts commandOptions, pass *caller.Pass) front.Command {
+func (s *session) newRequest(e *engine.Engine, spec *commandSpec, args, keys [][]byte, slot int, opts commandOptions, pass *caller.Identity) front.Command {
 	name := s.className(spec, keys[0], opts)
 	class, ok := e.Class(name)
 	switch {
@@ -279,7 +279,7 @@
 		id = "resp k " + s.tenant + " " + opts.idempotencyKey
 	}
 	respVersion := s.respVersion
-	return front.Command{Lane: slot + 1, Request: &engine.Request{ID: id, Class: class.Name, Tenant: tenant, TenantGeneration: generation,
+	return front.Command{OrderKey: slot + 1, Request: &engine.Request{ID: id, Class: class.Name, Tenant: tenant, TenantGeneration: generation,
 		Key: string(keys[0]), HeldBytes: size, Wait: deadline, Write: spec.write, Owners: s.protocol.cfg.Owners(slot, spec.write), Args: cloneArgs(args, size)},
 		Render: func(q *engine.Request, a engine.Answer) []byte { return renderAnswer(a, respVersion) }}
 }
