--- a/internal/backend/resp/cluster.go
+++ b/internal/backend/resp/cluster.go
@@ -242,16 +242,16 @@
 	}
 	defer raw.Close()
 	defer context.AfterFunc(ctx, func() { raw.Close() })()
-	conn, err := backend.Over(ctx, raw, c.cfg.TLS, addr)
+	conn, err := backend.WrapTLS(ctx, raw, c.cfg.TLS, addr)
 	if err != nil {
 		return m, err
 	}
 	p := c.cfg.Protocol
-	if _, err := conn.Write(resp.AppendCommand(p.Open(), []byte("CLUSTER"), []byte("INFO"))); err != nil {
+	if _, err := conn.Write(resp.AppendCommand(p.Preamble(), []byte("CLUSTER"), []byte("INFO"))); err != nil {
 		return m, err
 	}
 	in := bufio.NewReaderSize(conn, resp.MaxLine)
-	if err := p.Opened(in); err != nil {
+	if err := p.ReadPreambleReply(in); err != nil {
 		return m, err
 	}
 	r := resp.NewReader(in)
--- a/internal/backend/resp/protocol.go
+++ b/internal/backend/resp/protocol.go
@@ -88,7 +88,7 @@
 }
 
 // Open says who we are, and that replicas may answer reads.
-func (p Protocol) Open() (b []byte) {
+func (p Protocol) Preamble() (b []byte) {
 	if p.Password != "" {
 		words := [][]byte{[]byte("AUTH")}
 		if p.User != "" {
@@ -103,7 +103,7 @@
 }
 
 // Opened reads what a server says to Open. An error there shows in the answer to the command behind it too.
-func (p Protocol) Opened(in *bufio.Reader) error {
+func (p Protocol) ReadPreambleReply(in *bufio.Reader) error {
 	n := 0
 	if p.Password != "" {
 		n++
@@ -120,7 +120,7 @@
 }
 
 // Answer reads the reply to a command.
-func (p Protocol) Answer(in *bufio.Reader, addr string, q *engine.Request, try engine.Try) (engine.Reply, bool, error) {
+func (p Protocol) ReadAnswer(in *bufio.Reader, addr string, q *engine.Request, try engine.Try) (engine.Reply, bool, error) {
 	r := resp.NewReader(in)
 	if try.Asking {
 		if _, err := r.ReadReply(); err != nil {
@@ -152,10 +152,10 @@
 func (Protocol) Probe(string) string { return "" }
 
 // Load is never read.
-func (Protocol) Load(*bufio.Reader) (decide.Load, error) { return decide.NoLoad, nil }
+func (Protocol) ReadLoad(*bufio.Reader) (decide.Load, error) { return decide.NoLoad, nil }
 
 // Rest is none: a server gives one reply for each command, and one too many shows as input on an idle connection.
-func (Protocol) Rest() time.Duration { return 0 }
+func (Protocol) ReuseDelay() time.Duration { return 0 }
 
 // verdict is what an error says.
 type verdict struct {
--- a/internal/front/answers.go
+++ b/internal/front/answers.go
@@ -169,7 +169,7 @@
 	for len(out) > 0 {
 		c.SetWriteDeadline(time.Now().Add(answerTime))
 		_, err := out.WriteTo(c.Conn)
-		for end := time.Now().Add(shortTime); sock.Short(err) && time.Now().Before(end); {
+		for end := time.Now().Add(shortTime); sock.IsOutOfBuffers(err) && time.Now().Before(end); {
 			time.Sleep(shortStep)
 			_, err = out.WriteTo(c.Conn)
 		}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -160,7 +160,7 @@
 	c.mu.Lock()
 	over := !c.dropped && c.lastCall()
 	c.mu.Unlock()
-	return !over && sock.Waiting(c.Conn)
+	return !over && sock.HasInput(c.Conn)
 }
 
 // drop ends the connection at once if no request is open: half a command is none.
@@ -188,7 +188,7 @@
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.arrival.before(c.s.e.Now())
 	n, err := c.Conn.Read(b)
-	for end := time.Now().Add(shortTime); n <= 0 && sock.Short(err) && time.Now().Before(end); {
+	for end := time.Now().Add(shortTime); n <= 0 && sock.IsOutOfBuffers(err) && time.Now().Before(end); {
 		time.Sleep(shortStep)
 		n, err = c.Conn.Read(b)
 	}
@@ -218,7 +218,7 @@
 	case c.broken:
 		return false
 	case c.closing && (c.open() == 0 || c.lastCall()): // what has come already is answered
-		return c.r.Buffered() > 0 || !c.lastCall() && sock.Waiting(c.Conn)
+		return c.r.Buffered() > 0 || !c.lastCall() && sock.HasInput(c.Conn)
 	case c.open() > 0:
 		c.SetReadDeadline(time.Time{})
 	default:
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -113,7 +113,7 @@
 				return
 			}
 			slog.Warn("accepting failed", "err", err)
-			if !sock.Pending(err) {
+			if !sock.IsPendingConnError(err) {
 				time.Sleep(acceptPause)
 				away = absence{began, time.Now()}
 			}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -363,9 +363,9 @@
 func newLinks(cfg Setup, limit int) *links {
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	l := &links{backend.NewPool(ms(cfg.Checked.Config.ConnIdle), ms(cfg.Checked.ConnectTimeout), limit), meta.Protocol{}, cfg.Checked.Config.OriginKind,
-		origin.Protocol{Absent: cfg.cluster != nil, Long: cfg.cluster == nil}}
+		origin.Protocol{NotFoundAsAbsent: cfg.cluster != nil, StreamLongValues: cfg.cluster == nil}}
 	if cfg.Links != nil {
-		l.pool.Secure(cfg.Links)
+		l.pool.SetTLS(cfg.Links)
 	}
 	if cfg.cluster != nil {
 		l.cache = cfg.cluster.Protocol()
@@ -376,9 +376,9 @@
 // Link is the way to a server, in the protocol that it speaks.
 func (l *links) Endpoint(s engine.Server) engine.Endpoint {
 	if l.origin != "" && s.Kind == l.origin {
-		return l.pool.Link(s.Addr, l.behind)
+		return l.pool.Endpoint(s.Addr, l.behind)
 	}
-	return l.pool.Link(s.Addr, l.cache)
+	return l.pool.Endpoint(s.Addr, l.cache)
 }
 
 // list takes a list of servers from its source.
