--- a/internal/backend/long.go
+++ b/internal/backend/long.go
@@ -11,28 +11,30 @@
 	"mossproxy.example/mossproxy/internal/engine"
 )
 
-// Bounds on a long value that passes through.
+// Limits on the streaming of a long value.
 const (
-	chunkBytes   = 16 << 10        // bytes of it in memory
-	chunkTimeout = 5 * time.Second // for its server to give the next bytes; who takes them bounds its own time
+	chunkBytes   = 16 << 10        // buffer size per streamed value
+	chunkTimeout = 5 * time.Second // for the server to send the next bytes; the receiver limits its own time
 )
 
-// chunkBuffers are the buffers of values that pass through, as many as there are such values at once.
+// chunkBuffers recycles the buffers of streamed values.
 var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, chunkBytes); return &b }}
 
-// streamedValue is a value on a connection, of which nothing is read. It is an engine.Streamed. The connection's reader waits until it is over.
+// streamedValue is an unread value on a connection. It implements engine.Streamed. The goroutine that reads
+// from the connection waits until done is closed.
 type streamedValue struct {
 	conn    *conn
 	length  int
-	trailer string // behind the value
+	trailer string // protocol text that follows the value
 	done    chan struct{}
 
 	mu       sync.Mutex
-	claimed  bool // by Pass or Drop
-	complete bool // valid once over
+	claimed  bool // by Stream or Discard
+	complete bool // the whole value was copied; valid once done is closed
 }
 
-// streamValue has the caller take the value that follows on the connection, and waits for the end of that. It tells whether the connection goes on.
+// streamValue hands the value that follows on the connection to the handler and waits until it is consumed
+// or discarded. It reports whether the connection was kept.
 func (c *conn) streamValue(w task, reply engine.Reply, last bool) bool {
 	l := &streamedValue{conn: c, length: reply.UnreadBytes, trailer: reply.Trailer, done: make(chan struct{})}
 	wanted := w.canceler.Detach() && c.target.pool.addStream(l)
@@ -46,12 +48,12 @@
 	c.finishTask()
 	kept := c.target.pool.put(c, reuse)
 	if !wanted {
-		w.handler.Done(engine.Reply{Status: decide.Reset, Load: reply.Load}) // given up meanwhile: a late result
+		w.handler.Done(engine.Reply{Status: decide.Reset, Load: reply.Load}) // canceled in the meantime
 	}
 	return kept
 }
 
-// addStream books a value, false where the pool has ended.
+// addStream registers a streamed value. It returns false if the pool is closed.
 func (u *Pool) addStream(l *streamedValue) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -67,7 +69,7 @@
 	delete(u.streams, l)
 }
 
-// takeIdle says whether the caller is the first.
+// claim reports whether this is the first call of Stream or Discard.
 func (l *streamedValue) claim() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,20 +78,21 @@
 	return first
 }
 
-// Len is engine.Streamed's.
+// Len returns the length of the value in bytes.
 func (l *streamedValue) Len() int { return l.length }
 
-// Drop is engine.Streamed's.
+// Discard gives the value up, which closes its connection. It has no effect after Stream.
 func (l *streamedValue) Discard() {
 	if l.claim() {
 		close(l.done)
 	}
 }
 
-// Pass is engine.Streamed's.
+// Stream copies the value to a writer. It fails if the value was claimed before, if the writer fails or if
+// the server does not send the whole value in time.
 func (l *streamedValue) Stream(to io.Writer) error {
 	if !l.claim() {
-		return errors.New("long value: dropped")
+		return errors.New("long value: already streamed or discarded")
 	}
 	defer close(l.done)
 	if err := l.copyTo(to); err != nil {
@@ -101,23 +104,23 @@
 
 func (l *streamedValue) copyTo(to io.Writer) error {
 	c := l.conn
-	c.readBudget, c.deadlineSet = l.length+len(l.trailer), true // its time is bounded here from now on
+	c.readBudget, c.deadlineSet = l.length+len(l.trailer), true // from here on, copyTo sets the read deadline
 	buf := chunkBuffers.Get().(*[]byte)
 	defer chunkBuffers.Put(buf)
 	for left := l.length; left > 0; {
 		c.SetReadDeadline(time.Now().Add(chunkTimeout))
 		n, err := c.in.Read((*buf)[:min(left, chunkBytes)])
 		if _, werr := to.Write((*buf)[:n]); werr != nil {
-			return fmt.Errorf("long value: taking it: %w", werr)
+			return fmt.Errorf("long value: writing to the receiver: %w", werr)
 		}
 		if left -= n; err != nil && left > 0 {
-			return fmt.Errorf("long value: %d of %d bytes are missing: %w", left, l.length, err)
+			return fmt.Errorf("long value: %d of %d bytes missing: %w", left, l.length, err)
 		}
 	}
 	c.SetReadDeadline(time.Now().Add(chunkTimeout))
 	end := make([]byte, len(l.trailer))
 	if _, err := io.ReadFull(c.in, end); err != nil || string(end) != l.trailer {
-		return fmt.Errorf("long value: its end is %q: %w", end, errors.Join(err, io.ErrUnexpectedEOF))
+		return fmt.Errorf("long value: unexpected trailer %q: %w", end, errors.Join(err, io.ErrUnexpectedEOF))
 	}
 	return nil
 }
--- a/internal/backend/meta/meta.go
+++ b/internal/backend/meta/meta.go
@@ -1,4 +1,4 @@
-// Package meta speaks the memcache meta text protocol to cache servers.
+// Package meta implements the memcache meta text protocol for connections to cache servers.
 package meta
 
 import (
@@ -11,10 +11,10 @@
 	"mossproxy.example/mossproxy/internal/settings"
 )
 
-// Protocol is a backend.Protocol.
+// Protocol implements backend.Protocol.
 type Protocol struct{}
 
-// newCommand is a request in the protocol's terms.
+// newCommand converts a request to a meta command.
 func newCommand(r *engine.Request) *meta.Command {
 	verb := "mg"
 	if r.Write {
@@ -23,17 +23,17 @@
 	return &meta.Command{Verb: verb, Key: r.Key, ID: r.ID, Facts: r.Facts, Value: r.Value}
 }
 
-// Command is the request as a cache server gets it: as it came, but for the deadline.
+// Command encodes a request as the client sent it, except for the deadline, which is that of the attempt.
 func (Protocol) Command(_ string, r *engine.Request, try engine.Try) ([]byte, error) {
 	return newCommand(r).Append(nil, try.DeadlineMS), nil
 }
 
-// statusByKind of the answers.
+// statusByKind maps the kind of an answer to the status of the attempt.
 var statusByKind = map[meta.Kind]decide.Status{meta.Done: decide.OK, meta.Miss: decide.Miss, meta.Busy: decide.QueueFull, meta.Failed: decide.Failed}
 
-// Answer reads the answer to a request.
+// ReadAnswer reads the answer to a request.
 func (Protocol) ReadAnswer(in *bufio.Reader, _ string, r *engine.Request, _ engine.Try) (engine.Reply, bool, error) {
-	a, err := meta.ReadAnswer(in, newCommand(r)) // an answer that can't be used may still tell the load
+	a, err := meta.ReadAnswer(in, newCommand(r)) // an invalid answer may still carry a load report
 	reply := engine.Reply{Status: statusByKind[a.Kind], Body: a.Body, CacheResult: a.Note, Load: settings.ParseLoad(a.Report)}
 	if a.Long > 0 {
 		reply.UnreadBytes, reply.Trailer = a.Long, "\r\n"
@@ -41,16 +41,16 @@
 	return reply, false, err
 }
 
-// Open writes nothing: a connection is used as it is.
+// Preamble returns nil: the protocol needs no connection setup.
 func (Protocol) Preamble() []byte { return nil }
 
-// Opened reads nothing.
+// ReadPreambleReply reads nothing, as there is no preamble.
 func (Protocol) ReadPreambleReply(*bufio.Reader) error { return nil }
 
-// Probe asks for the load.
+// Probe returns the command that requests the load.
 func (Protocol) Probe(string) string { return "stats load\r\n" }
 
-// Load reads the load.
+// ReadLoad reads the answer to a probe.
 func (Protocol) ReadLoad(in *bufio.Reader) (decide.Load, error) {
 	report, err := meta.ReadStats(in)
 	if err != nil {
@@ -59,5 +59,5 @@
 	return settings.ParseLoad(report), nil
 }
 
-// Rest is none: answers carry the id of their request.
+// ReuseDelay returns 0: answers carry the id of their request, so a duplicate is recognized.
 func (Protocol) ReuseDelay() time.Duration { return 0 }
--- a/internal/backend/origin/origin.go
+++ b/internal/backend/origin/origin.go
@@ -1,4 +1,4 @@
-// Package origin speaks HTTP/1.1 to the origin.
+// Package origin implements HTTP/1.1 for connections to the origin.
 package origin
 
 import (
@@ -19,23 +19,24 @@
 )
 
 const (
-	maxHeaderBytes   = 16 << 10 // bytes of a status line and headers
-	maxInformational = 8        // 1xx answers ahead of the answer
+	maxHeaderBytes   = 16 << 10 // size of a status line and headers
+	maxInformational = 8        // 1xx responses ahead of the final response
 )
 
-// reuseDelay is how long a connection rests after an answer: see backend.Protocol.
+// reuseDelay is the minimum time between an answer and the next request on its connection: see
+// backend.Protocol.
 const reuseDelay = 20 * time.Millisecond
 
-// Protocol is a backend.Protocol.
+// Protocol implements backend.Protocol.
 type Protocol struct {
-	StreamLongValues bool // values that are long are left to the caller
-	NotFoundAsAbsent bool // status 404 to a read says that there is no value, and is an answer; else it is a failure
+	StreamLongValues bool // leave the bodies of long values unread, for the caller to stream
+	NotFoundAsAbsent bool // treat status 404 to a read as a valid answer "no value" rather than as a failure
 }
 
-// cacheResultNoValue is the note of such an answer.
+// cacheResultNoValue is the cache result of an answer without a value (NotFoundAsAbsent).
 const cacheResultNoValue = 4
 
-// Command is the request in the origin's HTTP. The deadline among its facts is what the client has left.
+// Command encodes a request as HTTP. The deadline among its facts is the time that the client has left.
 func (Protocol) Command(addr string, q *engine.Request, try engine.Try) ([]byte, error) {
 	facts := string(meta.AppendFacts(nil, q.Facts, try.DeadlineMS))
 	r := &http.Request{Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: addr, Path: "/" + q.Key},
@@ -51,19 +52,19 @@
 	return b.Bytes(), nil
 }
 
-// Open writes nothing: a connection is used as it is.
+// Preamble returns nil: HTTP needs no connection setup.
 func (Protocol) Preamble() []byte { return nil }
 
-// Opened reads nothing.
+// ReadPreambleReply reads nothing, as there is no preamble.
 func (Protocol) ReadPreambleReply(*bufio.Reader) error { return nil }
 
-// Probe asks for the load.
+// Probe returns the request for the load.
 func (Protocol) Probe(addr string) string { return "GET /load HTTP/1.1\r\nHost: " + addr + "\r\n\r\n" }
 
-// Rest is long enough for a second copy of an answer to show.
+// ReuseDelay is long enough for a duplicate of an answer to arrive and be noticed.
 func (Protocol) ReuseDelay() time.Duration { return reuseDelay }
 
-// readHead reads a status line and headers, up to a bound, which the library sets nowhere.
+// readHead reads a status line and headers of at most maxHeaderBytes. net/http sets no limit here.
 func readHead(r *bufio.Reader) ([]byte, error) {
 	var head []byte
 	for {
@@ -77,7 +78,8 @@
 		if len(head) == 0 && !bytes.HasPrefix(line, []byte("HTTP/1.")) {
 			return nil, meta.Malformed("origin answer %.40q", line)
 		}
-		// A load report that can't be read spoils no answer: the library would reject all of it for one byte.
+		// Replace control characters, so that a malformed load report does not spoil the answer: net/http
+		// would reject the whole response because of one byte.
 		for i, b := range line[:len(line)-1] {
 			if (b < ' ' || b == 0x7f) && b != '\t' && b != '\r' {
 				line[i] = '?'
@@ -89,8 +91,8 @@
 	}
 }
 
-// readResponse reads an answer of the origin with its body. The body is read here, as the library's Close would read
-// an unwanted one to its end, however long that is.
+// readResponse reads an answer of the origin with its body, unless the body is to be streamed. The body is
+// read here because the Close of net/http would read an unwanted one to its end, however long that is.
 func readResponse(r *bufio.Reader, method string, long bool) (*http.Response, []byte, error) {
 	for range maxInformational {
 		head, err := readHead(r)
@@ -114,7 +116,8 @@
 	return nil, nil, meta.Malformed("over %d provisional answers", maxInformational)
 }
 
-// readBody reads the body that an answer announces. One without a length ends with the connection: a reset there is no end.
+// readBody reads the body that the headers announce. A body without a length ends with the connection; a
+// reset of the connection is an error, not an end.
 func readBody(r *bufio.Reader, resp *http.Response) ([]byte, error) {
 	n := resp.ContentLength
 	chunked := slices.Contains(resp.TransferEncoding, "chunked")
@@ -143,7 +146,7 @@
 	}
 }
 
-// readToEnd reads what comes until the other side ends the connection.
+// readToEnd reads a body that ends when the server closes the connection.
 func readToEnd(r *bufio.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, meta.MaxValue+1))
 	if err != nil {
@@ -155,7 +158,7 @@
 	return body, nil
 }
 
-// Answer reads the origin's answer to a request.
+// ReadAnswer reads the answer to a request.
 func (p Protocol) ReadAnswer(in *bufio.Reader, _ string, q *engine.Request, _ engine.Try) (a engine.Reply, last bool, err error) {
 	a.Load = decide.NoLoad
 	method := http.MethodGet
@@ -180,18 +183,18 @@
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Unprocessed") == "1":
 		a.Status = decide.QueueFull
-	default: // a bare 503 too: without the header it may have run
+	default: // also 503 without the X-Unprocessed header: the request may have run
 		a.Status = decide.Failed
 	}
 	return a, resp.Close, nil
 }
 
-// isReceipt says whether a receipt can stand in an answer's line.
+// isReceipt reports whether a write receipt can be sent within the line of an answer.
 func isReceipt(b []byte) bool {
 	return len(b) > 0 && len(b) < meta.MaxLine/2 && !bytes.ContainsFunc(b, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// Load reads the load.
+// ReadLoad reads the answer to a probe.
 func (Protocol) ReadLoad(r *bufio.Reader) (decide.Load, error) {
 	resp, _, err := readResponse(r, http.MethodGet, false)
 	if err != nil {
--- a/internal/backend/tls.go
+++ b/internal/backend/tls.go
@@ -9,41 +9,45 @@
 	"time"
 )
 
-// TLS is the material of links to servers as it is now. nil = links are plain.
+// TLS provides the current TLS configuration for connections to servers. A nil TLS means plain connections.
 type TLS interface {
-	Client() *tls.Config // for one more connection
-	Serial() int         // grows with each other material: connections of before are used up and not kept
+	Client() *tls.Config // configuration of the next connection
+	// Serial grows with each change of the configuration. Connections made under an earlier one finish
+	// their attempt and are not kept.
+	Serial() int
 }
 
-// tlsConn is the TLS of one connection. What it reads and writes goes through the conn below, which looks at the socket itself: so
-// input while there is no work ends a connection, as without TLS, and a command is written without waiting.
+// tlsConn is the TLS layer of one connection. It reads and writes through the conn below, which accesses
+// the socket itself. So, as without TLS, input on a connection without a task ends the connection, and a
+// command is written without blocking.
 //
-// Writes are gathered while held is set: the command's records leave in one system call of launch, which is where it is settled
-// whether they leave at all. mu keeps records in their order: from the sealing of a command until its last byte is out, nothing else
-// (the answer to a key update, an alert) is written.
+// While buffering is set, writes are collected in records, so that conn.writeCommand sends all records of a
+// command in one system call, at the point where it decides whether to send them at all. mu keeps records in
+// order: from the encryption of a command until its last byte is written, nothing else (the answer to a key
+// update, an alert) is written.
 type tlsConn struct {
 	*tls.Conn
 	c *conn
 
-	header     [5]byte // of the record that is being read
-	headerRead int     // how much of it is there
-	recordLeft int     // bytes of the record that are to come
-	unread     []byte  // of the last record, what nobody has read yet
-	plaintext  []byte  // its memory
+	header     [5]byte // of the record being read
+	headerRead int     // bytes of header that have been read
+	recordLeft int     // bytes of the record that have not been read
+	unread     []byte  // plaintext of the last record that has not been consumed
+	plaintext  []byte  // buffer that holds unread
 
-	mu        sync.Mutex // of writes to the socket
-	buffering bool       // guarded by mu, or by who has it
-	records   []byte     // records that are gathered
+	mu        sync.Mutex // guards writes to the socket
+	buffering bool       // guarded by mu
+	records   []byte     // encrypted records of a command; guarded by mu
 }
 
-// tlsTransport is the connection as the TLS above it sees it.
+// tlsTransport is the connection as the TLS layer sees it.
 type tlsTransport struct {
 	net.Conn
 	tls *tlsConn
 }
 
-// Read reads records, by the conn's rules, and never beyond the one that is asked for: what is behind it stays in the socket, where
-// the conn sees it.
+// Read reads records with the limits of conn.Read and never past the current record: later input stays in
+// the socket, where the conn notices it.
 func (k tlsTransport) Read(b []byte) (int, error) {
 	s := k.tls
 	if s.recordLeft > 0 {
@@ -59,10 +63,10 @@
 	return n, err
 }
 
-// maxPlaintextBytes is the longest text of a record (RFC 8446, 5.1).
+// maxPlaintextBytes is the maximum plaintext length of a record (RFC 8446, section 5.1).
 const maxPlaintextBytes = 16 << 10
 
-// Read reads a record's text whole and hands it out, so that pending tells what is left of it.
+// Read decrypts a whole record and returns it piecewise, so that hasUnread can tell whether some is left.
 func (s *tlsConn) Read(b []byte) (int, error) {
 	if len(s.unread) == 0 {
 		if s.plaintext == nil {
@@ -79,12 +83,12 @@
 	return n, nil
 }
 
-// hasUnread says whether some of a record was not read.
+// hasUnread reports whether part of a decrypted record has not been consumed.
 func (s *tlsConn) hasUnread() bool { return s != nil && len(s.unread) > 0 }
 
-// Write gathers records of a command; what the TLS has to say by itself is written at once.
+// Write collects the records of a command. Records that the TLS layer sends on its own are written at once.
 func (k tlsTransport) Write(b []byte) (int, error) {
-	if k.tls.buffering { // by seal, on whose goroutine this runs
+	if k.tls.buffering { // set by encrypt, which runs on this goroutine
 		k.tls.records = append(k.tls.records, b...)
 		return len(b), nil
 	}
@@ -93,7 +97,8 @@
 	return k.Conn.Write(b)
 }
 
-// handshake makes a connection one with TLS, within a time. Its input is nobody's answer until the first command.
+// handshake establishes TLS on the connection within a time limit. Input is not treated as an unexpected
+// answer until the first command is written.
 func (c *conn) handshake(ctx context.Context, cfg *tls.Config, within time.Duration) error {
 	cfg, err := configFor(cfg, c.target.addr)
 	if err != nil {
@@ -115,7 +120,8 @@
 	return nil
 }
 
-// configFor is the configuration for the server at an address: what it must prove is its host, where nothing else is said.
+// configFor returns the configuration for the server at addr. Unless cfg names a server, the certificate must
+// be valid for the host of addr.
 func configFor(cfg *tls.Config, addr string) (*tls.Config, error) {
 	if cfg.ServerName != "" {
 		return cfg, nil
@@ -129,7 +135,7 @@
 	return cfg, nil
 }
 
-// WrapTLS makes a connection to the server at an address one with TLS, where links have any.
+// WrapTLS establishes TLS on a connection to the server at addr. If t is nil, it returns c unchanged.
 func WrapTLS(ctx context.Context, c net.Conn, t TLS, addr string) (net.Conn, error) {
 	if t == nil {
 		return c, nil
@@ -145,13 +151,13 @@
 	return s, nil
 }
 
-// encrypt gives a command's records. The caller has mu.
+// encrypt returns a command's TLS records, valid until the next call. The caller holds mu.
 func (s *tlsConn) encrypt(b []byte) ([]byte, error) {
 	s.buffering, s.records = true, s.records[:0]
 	_, err := s.Conn.Write(b)
 	s.buffering = false
 	if err != nil {
-		return nil, fmt.Errorf("sealing: %w", err)
+		return nil, fmt.Errorf("encrypting: %w", err)
 	}
 	return s.records, nil
 }
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -1,4 +1,4 @@
-// Package sock looks at sockets without reading from them.
+// Package sock inspects the state of sockets without consuming their input.
 package sock
 
 import (
@@ -11,28 +11,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// HasInput reports whether there is something to read on a connection.
+// HasInput reports whether a connection has unread input.
 func HasInput(c net.Conn) bool {
 	n, err := Peek(c)
 	return err == nil && n > 0
 }
 
-// IsOutOfBuffers reports whether an error says that the system lacks memory or buffers just now: the connection is as it was, and the same
-// call may do later.
+// IsOutOfBuffers reports whether err says that the system is temporarily out of memory or socket buffers.
+// The connection is unaffected, and the same call may succeed later.
 func IsOutOfBuffers(err error) bool {
 	return errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// pendingConnErrors are the errors of a connection that has not been accepted yet, which accept gives in its place (accept(2)).
+// pendingConnErrors are the network errors of a connection still in the accept queue, which accept returns
+// as its own errors (accept(2)).
 var pendingConnErrors = []syscall.Errno{syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.ETIMEDOUT}
 
-// IsPendingConnError reports whether an error of accept is that of the one connection that would have been accepted.
+// IsPendingConnError reports whether an error of accept concerns only the connection that would have been
+// accepted, not the listener.
 func IsPendingConnError(err error) bool {
 	return slices.ContainsFunc(pendingConnErrors, func(e syscall.Errno) bool { return errors.Is(err, e) })
 }
 
-// Closed reports whether the other side has closed a connection, or this one has, also behind input that nobody has read.
+// Closed reports whether either side has closed a connection, even if unread input precedes the end.
 func Closed(c net.Conn) bool {
 	if t, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = t.NetConn()
@@ -52,7 +54,7 @@
 	return events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// pollFD gives what is there at once on a descriptor, nothing where that can't be said.
+// pollFD returns the poll events that are pending on a descriptor, or 0 if polling fails. It does not block.
 func pollFD(fd uintptr) int16 {
 	p := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	for {
@@ -67,9 +69,10 @@
 	}
 }
 
-// Peek looks for input on a connection without taking it or waiting for it.
+// Peek returns how many bytes (0 or 1) can be read from a connection, without consuming them or blocking.
+// At the end of the input it returns 0 and no error.
 func Peek(c net.Conn) (n int, err error) {
-	if t, ok := c.(interface{ NetConn() net.Conn }); ok { // of TLS: records, which may or may not hold what is read
+	if t, ok := c.(interface{ NetConn() net.Conn }); ok { // input is TLS records, possibly without payload
 		c = t.NetConn()
 	}
 	sc, ok := c.(syscall.Conn)
@@ -80,7 +83,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("peeking: %w", err)
 	}
-	if ctl := raw.Control(func(fd uintptr) { // not Read, which fails once the time for reading is up
+	if ctl := raw.Control(func(fd uintptr) { // not Read, which fails once the read deadline has passed
 		n, err = peekFD(fd)
 	}); ctl != nil {
 		return 0, fmt.Errorf("peeking: %w", ctl)
@@ -94,19 +97,20 @@
 	return n, err
 }
 
-// IsIdleFD is Quiet for a descriptor, within a call of a syscall.RawConn.
+// IsIdleFD is IsIdle for a descriptor. It must be called within a call of a syscall.RawConn.
 func IsIdleFD(fd uintptr) bool {
 	_, err := peekFD(fd)
 	return isIdle(err)
 }
 
-// IsIdle reports whether a connection is open and has nothing to read: an end, a reset or a stray answer is something.
+// IsIdle reports whether a connection is open and has nothing to read. Unread input, an end of input and a
+// reset all make it false.
 func IsIdle(c net.Conn) bool {
 	_, err := Peek(c)
 	return isIdle(err)
 }
 
-// isIdle says whether a look found neither input nor an end.
+// isIdle reports whether a peek with this error found neither input nor the end of the connection.
 func isIdle(err error) bool {
 	return errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 }
