--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -81,18 +81,18 @@
 const maxLineBytes = 4096
 
 // newConn is a connection of a target that has just been opened.
-func newConn(t *target, opened net.Conn) (*conn, error) {
-	sc, ok := opened.(syscall.Conn)
+func newConn(t *target, netConn net.Conn) (*conn, error) {
+	sc, ok := netConn.(syscall.Conn)
 	if !ok {
-		opened.Close()
+		netConn.Close()
 		return nil, errors.ErrUnsupported
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		opened.Close()
+		netConn.Close()
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
-	c := &conn{Conn: opened, target: t, raw: raw, unused: true}
+	c := &conn{Conn: netConn, target: t, raw: raw, unused: true}
 	c.abort = func() { raw.Control(shutdown) } //nolint:errcheck // it has been closed already
 	c.readOp.run, c.writeOp.run = c.readSocket, c.writeCommand
 	c.in = bufio.NewReaderSize(c, maxLineBytes)
@@ -189,30 +189,30 @@
 func (r startResult) connReusable() bool { return r == canceled || r == unsupported }
 
 // start begins work on a connection that was taken from the pool, without waiting for the socket.
-func (c *conn) start(w task) startResult {
-	w.canceler.OnCancel(c.abort) // ahead of all else: the answer may be read before this returns
-	got := c.startLocked(w)
+func (c *conn) start(work task) startResult {
+	work.canceler.OnCancel(c.abort) // ahead of all else: the answer may be read before this returns
+	got := c.startLocked(work)
 	if got != started {
-		w.canceler.Detach()
+		work.canceler.Detach()
 	}
 	return got
 }
 
 // startTask is start with the lock held.
-func (c *conn) startLocked(w task) startResult {
+func (c *conn) startLocked(work task) startResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dead {
 		return unusable
 	}
-	w.opening = c.unused
+	work.opening = c.unused
 	if c.tls != nil && !c.tls.mu.TryLock() { // the TLS writes something of its own just now, which the engine does not wait for
 		return unusable
 	}
-	c.task = w
+	c.task = work
 	c.writeOp.buf, c.writeOp.n, c.writeOp.err = nil, 0, nil
 	err := c.raw.Write(c.writeOp.run)
-	wire := c.writeOp.buf // with TLS, its records
+	encoded := c.writeOp.buf // with TLS, its records
 	c.writeOp.buf = nil
 	got := c.writeResult(err)
 	if got != started {
@@ -221,13 +221,13 @@
 		return got
 	}
 	c.unused, c.busy, c.remainder = false, true, nil
-	if c.writeOp.n < len(wire) {
+	if c.writeOp.n < len(encoded) {
 		c.remainder = &remainder{done: make(chan struct{})}
-		go c.writeRemainder(wire[c.writeOp.n:], c.remainder, c.task.try.WriteBy, w.handler)
+		go c.writeRemainder(encoded[c.writeOp.n:], c.remainder, c.task.try.WriteBy, work.handler)
 		return started
 	}
 	c.releaseTLS()
-	w.handler.Written()
+	work.handler.Written()
 	return started
 }
 
@@ -250,45 +250,45 @@
 // writeCommand makes and writes the command of the work, after a last look: an end, a reset or a stray answer makes a connection useless, and
 // a request written to it would end as a reset, or be given what was meant for nobody.
 func (c *conn) writeCommand(fd uintptr) bool {
-	t := &c.writeOp
+	op := &c.writeOp
 	if !sock.IsIdleFD(fd) && (c.tls == nil || !c.unused) { // behind a handshake come tickets
-		t.err = errUnusable
+		op.err = errUnusable
 		return true
 	}
 	var wanted bool
 	if c.task.try, wanted = c.task.handler.Begin(); !wanted {
-		t.err = errCanceled
+		op.err = errCanceled
 		return true
 	}
-	if t.buf, t.err = c.encodeCommand(); t.err != nil {
+	if op.buf, op.err = c.encodeCommand(); op.err != nil {
 		return true
 	}
 	if c.tls != nil {
-		if t.buf, t.err = c.tls.encrypt(t.buf); t.err != nil {
+		if op.buf, op.err = c.tls.encrypt(op.buf); op.err != nil {
 			return true
 		}
 	}
-	n, err := syscall.Write(int(fd), t.buf)
-	if t.n = max(n, 0); err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
-		t.err = fmt.Errorf("writing: %w", err)
+	n, err := syscall.Write(int(fd), op.buf)
+	if op.n = max(n, 0); err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
+		op.err = fmt.Errorf("writing: %w", err)
 	}
 	return true
 }
 
 // encodeCommand is what the work writes.
 func (c *conn) encodeCommand() ([]byte, error) {
-	w := &c.task
-	wire := []byte(w.probe)
-	if w.request != nil {
+	work := &c.task
+	encoded := []byte(work.probe)
+	if work.request != nil {
 		var err error
-		if wire, err = c.target.proto.Command(c.target.addr, w.request, w.try); err != nil {
+		if encoded, err = c.target.proto.Command(c.target.addr, work.request, work.try); err != nil {
 			return nil, fmt.Errorf("%w: %w", errUnsupported, err)
 		}
 	}
-	if w.opening {
-		wire = append(c.target.proto.Preamble(), wire...)
+	if work.opening {
+		encoded = append(c.target.proto.Preamble(), encoded...)
 	}
-	return wire, nil
+	return encoded, nil
 }
 
 // writeResult says what became of launch, which did not run where err is the socket's.
@@ -307,12 +307,12 @@
 }
 
 // writeRemainder writes the rest of a command by a time. Without its last byte the server has not begun it.
-func (c *conn) writeRemainder(wire []byte, r *remainder, by time.Time, caller engine.AttemptHandler) {
+func (c *conn) writeRemainder(encoded []byte, r *remainder, deadline time.Time, handler engine.AttemptHandler) {
 	defer close(r.done)
 	defer c.releaseTLS()
-	err := c.SetWriteDeadline(by)
+	err := c.SetWriteDeadline(deadline)
 	if err == nil {
-		_, err = c.Conn.Write(wire)
+		_, err = c.Conn.Write(encoded)
 	}
 	if err == nil {
 		err = c.SetWriteDeadline(time.Time{})
@@ -322,7 +322,7 @@
 		c.Close() // no answer can be trusted now
 		return
 	}
-	caller.Written()
+	handler.Written()
 }
 
 // serve reads from the connection until it ends. The pool's goroutine that has opened it becomes this.
@@ -341,9 +341,9 @@
 		c.target.pool.discard(c)
 		return false
 	}
-	w, r := c.task, c.remainder
+	work, r := c.task, c.remainder
 	c.mu.Unlock()
-	reply, last, err := c.readAnswer(w, err)
+	reply, last, err := c.readAnswer(work, err)
 	if r != nil {
 		<-r.done
 		if r.err != nil {
@@ -351,12 +351,12 @@
 		}
 	}
 	if err == nil && reply.UnreadBytes > 0 {
-		return c.streamValue(w, reply, last)
+		return c.streamValue(work, reply, last)
 	}
 	reuse := err == nil && !last && c.readyForReuse()
 	c.finishTask()
-	kept := c.target.pool.put(c, w.canceler.Detach() && reuse)
-	w.handler.Done(reply)
+	kept := c.target.pool.put(c, work.canceler.Detach() && reuse)
+	work.handler.Done(reply)
 	return kept
 }
 
@@ -368,22 +368,22 @@
 }
 
 // readAnswer reads the answer to some work, of which the first byte is there, or err instead.
-func (c *conn) readAnswer(w task, err error) (a engine.Reply, last bool, _ error) {
+func (c *conn) readAnswer(work task, err error) (a engine.Reply, last bool, _ error) {
 	a.Load = decide.NoLoad
 	if err != nil { // ended after the last byte: it may have run
 		a.Status = decide.Reset
 		return a, true, err
 	}
-	if w.opening {
+	if work.opening {
 		err = c.target.proto.ReadPreambleReply(c.in)
 	}
 	switch {
 	case err != nil:
-	case w.request == nil:
+	case work.request == nil:
 		a.Status = decide.OK
 		a.Load, err = c.target.proto.ReadLoad(c.in)
 	default:
-		a, last, err = c.target.proto.ReadAnswer(c.in, c.target.addr, w.request, w.try)
+		a, last, err = c.target.proto.ReadAnswer(c.in, c.target.addr, work.request, work.try)
 	}
 	if err == nil && a.UnreadBytes > 0 { // its first bytes are there before anybody is told: until then it can be tried again
 		_, err = c.in.Peek(1)
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -19,11 +19,11 @@
 }
 
 // newFakeServer is a target whose server is the test itself, and its next connections.
-func newFakeServer(t *testing.T, isOrigin bool) (u *Pool, at *target, accept func() fakeServer) {
+func newFakeServer(t *testing.T, isOrigin bool) (pool *Pool, at *target, accept func() fakeServer) {
 	t.Helper()
 	ln := listenLocal(t)
-	u = testPool(t, 10*time.Second, 10)
-	return u, u.add(ln.Addr().String(), protocolFor(isOrigin)), func() fakeServer {
+	pool = testPool(t, 10*time.Second, 10)
+	return pool, pool.add(ln.Addr().String(), protocolFor(isOrigin)), func() fakeServer {
 		t.Helper()
 		ln.(*net.TCPListener).SetDeadline(time.Now().Add(wait))
 		c, err := ln.Accept()
@@ -58,10 +58,10 @@
 }
 
 // startAttempt begins an attempt, which must not be over at once.
-func startAttempt(t *testing.T, at *target, stop *engine.Canceler, r *engine.Request) <-chan engine.Reply {
+func startAttempt(t *testing.T, at *target, canceler *engine.Canceler, r *engine.Request) <-chan engine.Reply {
 	t.Helper()
 	a := attemptHandler{probeHandler{make(chan engine.Reply, 1)}, always}
-	if got, known := at.Attempt(stop, r, a); known {
+	if got, known := at.Attempt(canceler, r, a); known {
 		t.Fatalf("over at once: %v", got.Status)
 	}
 	return a.result
@@ -94,13 +94,13 @@
 
 // The end of a kept connection shows at once, with nobody looking.
 func TestEndOfAKeptConnectionIsSeenAtOnce(t *testing.T) {
-	u, at, accept := newFakeServer(t, false)
+	pool, at, accept := newFakeServer(t, false)
 	p := keepConn(t, at, accept)
 	p.Close()
 	waitUntil(t, "a connection that has ended is counted", func() bool {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		return u.open == 0 && len(at.idle) == 0
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return pool.open == 0 && len(at.idle) == 0
 	})
 }
 
@@ -145,7 +145,7 @@
 
 // A server that answers before it has all of a command, and reads no further, has not got it: nothing has run.
 func TestAnswerToHalfACommandIsNone(t *testing.T) {
-	u, at, accept := newFakeServer(t, false)
+	pool, at, accept := newFakeServer(t, false)
 	p := keepConn(t, at, accept)
 	came := startAttempt(t, at, &engine.Canceler{}, largePut())
 	p.readCommand()
@@ -155,10 +155,10 @@
 	if got := next(t, came, "end"); got.Status != decide.ConnectError {
 		t.Errorf("got %v: the last byte was never out", got.Status)
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.open != 0 {
-		t.Errorf("%d connections are still counted", u.open)
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if pool.open != 0 {
+		t.Errorf("%d connections are still counted", pool.open)
 	}
 }
 
@@ -223,7 +223,7 @@
 // Attempts, ends of connections and attempts that are given up at once and together: each is told its end once, none gets
 // another's value, and every connection is booked.
 func TestAttemptsOverConnectionsThatEnd(t *testing.T) {
-	u := testPool(t, 10*time.Second, 8)
+	pool := testPool(t, 10*time.Second, 8)
 	const own = "VA 3 O{id} h1\r\n{id}\r\n"
 	f := startFake(t, func(line string) string {
 		switch line = strings.TrimSpace(line); {
@@ -236,7 +236,7 @@
 		}
 		return own
 	})
-	at := u.add(f.Addr, protocolFor(false))
+	at := pool.add(f.Addr, protocolFor(false))
 	const each, askers = 200, 6
 	ended := make(chan int, askers)
 	for a := range askers {
@@ -264,8 +264,8 @@
 		}
 	}
 	waitUntil(t, "connections are booked that are neither kept nor at work", func() bool {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		return u.open == len(at.idle) && at.open == u.open
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return pool.open == len(at.idle) && at.open == pool.open
 	})
 }
--- a/internal/backend/long.go
+++ b/internal/backend/long.go
@@ -35,12 +35,12 @@
 
 // streamValue hands the value that follows on the connection to the handler and waits until it is consumed
 // or discarded. It reports whether the connection was kept.
-func (c *conn) streamValue(w task, reply engine.Reply, last bool) bool {
+func (c *conn) streamValue(work task, reply engine.Reply, last bool) bool {
 	l := &streamedValue{conn: c, length: reply.UnreadBytes, trailer: reply.Trailer, done: make(chan struct{})}
-	wanted := w.canceler.Detach() && c.target.pool.addStream(l)
+	wanted := work.canceler.Detach() && c.target.pool.addStream(l)
 	if wanted {
 		reply.Streamed = l
-		w.handler.Done(reply)
+		work.handler.Done(reply)
 		<-l.done
 		c.target.pool.removeStream(l)
 	}
@@ -48,25 +48,25 @@
 	c.finishTask()
 	kept := c.target.pool.put(c, reuse)
 	if !wanted {
-		w.handler.Done(engine.Reply{Status: decide.Reset, Load: reply.Load}) // canceled in the meantime
+		work.handler.Done(engine.Reply{Status: decide.Reset, Load: reply.Load}) // canceled in the meantime
 	}
 	return kept
 }
 
 // addStream registers a streamed value. It returns false if the pool is closed.
-func (u *Pool) addStream(l *streamedValue) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if !u.closed {
-		u.streams[l] = struct{}{}
+func (pool *Pool) addStream(l *streamedValue) bool {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if !pool.closed {
+		pool.streams[l] = struct{}{}
 	}
-	return !u.closed
+	return !pool.closed
 }
 
-func (u *Pool) removeStream(l *streamedValue) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.streams, l)
+func (pool *Pool) removeStream(l *streamedValue) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	delete(pool.streams, l)
 }
 
 // claim reports whether this is the first call of Stream or Discard.
@@ -107,20 +107,20 @@
 	c.readBudget, c.deadlineSet = l.length+len(l.trailer), true // from here on, copyTo sets the read deadline
 	buf := chunkBuffers.Get().(*[]byte)
 	defer chunkBuffers.Put(buf)
-	for left := l.length; left > 0; {
+	for remaining := l.length; remaining > 0; {
 		c.SetReadDeadline(time.Now().Add(chunkTimeout))
-		n, err := c.in.Read((*buf)[:min(left, chunkBytes)])
-		if _, werr := to.Write((*buf)[:n]); werr != nil {
-			return fmt.Errorf("long value: writing to the receiver: %w", werr)
+		n, err := c.in.Read((*buf)[:min(remaining, chunkBytes)])
+		if _, writeErr := to.Write((*buf)[:n]); writeErr != nil {
+			return fmt.Errorf("long value: writing to the receiver: %w", writeErr)
 		}
-		if left -= n; err != nil && left > 0 {
-			return fmt.Errorf("long value: %d of %d bytes missing: %w", left, l.length, err)
+		if remaining -= n; err != nil && remaining > 0 {
+			return fmt.Errorf("long value: %d of %d bytes missing: %w", remaining, l.length, err)
 		}
 	}
 	c.SetReadDeadline(time.Now().Add(chunkTimeout))
-	end := make([]byte, len(l.trailer))
-	if _, err := io.ReadFull(c.in, end); err != nil || string(end) != l.trailer {
-		return fmt.Errorf("long value: unexpected trailer %q: %w", end, errors.Join(err, io.ErrUnexpectedEOF))
+	trailer := make([]byte, len(l.trailer))
+	if _, err := io.ReadFull(c.in, trailer); err != nil || string(trailer) != l.trailer {
+		return fmt.Errorf("long value: unexpected trailer %q: %w", trailer, errors.Join(err, io.ErrUnexpectedEOF))
 	}
 	return nil
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -63,72 +63,72 @@
 // NewPool keeps at most limit connections to all servers together. Servers close connections that stand idle for
 // connIdle; one that is not up within connectTimeout has failed.
 func NewPool(connIdle, connectTimeout time.Duration, limit int) *Pool {
-	u := &Pool{limit: limit, targets: map[*target]struct{}{}, streams: map[*streamedValue]struct{}{}}
-	u.dialer.Timeout = connectTimeout
-	u.dialer.KeepAlive = -1
+	pool := &Pool{limit: limit, targets: map[*target]struct{}{}, streams: map[*streamedValue]struct{}{}}
+	pool.dialer.Timeout = connectTimeout
+	pool.dialer.KeepAlive = -1
 	// A request written to a connection that the server has just closed ends as a reset: be well ahead of it.
-	u.maxIdle = connIdle - min(connIdle/4, time.Second)
-	return u
+	pool.maxIdle = connIdle - min(connIdle/4, time.Second)
+	return pool
 }
 
 // SetTLS has links to servers carry TLS. It is called before the first Link.
-func (u *Pool) SetTLS(t TLS) { u.tls = t }
+func (pool *Pool) SetTLS(t TLS) { pool.tls = t }
 
 // SetLimit changes how many connections there may be at most. Idle ones are closed where there are more; those with an attempt out end
 // by themselves, and no new one is opened until then.
-func (u *Pool) SetLimit(n int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.limit = max(1, n)
-	for u.open > u.limit && u.evict() {
+func (pool *Pool) SetLimit(n int) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	pool.limit = max(1, n)
+	for pool.open > pool.limit && pool.evict() {
 	}
 }
 
 // Limit is how many connections there may be at most.
-func (u *Pool) Limit() int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.limit
+func (pool *Pool) Limit() int {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	return pool.limit
 }
 
 // tlsSerial is that of the material of new connections.
-func (u *Pool) tlsSerial() int {
-	if u.tls == nil {
+func (pool *Pool) tlsSerial() int {
+	if pool.tls == nil {
 		return 0
 	}
-	return u.tls.Serial()
+	return pool.tls.Serial()
 }
 
 // Endpoint is the way to the server at an address that speaks a protocol.
-func (u *Pool) Endpoint(addr string, p Protocol) engine.Endpoint { return u.add(addr, p) }
+func (pool *Pool) Endpoint(addr string, p Protocol) engine.Endpoint { return pool.add(addr, p) }
 
-func (u *Pool) add(addr string, p Protocol) *target {
-	t := &target{pool: u, proto: p, addr: addr}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.targets[t] = struct{}{}
+func (pool *Pool) add(addr string, p Protocol) *target {
+	t := &target{pool: pool, proto: p, addr: addr}
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	pool.targets[t] = struct{}{}
 	return t
 }
 
 // Remove lets a target go once its attempts are back.
 func (t *target) Remove() {
-	u := t.pool
-	u.mu.Lock()
+	pool := t.pool
+	pool.mu.Lock()
 	t.removed = true
-	delete(u.targets, t)
-	u.mu.Unlock()
+	delete(pool.targets, t)
+	pool.mu.Unlock()
 	t.CloseIdle()
 }
 
 // CloseIdle closes the idle connections to a target.
 func (t *target) CloseIdle() {
-	u := t.pool
-	u.mu.Lock()
-	old := t.idle
+	pool := t.pool
+	pool.mu.Lock()
+	closing := t.idle
 	t.idle = nil
-	t.addOpen(-len(old))
-	u.mu.Unlock()
-	closeAll(old)
+	t.addOpen(-len(closing))
+	pool.mu.Unlock()
+	closeAll(closing)
 }
 
 // addOpen books connections that are opened, or with n below 0 closed. The caller holds mu.
@@ -144,55 +144,55 @@
 }
 
 // Sweep closes connections that have stood idle for long, until ctx ends.
-func (u *Pool) Sweep(ctx context.Context) {
+func (pool *Pool) Sweep(ctx context.Context) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			u.mu.Lock()
-			defer u.mu.Unlock()
-			u.closed = true
-			for t := range u.targets {
+			pool.mu.Lock()
+			defer pool.mu.Unlock()
+			pool.closed = true
+			for t := range pool.targets {
 				closeAll(t.idle)
 				t.addOpen(-len(t.idle))
 				t.idle = nil
 			}
-			for l := range u.streams {
+			for l := range pool.streams {
 				l.Discard()
 			}
 			return
 		case <-tick.C:
 		}
-		var old []*conn
-		serial := u.tlsSerial()
-		u.mu.Lock()
-		for t := range u.targets {
+		var expired []*conn
+		serial := pool.tlsSerial()
+		pool.mu.Lock()
+		for t := range pool.targets {
 			before := len(t.idle)
 			t.idle = slices.DeleteFunc(t.idle, func(c *conn) bool {
-				dead := time.Since(c.idleSince) >= u.maxIdle || c.tlsSerial != serial
-				if dead {
-					old = append(old, c)
+				isExpired := time.Since(c.idleSince) >= pool.maxIdle || c.tlsSerial != serial
+				if isExpired {
+					expired = append(expired, c)
 				}
-				return dead
+				return isExpired
 			})
 			t.addOpen(len(t.idle) - before)
 		}
-		u.mu.Unlock()
-		closeAll(old)
+		pool.mu.Unlock()
+		closeAll(expired)
 	}
 }
 
 // takeIdle takes a kept connection to t for an attempt, nil where there is none. The one that has been idle for longest, so that a
 // peak's connections stay in use: taking the latest let the others run out, and twice as many handshakes, each work for the
 // server, had to be made.
-func (u *Pool) takeIdle(t *target) *conn {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (pool *Pool) takeIdle(t *target) *conn {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	for len(t.idle) > 0 && time.Since(t.idle[0].idleSince) >= t.proto.ReuseDelay() {
 		c := t.idle[0]
 		t.idle = slices.Delete(t.idle, 0, 1)
-		if time.Since(c.idleSince) < u.maxIdle {
+		if time.Since(c.idleSince) < pool.maxIdle {
 			return c
 		}
 		t.addOpen(-1)
@@ -202,10 +202,10 @@
 }
 
 // reserve takes a place for one more connection to t, if there is any.
-func (u *Pool) reserve(t *target) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if t.open >= u.maxPerTarget() || u.open >= u.limit && !u.evict() {
+func (pool *Pool) reserve(t *target) bool {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if t.open >= pool.maxPerTarget() || pool.open >= pool.limit && !pool.evict() {
 		return false
 	}
 	t.addOpen(1)
@@ -213,22 +213,22 @@
 }
 
 // dial opens a connection, whose place is taken. stop ends the opening.
-func (u *Pool) dial(stop *engine.Canceler, t *target) (*conn, error) {
+func (pool *Pool) dial(canceler *engine.Canceler, t *target) (*conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	stop.OnCancel(cancel)
-	defer stop.Detach()
-	serial := u.tlsSerial() // ahead of the material: what changes meanwhile makes the connection an old one
-	opened, err := u.dialer.DialContext(ctx, "tcp", t.addr)
+	canceler.OnCancel(cancel)
+	defer canceler.Detach()
+	serial := pool.tlsSerial() // ahead of the material: what changes meanwhile makes the connection an old one
+	netConn, err := pool.dialer.DialContext(ctx, "tcp", t.addr)
 	if err != nil {
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
-	c, err := newConn(t, opened)
-	if err != nil || u.tls == nil {
+	c, err := newConn(t, netConn)
+	if err != nil || pool.tls == nil {
 		return c, err
 	}
 	c.tlsSerial = serial
-	if err := c.handshake(ctx, u.tls.Client(), u.dialer.Timeout); err != nil {
+	if err := c.handshake(ctx, pool.tls.Client(), pool.dialer.Timeout); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
@@ -236,39 +236,39 @@
 }
 
 // evict closes the connection that has been idle for longest. The caller holds mu.
-func (u *Pool) evict() bool {
-	var from *target
-	for t := range u.targets {
-		if len(t.idle) > 0 && (from == nil || t.idle[0].idleSince.Before(from.idle[0].idleSince)) {
-			from = t
+func (pool *Pool) evict() bool {
+	var oldest *target
+	for t := range pool.targets {
+		if len(t.idle) > 0 && (oldest == nil || t.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
+			oldest = t
 		}
 	}
-	if from == nil {
+	if oldest == nil {
 		return false
 	}
-	from.idle[0].Close()
-	from.idle = slices.Delete(from.idle, 0, 1)
-	from.addOpen(-1)
+	oldest.idle[0].Close()
+	oldest.idle = slices.Delete(oldest.idle, 0, 1)
+	oldest.addOpen(-1)
 	return true
 }
 
 // maxPerTarget is how many connections one server may have: where there are others, three quarters of all, or one that hangs would
 // take the sockets that requests to the others need. That leaves the origin more than the module's bound on fetches (64) where
 // descriptors are fewest. The caller holds mu.
-func (u *Pool) maxPerTarget() int {
-	if len(u.targets) < 2 {
-		return u.limit
+func (pool *Pool) maxPerTarget() int {
+	if len(pool.targets) < 2 {
+		return pool.limit
 	}
-	return max(1, u.limit*3/4)
+	return max(1, pool.limit*3/4)
 }
 
 // put keeps a connection for the next attempt, or closes it. It tells whether it is kept.
-func (u *Pool) put(c *conn, reuse bool) bool {
+func (pool *Pool) put(c *conn, reuse bool) bool {
 	t := c.target
-	reuse = reuse && c.tlsSerial == u.tlsSerial()
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if reuse = reuse && !t.removed && !u.closed; reuse {
+	reuse = reuse && c.tlsSerial == pool.tlsSerial()
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if reuse = reuse && !t.removed && !pool.closed; reuse {
 		c.idleSince = time.Now()
 		t.idle = append(t.idle, c)
 		return true
@@ -279,10 +279,10 @@
 }
 
 // discard lets a connection go that has ended, or brought what nobody asked for, while it was kept.
-func (u *Pool) discard(c *conn) {
+func (pool *Pool) discard(c *conn) {
 	t := c.target
-	u.mu.Lock()
-	defer u.mu.Unlock()
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	if i := slices.Index(t.idle, c); i >= 0 { // else who took it out has counted it
 		t.idle = slices.Delete(t.idle, i, i+1)
 		t.addOpen(-1)
@@ -292,43 +292,43 @@
 
 // Attempt is engine.Endpoint's. On a kept connection the command is written here, as far as that needs no waiting; where there is
 // none, another is opened by a goroutine that reads from it from then on.
-func (t *target) Attempt(stop *engine.Canceler, r *engine.Request, caller engine.AttemptHandler) (engine.Reply, bool) {
-	return t.startTask(task{canceler: stop, request: r, handler: caller})
+func (t *target) Attempt(canceler *engine.Canceler, request *engine.Request, handler engine.AttemptHandler) (engine.Reply, bool) {
+	return t.startTask(task{canceler: canceler, request: request, handler: handler})
 }
 
 // startTask has some work done. It tells how that ended if it is known at once.
-func (t *target) startTask(w task) (engine.Reply, bool) {
-	u := t.pool
-	for c := u.takeIdle(t); c != nil; c = u.takeIdle(t) {
-		got := c.start(w)
+func (t *target) startTask(work task) (engine.Reply, bool) {
+	pool := t.pool
+	for c := pool.takeIdle(t); c != nil; c = pool.takeIdle(t) {
+		got := c.start(work)
 		if got == started {
 			return engine.Reply{}, false
 		}
-		if u.put(c, got.connReusable()); got != unusable {
+		if pool.put(c, got.connReusable()); got != unusable {
 			return engine.Reply{Status: startFailureStatus[got], Load: decide.NoLoad}, true
 		}
 	}
-	if !u.reserve(t) {
+	if !pool.reserve(t) {
 		return engine.Reply{Status: decide.Ignored, Load: decide.NoLoad}, true
 	}
-	go t.connect(w)
+	go t.connect(work)
 	return engine.Reply{}, false
 }
 
 // connect opens a connection for some work, whose place is taken, and reads from it until it ends.
-func (t *target) connect(w task) {
-	u := t.pool
-	c, err := u.dial(w.canceler, t)
+func (t *target) connect(work task) {
+	pool := t.pool
+	c, err := pool.dial(work.canceler, t)
 	if err != nil {
-		u.mu.Lock()
+		pool.mu.Lock()
 		t.addOpen(-1)
-		u.mu.Unlock()
-		w.handler.Done(engine.Reply{Status: decide.ConnectError, Load: decide.NoLoad, ConnRefused: errors.Is(err, syscall.ECONNREFUSED)})
+		pool.mu.Unlock()
+		work.handler.Done(engine.Reply{Status: decide.ConnectError, Load: decide.NoLoad, ConnRefused: errors.Is(err, syscall.ECONNREFUSED)})
 		return
 	}
-	if got := c.start(w); got != started {
-		kept := u.put(c, got.connReusable())
-		w.handler.Done(engine.Reply{Status: startFailureStatus[got], Load: decide.NoLoad})
+	if got := c.start(work); got != started {
+		kept := pool.put(c, got.connReusable())
+		work.handler.Done(engine.Reply{Status: startFailureStatus[got], Load: decide.NoLoad})
 		if !kept {
 			return
 		}
@@ -358,16 +358,16 @@
 
 // Probe is engine.Endpoint's.
 func (t *target) Probe(ctx context.Context) (decide.Status, decide.Load) {
-	text := t.proto.Probe(t.addr)
-	if text == "" {
+	command := t.proto.Probe(t.addr)
+	if command == "" {
 		return decide.OK, decide.NoLoad
 	}
-	var stop engine.Canceler
-	defer context.AfterFunc(ctx, stop.Cancel)()
-	p := probeHandler{result: make(chan engine.Reply, 1)}
-	got, known := t.startTask(task{canceler: &stop, handler: p, probe: text})
-	if !known {
-		got = <-p.result
+	var canceler engine.Canceler
+	defer context.AfterFunc(ctx, canceler.Cancel)()
+	handler := probeHandler{result: make(chan engine.Reply, 1)}
+	got, finished := t.startTask(task{canceler: &canceler, handler: handler, probe: command})
+	if !finished {
+		got = <-handler.result
 	}
 	if got.Status == decide.Ignored { // no socket is left
 		got.Status = decide.ConnectError
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -66,9 +66,9 @@
 }
 
 // attempt makes an attempt and waits for its end.
-func attempt(t *target, stop *engine.Canceler, r *engine.Request, begin func() bool) engine.Reply {
+func attempt(t *target, canceler *engine.Canceler, r *engine.Request, begin func() bool) engine.Reply {
 	a := attemptHandler{probeHandler{make(chan engine.Reply, 1)}, begin}
-	got, known := t.Attempt(stop, r, a)
+	got, known := t.Attempt(canceler, r, a)
 	if !known {
 		got = <-a.result
 	}
@@ -77,20 +77,20 @@
 
 func testPool(t *testing.T, idle time.Duration, limit int) *Pool {
 	t.Helper()
-	u := NewPool(idle, 250*time.Millisecond, limit)
+	pool := NewPool(idle, 250*time.Millisecond, limit)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		u.Sweep(ctx)
+		pool.Sweep(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-ended })
-	return u
+	return pool
 }
 
-func idleConns(u *Pool, t *target) []*conn {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func idleConns(pool *Pool, t *target) []*conn {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	return slices.Clone(t.idle)
 }
 
@@ -167,8 +167,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := startFake(t, func(string) string { return c.answer })
-			u := testPool(t, 10*time.Second, 10)
-			target, cmd := u.add(f.Addr, protocolFor(c.origin)), getCommand()
+			pool := testPool(t, 10*time.Second, 10)
+			target, cmd := pool.add(f.Addr, protocolFor(c.origin)), getCommand()
 			if c.write {
 				cmd = putCommand()
 			}
@@ -180,7 +180,7 @@
 			if len(f.Seen) > 0 {
 				t.Error("sent twice")
 			}
-			if kept := len(idleConns(u, target)) == 1; kept != c.reused {
+			if kept := len(idleConns(pool, target)) == 1; kept != c.reused {
 				t.Errorf("connection kept: %v", kept)
 			}
 		})
@@ -188,9 +188,9 @@
 }
 
 func TestNoConnectionIsNeverRan(t *testing.T) {
-	u := testPool(t, 10*time.Second, 10)
+	pool := testPool(t, 10*time.Second, 10)
 	ln := listenLocal(t)
-	refusing := u.add(ln.Addr().String(), protocolFor(false))
+	refusing := pool.add(ln.Addr().String(), protocolFor(false))
 	ln.Close()
 	if got := attempt(refusing, &engine.Canceler{}, getCommand(), always); got.Status != decide.ConnectError {
 		t.Errorf("refused: got %v", got.Status)
@@ -200,19 +200,19 @@
 // A kept connection that the server has closed must not carry a request: written to it, it would end as a reset,
 // which may have run.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
-	u := testPool(t, 10*time.Second, 10)
+	pool := testPool(t, 10*time.Second, 10)
 	f := startFake(t, func(line string) string {
 		if strings.HasPrefix(line, "PUT") { // answers as if to keep the connection, and closes it
 			return httpAnswer("200 OK", "77") + "{cut}"
 		}
 		return httpAnswer("200 OK", "fresh")
 	})
-	target := u.add(f.Addr, protocolFor(true))
+	target := pool.add(f.Addr, protocolFor(true))
 	for n := range 3 {
 		if got := attempt(target, &engine.Canceler{}, putCommand(), always); got.Status != decide.OK {
 			t.Fatalf("request %d: got %v", n, got.Status)
 		}
-		for kept := idleConns(u, target); len(kept) > 0 && sock.IsIdle(kept[0].Conn); {
+		for kept := idleConns(pool, target); len(kept) > 0 && sock.IsIdle(kept[0].Conn); {
 			time.Sleep(time.Millisecond) // until the end has come over the socket
 		}
 	}
@@ -223,24 +223,24 @@
 
 func TestIdleConnectionsAreClosedAheadOfTheServer(t *testing.T) {
 	f := startFake(t, hit)
-	u := testPool(t, 400*time.Millisecond, 10)
-	target, began := u.add(f.Addr, protocolFor(false)), time.Now()
+	pool := testPool(t, 400*time.Millisecond, 10)
+	target, began := pool.add(f.Addr, protocolFor(false)), time.Now()
 	attempt(target, &engine.Canceler{}, getCommand(), always)
 	next(t, f.Ended, "end of the idle connection")
 	if took := time.Since(began); took < 200*time.Millisecond || took > 3*time.Second {
 		t.Errorf("closed after %v", took)
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.open != 0 {
-		t.Errorf("%d connections are still counted", u.open)
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if pool.open != 0 {
+		t.Errorf("%d connections are still counted", pool.open)
 	}
 }
 
 func TestSocketLimit(t *testing.T) {
-	u := testPool(t, 10*time.Second, 1)
+	pool := testPool(t, 10*time.Second, 1)
 	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
-	a, b := u.add(f.Addr, protocolFor(false)), u.add(silent.Addr, protocolFor(false))
+	a, b := pool.add(f.Addr, protocolFor(false)), pool.add(silent.Addr, protocolFor(false))
 	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Fatalf("got %v", got.Status)
 	}
@@ -261,9 +261,9 @@
 // A server that hangs takes three quarters of the sockets and no more: the other one has the rest, and gets back what was the hanging
 // one's when its attempts are given up.
 func TestHangingServerLeavesSocketsToOthers(t *testing.T) {
-	u := testPool(t, 10*time.Second, 8)
+	pool := testPool(t, 10*time.Second, 8)
 	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
-	a, b := u.add(f.Addr, protocolFor(false)), u.add(silent.Addr, protocolFor(false))
+	a, b := pool.add(f.Addr, protocolFor(false)), pool.add(silent.Addr, protocolFor(false))
 	var stops [8]engine.Canceler
 	done := make(chan engine.Reply, len(stops))
 	for i := range stops {
@@ -288,18 +288,18 @@
 	for range 6 {
 		next(t, done, "end of what was given up")
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if b.open != 0 || a.open != 1 || u.open != 1 {
-		t.Errorf("%d and %d open, %d in all", a.open, b.open, u.open)
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if b.open != 0 || a.open != 1 || pool.open != 1 {
+		t.Errorf("%d and %d open, %d in all", a.open, b.open, pool.open)
 	}
 }
 
 // An attempt that is called off before its first byte leaves none.
 func TestCalledOffAttemptIsNotWritten(t *testing.T) {
 	f := startFake(t, hit)
-	u := testPool(t, 10*time.Second, 10)
-	target := u.add(f.Addr, protocolFor(false))
+	pool := testPool(t, 10*time.Second, 10)
+	target := pool.add(f.Addr, protocolFor(false))
 	attempt(target, &engine.Canceler{}, getCommand(), func() bool { return false })
 	if got := attempt(target, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Errorf("got %v", got.Status)
@@ -311,15 +311,15 @@
 }
 
 func TestProbe(t *testing.T) {
-	u := testPool(t, 10*time.Second, 10)
+	pool := testPool(t, 10*time.Second, 10)
 	f := startFake(t, func(string) string { return "STAT qps 12\r\nSTAT util 0.5\r\nEND\r\n" })
 	o := startFake(t, func(string) string { return httpAnswer("200 OK", "", "X-Backend-Load: qps=12,util=0.5") })
-	for _, target := range []*target{u.add(f.Addr, protocolFor(false)), u.add(o.Addr, protocolFor(true))} {
+	for _, target := range []*target{pool.add(f.Addr, protocolFor(false)), pool.add(o.Addr, protocolFor(true))} {
 		if st, l := target.Probe(t.Context()); st != decide.OK || l.QPS != 12 || l.Util != 0.5 {
 			t.Errorf("origin %v: got %v, %+v", target.proto, st, l)
 		}
 	}
-	if st, _ := u.add(startFake(t, func(string) string { return "ERROR\r\n" }).Addr, protocolFor(false)).Probe(t.Context()); st == decide.OK {
+	if st, _ := pool.add(startFake(t, func(string) string { return "ERROR\r\n" }).Addr, protocolFor(false)).Probe(t.Context()); st == decide.OK {
 		t.Error("an error passed for a report")
 	}
 }
@@ -327,28 +327,28 @@
 // Connections that a peak has opened take turns, or all but one would run out and be opened anew at the next peak.
 func TestKeptConnectionsTakeTurns(t *testing.T) {
 	f := startFake(t, hit)
-	u := testPool(t, 10*time.Second, 10)
-	target := u.add(f.Addr, protocolFor(false))
+	pool := testPool(t, 10*time.Second, 10)
+	target := pool.add(f.Addr, protocolFor(false))
 	var opened [2]*conn
 	for i := range opened {
-		if !u.reserve(target) {
+		if !pool.reserve(target) {
 			t.Fatal("no room")
 		}
-		c, err := u.dial(&engine.Canceler{}, target)
+		c, err := pool.dial(&engine.Canceler{}, target)
 		if err != nil {
 			t.Fatal(err)
 		}
 		opened[i] = c
 	}
 	for _, c := range opened {
-		u.put(c, true)
+		pool.put(c, true)
 	}
 	for n, want := range []int{0, 1, 0} {
-		got := u.takeIdle(target)
+		got := pool.takeIdle(target)
 		if got != opened[want] {
 			t.Errorf("turn %d went to another connection", n)
 		}
-		u.put(got, true)
+		pool.put(got, true)
 	}
 }
 
@@ -376,8 +376,8 @@
 			}()
 		}
 	}()
-	u := testPool(t, 10*time.Second, 10)
-	target := u.add(ln.Addr().String(), protocolFor(true))
+	pool := testPool(t, 10*time.Second, 10)
+	target := pool.add(ln.Addr().String(), protocolFor(true))
 	for n := range 5 {
 		cmd := getCommand()
 		cmd.ID = fmt.Sprint("a", n)
@@ -385,7 +385,7 @@
 			t.Errorf("request %s: got status %v, %q", cmd.ID, got.Status, got.Body)
 		}
 		if n == 2 { // the copies are there now
-			for kept := idleConns(u, target); len(kept) > 0 && (sock.IsIdle(kept[0].Conn) || time.Since(kept[0].idleSince) < (20*time.Millisecond)); kept = idleConns(u, target) {
+			for kept := idleConns(pool, target); len(kept) > 0 && (sock.IsIdle(kept[0].Conn) || time.Since(kept[0].idleSince) < (20*time.Millisecond)); kept = idleConns(pool, target) {
 				time.Sleep(time.Millisecond)
 			}
 		}
--- a/internal/backend/tls.go
+++ b/internal/backend/tls.go
@@ -99,24 +99,24 @@
 
 // handshake establishes TLS on the connection within a time limit. Input is not treated as an unexpected
 // answer until the first command is written.
-func (c *conn) handshake(ctx context.Context, cfg *tls.Config, within time.Duration) error {
+func (c *conn) handshake(ctx context.Context, cfg *tls.Config, timeout time.Duration) error {
 	cfg, err := configFor(cfg, c.target.addr)
 	if err != nil {
 		return err
 	}
-	s := &tlsConn{c: c}
-	s.Conn = tls.Client(tlsTransport{c.Conn, s}, cfg)
-	c.tls, c.readBudget = s, maxAnswerBytes
-	if err := c.SetDeadline(time.Now().Add(within)); err != nil {
+	layer := &tlsConn{c: c}
+	layer.Conn = tls.Client(tlsTransport{c.Conn, layer}, cfg)
+	c.tls, c.readBudget = layer, maxAnswerBytes
+	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return fmt.Errorf("tls: %w", err)
 	}
-	if err := s.HandshakeContext(ctx); err != nil {
+	if err := layer.HandshakeContext(ctx); err != nil {
 		return fmt.Errorf("tls: %w", err)
 	}
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		return fmt.Errorf("tls: %w", err)
 	}
-	c.in.Reset(s)
+	c.in.Reset(layer)
 	return nil
 }
 
@@ -144,11 +144,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := tls.Client(c, cfg)
-	if err := s.HandshakeContext(ctx); err != nil {
+	tlsLayer := tls.Client(c, cfg)
+	if err := tlsLayer.HandshakeContext(ctx); err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
 	}
-	return s, nil
+	return tlsLayer, nil
 }
 
 // encrypt returns a command's TLS records, valid until the next call. The caller holds mu.
