--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -16,48 +16,50 @@
 	"mossproxy.example/mossproxy/internal/sock"
 )
 
-// conn is a connection to a target. It carries one attempt at a time: answers come in order and giving up
-// closes it, so others behind it would wait for the first, or go down with it.
+// conn is a connection to a target. It carries one attempt at a time: answers come in order and canceling an
+// attempt closes the connection, so pipelined attempts would wait for the first one or fail with it.
 //
-// One goroutine, serve, reads from it for as long as it is open, so the end of a kept one shows at once. Who has taken it from
-// the pool starts work on it and writes the command; serve reads the answer, puts it back and tells of the answer.
+// One goroutine, serve, reads from the connection for as long as it is open, so the end of an idle connection
+// is noticed at once. The goroutine that takes the connection from the pool starts a task on it and writes
+// the command; serve reads the answer, returns the connection to the pool and reports the answer.
 //
-// Close waits for who reads: it must never be called with mu held.
+// Close waits for the reader, so it must never be called with mu held.
 type conn struct {
 	net.Conn
 	target    *target
 	raw       syscall.RawConn
-	abort     func()    // ends the connection without waiting, made once
-	idleSince time.Time // kept since; guarded by the pool's mu
-	tls       *tlsConn  // nil = the link is plain
-	tlsSerial int       // by which TLS material
-
-	in          *bufio.Reader // serve's, as is what follows
-	readBudget  int           // bytes that may still come for what is being read
-	answerStart time.Time     // an answer is being read since
-	deadlineSet bool          // and has a deadline
+	abort     func()    // shuts the connection down without blocking; created once
+	idleSince time.Time // when it became idle; guarded by the mu of the pool
+	tls       *tlsConn  // nil = plain connection
+	tlsSerial int       // serial of the TLS configuration
+
+	in          *bufio.Reader // this and the following fields belong to serve
+	readBudget  int           // bytes that may still be read for the current answer
+	answerStart time.Time     // when the first byte of the answer was there; zero = not reading an answer
+	deadlineSet bool          // a read deadline is set
 	readOp      socketOp
 
 	mu        sync.Mutex
 	unused    bool // nothing has been written
-	busy      bool // with work, whose answer is not read
-	dead      bool // it has ended, or brought what nobody asked for, while it was kept
+	busy      bool // a task is running whose answer has not been read
+	dead      bool // it ended or received unexpected input while idle
 	task      task
 	writeOp   socketOp
 	remainder *remainder // of the command; nil = all was written at once
 }
 
-// task is what a connection is asked for: an attempt, or a probe where there is no request.
+// task is a unit of work for a connection: an attempt, or a probe if there is no request.
 type task struct {
 	canceler *engine.Canceler
 	request  *engine.Request
 	handler  engine.AttemptHandler
-	probe    string     // what is written where there is no request
-	try      engine.Try // as its begin gave it
-	opening  bool       // the answer comes behind that to Open
+	probe    string     // command that is written if there is no request
+	try      engine.Try // as returned by Begin of the handler
+	opening  bool       // the answer follows the reply to the preamble
 }
 
-// socketOp is one look at a socket that does not wait. It is kept, as a closure for each would be an allocation.
+// socketOp is a non-blocking operation on the socket. It is reused, as a new closure each time would be an
+// allocation.
 type socketOp struct {
 	buf []byte
 	n   int
@@ -65,22 +67,25 @@
 	run func(fd uintptr) bool
 }
 
-// remainder is the part of a command that did not go into the socket at once.
+// remainder is the part of a command that the socket did not accept at once.
 type remainder struct {
-	done chan struct{} // closed once it is written, or can't be
-	err  error         // valid then
+	done chan struct{} // closed once it is written or has failed
+	err  error         // valid once done is closed
 }
 
-// An answer is bounded in bytes and in time, whatever it says of itself.
+// Limits on the size and duration of an answer, whatever length it announces.
 const (
-	maxAnswerBytes = 160 << 10              // two heads of 16 KiB and two values, with room for chunks and provisional answers
-	answerTimeout  = 250 * time.Millisecond // for the rest to come once it has begun; aims are longer, so a read is tried again in time
+	// Two heads of 16 KiB and two values, with room for chunk headers and 1xx responses.
+	maxAnswerBytes = 160 << 10
+	// answerTimeout is the time for the rest of an answer once its first byte is there. Aims are longer, so
+	// that a read is retried in time.
+	answerTimeout = 250 * time.Millisecond
 )
 
-// maxLineBytes is the size of a reader's buffer, and the longest line that a protocol can read.
+// maxLineBytes is the size of the read buffer and so the length of the longest line a protocol can read.
 const maxLineBytes = 4096
 
-// newConn is a connection of a target that has just been opened.
+// newConn returns a connection to a target for an open network connection, which it closes on errors.
 func newConn(t *target, netConn net.Conn) (*conn, error) {
 	sc, ok := netConn.(syscall.Conn)
 	if !ok {
@@ -93,24 +98,26 @@
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
 	c := &conn{Conn: netConn, target: t, raw: raw, unused: true}
-	c.abort = func() { raw.Control(shutdown) } //nolint:errcheck // it has been closed already
+	c.abort = func() { raw.Control(shutdown) } //nolint:errcheck // it may be closed already
 	c.readOp.run, c.writeOp.run = c.readSocket, c.writeCommand
 	c.in = bufio.NewReaderSize(c, maxLineBytes)
 	return c, nil
 }
 
-// shutdown ends a connection both ways at once. serve sees the end and closes it: Close waits for who reads, and an engine that
-// gives up thousands of attempts together would wait for each.
+// shutdown shuts a connection down in both directions without blocking. serve notices the end and closes it.
+// Close would wait for the reader, and an engine that cancels thousands of attempts at once would wait for
+// each.
 func shutdown(fd uintptr) {
-	syscall.Shutdown(int(fd), syscall.SHUT_RDWR) //nolint:errcheck // it has ended already
+	syscall.Shutdown(int(fd), syscall.SHUT_RDWR) //nolint:errcheck // it may have ended already
 }
 
-// Read reads from the connection, up to the bound.
+// Read reads from the connection, within the limits of an answer in bytes and time.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.readBudget <= 0 {
 		return 0, fmt.Errorf("answer over %d bytes", maxAnswerBytes)
 	}
-	if !c.deadlineSet && !c.answerStart.IsZero() { // the answer did not come in one piece: only then is its time bounded, as that costs
+	// Setting a deadline is costly, so only answers that do not arrive in one piece get one.
+	if !c.deadlineSet && !c.answerStart.IsZero() {
 		c.deadlineSet = true
 		if err := c.SetReadDeadline(c.answerStart.Add(answerTimeout)); err != nil {
 			return 0, err
@@ -125,13 +132,13 @@
 	c.readOp.buf = nil
 	c.readBudget -= n
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = errors.New("answer stopped short")
+		err = errors.New("timed out in the middle of an answer")
 	}
 	return n, err
 }
 
-// readSocket reads what is there. It does so with mu held: what was read while there was no work is nobody's answer, however
-// late serve comes to look at it.
+// readSocket reads what is available. It holds mu while it does so: input that was read while there was no
+// task answers no request, however late serve gets to check it.
 func (c *conn) readSocket(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,11 +154,12 @@
 	} else if n == 0 {
 		c.readOp.err = io.EOF
 	}
-	c.dead = c.dead || !c.busy && (c.tls == nil || !c.unused) // a handshake is no answer, nor are the tickets behind it
+	// A TLS handshake and the session tickets after it are no answers.
+	c.dead = c.dead || !c.busy && (c.tls == nil || !c.unused)
 	return true
 }
 
-// awaitAnswer waits for an answer's first byte and bounds the rest.
+// awaitAnswer waits for the first byte of an answer and starts its limits.
 func (c *conn) awaitAnswer() error {
 	c.readBudget, c.answerStart = maxAnswerBytes, time.Time{}
 	if _, err := c.in.Peek(1); err != nil {
@@ -161,8 +169,8 @@
 	return nil
 }
 
-// readyForReuse tells whether nothing has come with the answer that was read. What else is there belongs to no request; what comes
-// later ends the connection.
+// readyForReuse ends the reading of an answer. It reports whether no further input came with it: that would
+// belong to no request. Input that comes later ends the connection.
 func (c *conn) readyForReuse() bool {
 	c.answerStart = time.Time{}
 	if c.deadlineSet {
@@ -174,23 +182,23 @@
 	return c.in.Buffered() == 0 && !c.tls.hasUnread()
 }
 
-// start's results.
+// startResult is the result of starting a task.
 type startResult int
 
 const (
 	started     startResult = iota
-	unusable                // the connection has ended, or brought what nobody asked for: nothing was written
-	canceled                // the work is no longer wanted: nothing was written
-	unsupported             // the protocol has no words for it: nothing was written
-	writeFailed             // the last byte is not out, so nothing can have run
+	unusable                // the connection ended or received unexpected input; nothing was written
+	canceled                // the task is no longer wanted; nothing was written
+	unsupported             // the protocol cannot express the request; nothing was written
+	writeFailed             // the last byte was not written, so the request cannot have run
 )
 
-// connReusable says whether the connection is as it was.
+// connReusable reports whether the connection is unaffected.
 func (r startResult) connReusable() bool { return r == canceled || r == unsupported }
 
-// start begins work on a connection that was taken from the pool, without waiting for the socket.
+// start starts a task on a connection that was taken from the pool, without waiting for the socket.
 func (c *conn) start(work task) startResult {
-	work.canceler.OnCancel(c.abort) // ahead of all else: the answer may be read before this returns
+	work.canceler.OnCancel(c.abort) // first, as the answer may be read before start returns
 	got := c.startLocked(work)
 	if got != started {
 		work.canceler.Detach()
@@ -198,7 +206,7 @@
 	return got
 }
 
-// startTask is start with the lock held.
+// startLocked is start without cancellation. It acquires mu.
 func (c *conn) startLocked(work task) startResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,13 +214,14 @@
 		return unusable
 	}
 	work.opening = c.unused
-	if c.tls != nil && !c.tls.mu.TryLock() { // the TLS writes something of its own just now, which the engine does not wait for
+	// The TLS layer is writing records of its own; do not wait for it.
+	if c.tls != nil && !c.tls.mu.TryLock() {
 		return unusable
 	}
 	c.task = work
 	c.writeOp.buf, c.writeOp.n, c.writeOp.err = nil, 0, nil
 	err := c.raw.Write(c.writeOp.run)
-	encoded := c.writeOp.buf // with TLS, its records
+	encoded := c.writeOp.buf // with TLS, the records
 	c.writeOp.buf = nil
 	got := c.writeResult(err)
 	if got != started {
@@ -231,27 +240,28 @@
 	return started
 }
 
-// releaseTLS tells that a command is out, or will never be.
+// releaseTLS lets the TLS layer write again, once a command is written or has failed.
 func (c *conn) releaseTLS() {
 	if c.tls != nil {
 		c.tls.mu.Unlock()
 	}
 }
 
-// errCanceled is launch's, for work that is no longer wanted.
-var errCanceled = errors.New("called off")
+// errCanceled is returned by writeCommand for a task that is no longer wanted.
+var errCanceled = errors.New("task canceled")
 
-// errUnusable is launch's, for a connection that is not quiet.
-var errUnusable = errors.New("not quiet")
+// errUnusable is returned by writeCommand for a connection with unread input or that has ended.
+var errUnusable = errors.New("connection not idle")
 
-// errUnsupported is launch's, for a request that the protocol has no words for.
-var errUnsupported = errors.New("not sayable")
+// errUnsupported is returned by writeCommand for a request that the protocol cannot express.
+var errUnsupported = errors.New("request not supported by the protocol")
 
-// writeCommand makes and writes the command of the work, after a last look: an end, a reset or a stray answer makes a connection useless, and
-// a request written to it would end as a reset, or be given what was meant for nobody.
+// writeCommand encodes and writes the command of the task, after a last check that the connection is idle. On
+// a connection that has ended or been reset, the request would fail with a reset, which may have run; on one
+// with unread input, it would be given that as its answer.
 func (c *conn) writeCommand(fd uintptr) bool {
 	op := &c.writeOp
-	if !sock.IsIdleFD(fd) && (c.tls == nil || !c.unused) { // behind a handshake come tickets
+	if !sock.IsIdleFD(fd) && (c.tls == nil || !c.unused) { // session tickets may follow a handshake
 		op.err = errUnusable
 		return true
 	}
@@ -275,7 +285,7 @@
 	return true
 }
 
-// encodeCommand is what the work writes.
+// encodeCommand returns the bytes to write for the task.
 func (c *conn) encodeCommand() ([]byte, error) {
 	work := &c.task
 	encoded := []byte(work.probe)
@@ -291,7 +301,8 @@
 	return encoded, nil
 }
 
-// writeResult says what became of launch, which did not run where err is the socket's.
+// writeResult converts the outcome of writeCommand. If err, the error of the socket, is not nil, writeCommand
+// did not run.
 func (c *conn) writeResult(err error) startResult {
 	switch {
 	case err != nil || errors.Is(c.writeOp.err, errUnusable):
@@ -306,7 +317,8 @@
 	return started
 }
 
-// writeRemainder writes the rest of a command by a time. Without its last byte the server has not begun it.
+// writeRemainder writes the rest of a command by a deadline. Without its last byte the server has not started
+// the command.
 func (c *conn) writeRemainder(encoded []byte, r *remainder, deadline time.Time, handler engine.AttemptHandler) {
 	defer close(r.done)
 	defer c.releaseTLS()
@@ -319,19 +331,19 @@
 	}
 	if err != nil {
 		r.err = err
-		c.Close() // no answer can be trusted now
+		c.Close() // the answer can no longer be trusted
 		return
 	}
 	handler.Written()
 }
 
-// serve reads from the connection until it ends. The pool's goroutine that has opened it becomes this.
+// serve reads from the connection until it ends. It runs on the goroutine that opened the connection.
 func (c *conn) serve() {
 	for c.serveOne() {
 	}
 }
 
-// serveOne reads one answer and tells whether the connection goes on.
+// serveOne reads one answer. It reports whether the connection was kept.
 func (c *conn) serveOne() bool {
 	err := c.awaitAnswer()
 	c.mu.Lock()
@@ -360,17 +372,17 @@
 	return kept
 }
 
-// done ends the work on the connection.
+// finishTask clears the finished task.
 func (c *conn) finishTask() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy, c.task, c.remainder = false, task{}, nil
 }
 
-// readAnswer reads the answer to some work, of which the first byte is there, or err instead.
+// readAnswer reads the answer to a task. err is the result of waiting for its first byte.
 func (c *conn) readAnswer(work task, err error) (a engine.Reply, last bool, _ error) {
 	a.Load = decide.NoLoad
-	if err != nil { // ended after the last byte: it may have run
+	if err != nil { // the connection ended after the last byte of the command: it may have run
 		a.Status = decide.Reset
 		return a, true, err
 	}
@@ -385,10 +397,11 @@
 	default:
 		a, last, err = c.target.proto.ReadAnswer(c.in, c.target.addr, work.request, work.try)
 	}
-	if err == nil && a.UnreadBytes > 0 { // its first bytes are there before anybody is told: until then it can be tried again
+	// Wait for the first byte of the value: until the handler is notified, a retry is possible.
+	if err == nil && a.UnreadBytes > 0 {
 		_, err = c.in.Peek(1)
 	}
-	if err != nil { // not understood, or it broke off: it has run, and the server was at work
+	if err != nil { // invalid or incomplete: the request has run, and the server was working
 		a.Status = decide.InvalidAnswer
 	}
 	return a, last, err
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,5 +1,5 @@
-// Package backend keeps the connections to servers and makes attempts on them, one at a time on each, in whatever
-// protocol a server speaks.
+// Package backend maintains a pool of connections to servers and makes attempts on them, one at a time on
+// each connection, in the protocol of each server.
 package backend
 
 import (
@@ -17,22 +17,24 @@
 	"mossproxy.example/mossproxy/internal/engine"
 )
 
-// Protocol is what a server speaks. Its methods may be called from any goroutine.
+// Protocol is the protocol of a server. Its methods may be called from any goroutine.
 type Protocol interface {
-	// Command is what an attempt writes, made when its connection is up. An error says that the request can't be said in the
-	// protocol; it comes before anything is written.
+	// Command encodes the request of an attempt. It is called once the connection is open. An error means
+	// that the protocol cannot express the request; nothing has been written then.
 	Command(addr string, r *engine.Request, try engine.Try) ([]byte, error)
-	// ReadAnswer reads the answer to it. With last the connection carries no further request; an error leaves it without use.
+	// ReadAnswer reads the answer to a command. If last is set or err is not nil, the connection is closed.
 	ReadAnswer(in *bufio.Reader, addr string, r *engine.Request, try engine.Try) (a engine.Reply, last bool, err error)
-	// Preamble is what is written ahead of the first command of a connection, and Opened reads the answer to it.
+	// Preamble returns what is written ahead of the first command of a connection; ReadPreambleReply reads
+	// the reply to it.
 	Preamble() []byte
 	ReadPreambleReply(in *bufio.Reader) error
-	// Probe is what asks for the load; "" = it can't be asked.
+	// Probe returns the command that requests the load; "" = the protocol has none.
 	Probe(addr string) string
-	// ReadLoad reads the answer to that.
+	// ReadLoad reads the answer to a probe.
 	ReadLoad(in *bufio.Reader) (decide.Load, error)
-	// ReuseDelay is how long a connection rests after an answer: where answers carry no id, a second copy of the last one that
-	// comes a moment later must be there before the next request is, and not be taken for its answer.
+	// ReuseDelay returns the minimum time between an answer and the next request on a connection. Where
+	// answers carry no id, a duplicate of the last answer that arrives late must be there before the next
+	// request is written, so that it is not taken for its answer.
 	ReuseDelay() time.Duration
 }
 
@@ -41,41 +43,42 @@
 	pool    *Pool
 	proto   Protocol
 	addr    string
-	idle    []*conn // longest idle first; guarded by pool.mu, as is what follows
-	open    int     // its part of the pool's
-	removed bool    // no connection to it is kept any more
+	idle    []*conn // longest idle first; this and the following fields are guarded by pool.mu
+	open    int     // connections open or being opened
+	removed bool    // connections to it are no longer kept
 }
 
-// Pool keeps the connections to cache servers and origin.
+// Pool maintains the connections to cache servers and the origin.
 type Pool struct {
 	dialer  net.Dialer
 	maxIdle time.Duration
 	limit   int
-	tls     TLS // nil = links are plain
+	tls     TLS // nil = plain connections
 
 	mu      sync.Mutex
 	open    int // connections open or being opened
 	targets map[*target]struct{}
-	closed  bool                        // nothing is kept any more
-	streams map[*streamedValue]struct{} // values that are passing
+	closed  bool                        // connections are no longer kept
+	streams map[*streamedValue]struct{} // values being streamed
 }
 
-// NewPool keeps at most limit connections to all servers together. Servers close connections that stand idle for
-// connIdle; one that is not up within connectTimeout has failed.
+// NewPool returns a pool of at most limit connections to all servers together. connIdle is the time after
+// which servers close idle connections. A connection that is not open within connectTimeout has failed.
 func NewPool(connIdle, connectTimeout time.Duration, limit int) *Pool {
 	pool := &Pool{limit: limit, targets: map[*target]struct{}{}, streams: map[*streamedValue]struct{}{}}
 	pool.dialer.Timeout = connectTimeout
 	pool.dialer.KeepAlive = -1
-	// A request written to a connection that the server has just closed ends as a reset: be well ahead of it.
+	// Close idle connections well before the server does: a request that is written to a connection that the
+	// server has just closed ends as a reset.
 	pool.maxIdle = connIdle - min(connIdle/4, time.Second)
 	return pool
 }
 
-// SetTLS has links to servers carry TLS. It is called before the first Link.
+// SetTLS makes connections to servers use TLS. It must be called before the first Endpoint.
 func (pool *Pool) SetTLS(t TLS) { pool.tls = t }
 
-// SetLimit changes how many connections there may be at most. Idle ones are closed where there are more; those with an attempt out end
-// by themselves, and no new one is opened until then.
+// SetLimit changes the maximum number of connections, which is at least 1. Idle connections above it are
+// closed; those with an attempt in flight finish first, and no new one is opened until then.
 func (pool *Pool) SetLimit(n int) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -84,14 +87,14 @@
 	}
 }
 
-// Limit is how many connections there may be at most.
+// Limit returns the maximum number of connections.
 func (pool *Pool) Limit() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return pool.limit
 }
 
-// tlsSerial is that of the material of new connections.
+// tlsSerial returns the serial of the current TLS configuration; 0 = plain connections.
 func (pool *Pool) tlsSerial() int {
 	if pool.tls == nil {
 		return 0
@@ -99,7 +102,7 @@
 	return pool.tls.Serial()
 }
 
-// Endpoint is the way to the server at an address that speaks a protocol.
+// Endpoint returns the endpoint for the server at addr that speaks protocol p.
 func (pool *Pool) Endpoint(addr string, p Protocol) engine.Endpoint { return pool.add(addr, p) }
 
 func (pool *Pool) add(addr string, p Protocol) *target {
@@ -110,7 +113,7 @@
 	return t
 }
 
-// Remove lets a target go once its attempts are back.
+// Remove stops keeping connections to a target. Attempts in flight finish first.
 func (t *target) Remove() {
 	pool := t.pool
 	pool.mu.Lock()
@@ -131,7 +134,7 @@
 	closeAll(closing)
 }
 
-// addOpen books connections that are opened, or with n below 0 closed. The caller holds mu.
+// addOpen counts n connections as opened, or if n is negative, -n as closed. The caller holds mu.
 func (t *target) addOpen(n int) {
 	t.pool.open += n
 	t.open += n
@@ -143,7 +146,8 @@
 	}
 }
 
-// Sweep closes connections that have stood idle for long, until ctx ends.
+// Sweep closes connections that have been idle for too long or use an earlier TLS configuration. When ctx
+// ends, it closes all idle connections and the pool.
 func (pool *Pool) Sweep(ctx context.Context) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
@@ -183,9 +187,9 @@
 	}
 }
 
-// takeIdle takes a kept connection to t for an attempt, nil where there is none. The one that has been idle for longest, so that a
-// peak's connections stay in use: taking the latest let the others run out, and twice as many handshakes, each work for the
-// server, had to be made.
+// takeIdle takes an idle connection to t out of the pool, or returns nil. It takes the one that has been idle
+// for longest, so that all connections that a load peak has opened stay in use. Taking the latest would let
+// the others expire, which caused twice as many handshakes, each of them work for the server.
 func (pool *Pool) takeIdle(t *target) *conn {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -201,7 +205,7 @@
 	return nil
 }
 
-// reserve takes a place for one more connection to t, if there is any.
+// reserve reserves capacity for one more connection to t. It reports whether there was any.
 func (pool *Pool) reserve(t *target) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -212,13 +216,14 @@
 	return true
 }
 
-// dial opens a connection, whose place is taken. stop ends the opening.
+// dial opens a connection whose capacity is reserved. Canceling canceler aborts it.
 func (pool *Pool) dial(canceler *engine.Canceler, t *target) (*conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	canceler.OnCancel(cancel)
 	defer canceler.Detach()
-	serial := pool.tlsSerial() // ahead of the material: what changes meanwhile makes the connection an old one
+	// Before the configuration is read, so that a change in between makes the connection an old one.
+	serial := pool.tlsSerial()
 	netConn, err := pool.dialer.DialContext(ctx, "tcp", t.addr)
 	if err != nil {
 		return nil, fmt.Errorf("connecting: %w", err)
@@ -235,7 +240,8 @@
 	return c, nil
 }
 
-// evict closes the connection that has been idle for longest. The caller holds mu.
+// evict closes the connection that has been idle for longest. It returns false if none is idle. The caller
+// holds mu.
 func (pool *Pool) evict() bool {
 	var oldest *target
 	for t := range pool.targets {
@@ -252,9 +258,9 @@
 	return true
 }
 
-// maxPerTarget is how many connections one server may have: where there are others, three quarters of all, or one that hangs would
-// take the sockets that requests to the others need. That leaves the origin more than the module's bound on fetches (64) where
-// descriptors are fewest. The caller holds mu.
+// maxPerTarget returns how many connections one server may have: three quarters of the limit if there are
+// other servers, as one that hangs would otherwise take all sockets. Even at the lowest limit on descriptors,
+// that leaves the origin more connections than the 64 fetches that the module allows. The caller holds mu.
 func (pool *Pool) maxPerTarget() int {
 	if len(pool.targets) < 2 {
 		return pool.limit
@@ -262,7 +268,7 @@
 	return max(1, pool.limit*3/4)
 }
 
-// put keeps a connection for the next attempt, or closes it. It tells whether it is kept.
+// put keeps a connection for the next attempt, or closes it. It reports whether it was kept.
 func (pool *Pool) put(c *conn, reuse bool) bool {
 	t := c.target
 	reuse = reuse && c.tlsSerial == pool.tlsSerial()
@@ -278,25 +284,25 @@
 	return false
 }
 
-// discard lets a connection go that has ended, or brought what nobody asked for, while it was kept.
+// discard closes a connection that ended or received unexpected input while idle.
 func (pool *Pool) discard(c *conn) {
 	t := c.target
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if i := slices.Index(t.idle, c); i >= 0 { // else who took it out has counted it
+	if i := slices.Index(t.idle, c); i >= 0 { // otherwise the goroutine that took it out counts it
 		t.idle = slices.Delete(t.idle, i, i+1)
 		t.addOpen(-1)
 	}
 	c.Close()
 }
 
-// Attempt is engine.Endpoint's. On a kept connection the command is written here, as far as that needs no waiting; where there is
-// none, another is opened by a goroutine that reads from it from then on.
+// Attempt implements engine.Endpoint. On an idle connection it writes the command without blocking; the rest
+// is written by another goroutine. If there is none, a new goroutine opens a connection and serves it.
 func (t *target) Attempt(canceler *engine.Canceler, request *engine.Request, handler engine.AttemptHandler) (engine.Reply, bool) {
 	return t.startTask(task{canceler: canceler, request: request, handler: handler})
 }
 
-// startTask has some work done. It tells how that ended if it is known at once.
+// startTask starts a task. If the task finishes at once, it returns the reply and true.
 func (t *target) startTask(work task) (engine.Reply, bool) {
 	pool := t.pool
 	for c := pool.takeIdle(t); c != nil; c = pool.takeIdle(t) {
@@ -315,7 +321,7 @@
 	return engine.Reply{}, false
 }
 
-// connect opens a connection for some work, whose place is taken, and reads from it until it ends.
+// connect opens a connection whose capacity is reserved, starts a task on it and serves it until it ends.
 func (t *target) connect(work task) {
 	pool := t.pool
 	c, err := pool.dial(work.canceler, t)
@@ -336,27 +342,27 @@
 	c.serve()
 }
 
-// startFailureStatus are the statuses of work that a connection did not begin.
+// startFailureStatus maps the result of a task that did not start to its status.
 var startFailureStatus = map[startResult]decide.Status{unusable: decide.ConnectError, canceled: decide.Ignored, unsupported: decide.Ignored, writeFailed: decide.ConnectError}
 
-// probeHandler is who a probe is made for.
-type probeHandler struct{ result chan engine.Reply } // of capacity 1
+// probeHandler is the engine.AttemptHandler of a probe.
+type probeHandler struct{ result chan engine.Reply } // capacity 1
 
-// Begin says that the probe is wanted.
+// Begin allows the probe and sets the deadline for writing it.
 func (probeHandler) Begin() (engine.Try, bool) {
 	return engine.Try{WriteBy: time.Now().Add(probeWriteTimeout)}, true
 }
 
-// probeWriteTimeout is for a probe to be written, which is one line.
+// probeWriteTimeout is the time for writing a probe, which is one line.
 const probeWriteTimeout = 100 * time.Millisecond
 
-// Written needs not be told: probes are no attempts.
+// Written does nothing: probes are not attempts.
 func (probeHandler) Written() {}
 
-// Done takes how the probe ended.
+// Done receives the result of the probe.
 func (p probeHandler) Done(r engine.Reply) { p.result <- r }
 
-// Probe is engine.Endpoint's.
+// Probe implements engine.Endpoint.
 func (t *target) Probe(ctx context.Context) (decide.Status, decide.Load) {
 	command := t.proto.Probe(t.addr)
 	if command == "" {
@@ -369,7 +375,7 @@
 	if !finished {
 		got = <-handler.result
 	}
-	if got.Status == decide.Ignored { // no socket is left
+	if got.Status == decide.Ignored { // the connection limit is reached
 		got.Status = decide.ConnectError
 	}
 	if got.Status != decide.OK && ctx.Err() != nil {
