--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -199,15 +199,15 @@
 // start starts a task on a connection that was taken from the pool, without waiting for the socket.
 func (c *conn) start(work task) startResult {
 	work.canceler.OnCancel(c.abort) // first, as the answer may be read before start returns
-	got := c.startLocked(work)
+	got := c.beginTask(work)
 	if got != started {
 		work.canceler.Detach()
 	}
 	return got
 }
 
-// startLocked is start without cancellation. It acquires mu.
-func (c *conn) startLocked(work task) startResult {
+// beginTask is start without cancellation. It acquires mu.
+func (c *conn) beginTask(work task) startResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dead {
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -19,7 +19,7 @@
 }
 
 // newFakeServer is a target whose server is the test itself, and its next connections.
-func newFakeServer(t *testing.T, isOrigin bool) (pool *Pool, at *target, accept func() fakeServer) {
+func newFakeServer(t *testing.T, isOrigin bool) (pool *Pool, endpoint *target, accept func() fakeServer) {
 	t.Helper()
 	ln := listenLocal(t)
 	pool = testPool(t, 10*time.Second, 10)
@@ -58,10 +58,10 @@
 }
 
 // startAttempt begins an attempt, which must not be over at once.
-func startAttempt(t *testing.T, at *target, canceler *engine.Canceler, r *engine.Request) <-chan engine.Reply {
+func startAttempt(t *testing.T, endpoint *target, canceler *engine.Canceler, r *engine.Request) <-chan engine.Reply {
 	t.Helper()
 	a := attemptHandler{probeHandler{make(chan engine.Reply, 1)}, always}
-	if got, known := at.Attempt(canceler, r, a); known {
+	if got, known := endpoint.Attempt(canceler, r, a); known {
 		t.Fatalf("over at once: %v", got.Status)
 	}
 	return a.result
@@ -70,13 +70,13 @@
 const value = "VA 5 Oa1 h1\r\nhello\r\n"
 
 // keepConn has one kept connection there.
-func keepConn(t *testing.T, at *target, accept func() fakeServer) fakeServer {
+func keepConn(t *testing.T, endpoint *target, accept func() fakeServer) fakeServer {
 	t.Helper()
-	came := startAttempt(t, at, &engine.Canceler{}, getCommand())
+	replies := startAttempt(t, endpoint, &engine.Canceler{}, getCommand())
 	p := accept()
 	p.readCommand()
 	p.send(value)
-	if got := next(t, came, "answer"); got.Status != decide.OK {
+	if got := next(t, replies, "answer"); got.Status != decide.OK {
 		t.Fatalf("got %v", got.Status)
 	}
 	return p
@@ -94,27 +94,27 @@
 
 // The end of a kept connection shows at once, with nobody looking.
 func TestEndOfAKeptConnectionIsSeenAtOnce(t *testing.T) {
-	pool, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
+	pool, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
 	p.Close()
 	waitUntil(t, "a connection that has ended is counted", func() bool {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
-		return pool.open == 0 && len(at.idle) == 0
+		return pool.open == 0 && len(endpoint.idle) == 0
 	})
 }
 
 // What comes while nothing is asked is nobody's answer, even if it reads like that of the next request.
-func TestAnswerAheadOfItsRequestIsNobodys(t *testing.T) {
+func TestUnsolicitedAnswerIsDiscarded(t *testing.T) {
 	for range 50 { // the next request is begun before, while and after the reader sees it
-		_, at, accept := newFakeServer(t, false)
-		p := keepConn(t, at, accept)
+		_, endpoint, accept := newFakeServer(t, false)
+		p := keepConn(t, endpoint, accept)
 		p.send("VA 5 Oa1 h1\r\nstale\r\n") // over loopback it is there once this returns
-		came := startAttempt(t, at, &engine.Canceler{}, getCommand())
-		other := accept() // the old one is of no use
-		other.readCommand()
-		other.send(value)
-		if got := next(t, came, "answer"); string(got.Body) != "hello" {
+		replies := startAttempt(t, endpoint, &engine.Canceler{}, getCommand())
+		replacement := accept() // the old one is of no use
+		replacement.readCommand()
+		replacement.send(value)
+		if got := next(t, replies, "answer"); string(got.Body) != "hello" {
 			t.Fatalf("got %v, %q", got.Status, got.Body)
 		}
 	}
@@ -129,30 +129,30 @@
 
 // A command that does not fit into the socket is finished without holding up who began it, and its answer counts once all of it
 // is written.
-func TestLongCommandIsFinishedBehind(t *testing.T) {
-	_, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
-	came := startAttempt(t, at, &engine.Canceler{}, largePut()) // returns though nothing is read
+func TestLongCommandIsWrittenInBackground(t *testing.T) {
+	_, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
+	replies := startAttempt(t, endpoint, &engine.Canceler{}, largePut()) // returns though nothing is read
 	p.readCommand()
 	if n, err := io.CopyN(io.Discard, p, 16<<20+2); err != nil {
 		t.Fatalf("after %d bytes: %v", n, err)
 	}
 	p.send("HD Oa1 c77\r\n")
-	if got := next(t, came, "receipt"); got.Status != decide.OK || string(got.Body) != "77" {
+	if got := next(t, replies, "receipt"); got.Status != decide.OK || string(got.Body) != "77" {
 		t.Errorf("got %v, %q", got.Status, got.Body)
 	}
 }
 
 // A server that answers before it has all of a command, and reads no further, has not got it: nothing has run.
-func TestAnswerToHalfACommandIsNone(t *testing.T) {
-	pool, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
-	came := startAttempt(t, at, &engine.Canceler{}, largePut())
+func TestAnswerToIncompleteCommandIsIgnored(t *testing.T) {
+	pool, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
+	replies := startAttempt(t, endpoint, &engine.Canceler{}, largePut())
 	p.readCommand()
 	p.send("HD Oa1 c77\r\n")
 	p.SetLinger(0)
 	p.Close() // with input unread
-	if got := next(t, came, "end"); got.Status != decide.ConnectError {
+	if got := next(t, replies, "end"); got.Status != decide.ConnectError {
 		t.Errorf("got %v: the last byte was never out", got.Status)
 	}
 	pool.mu.Lock()
@@ -174,10 +174,10 @@
 
 // Guards against a server that is passed more time than is left, as a long value went out long after the deadline ahead of it.
 func TestCommandWhoseLastByteComesTooLateNeverRan(t *testing.T) {
-	_, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
+	_, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
 	h := writeByHandler{probeHandler{make(chan engine.Reply, 1)}, 100 * time.Millisecond}
-	if got, known := at.Attempt(&engine.Canceler{}, largePut(), h); known {
+	if got, known := endpoint.Attempt(&engine.Canceler{}, largePut(), h); known {
 		t.Fatalf("over at once: %v", got.Status)
 	}
 	p.readCommand() // and reads no further
@@ -187,14 +187,14 @@
 }
 
 // Giving up an attempt whose command is not all out ends it.
-func TestGivingUpALongCommand(t *testing.T) {
-	_, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
+func TestCancelLongCommand(t *testing.T) {
+	_, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
 	var stop engine.Canceler
-	came := startAttempt(t, at, &stop, largePut())
+	replies := startAttempt(t, endpoint, &stop, largePut())
 	p.readCommand()
 	stop.Cancel()
-	if got := next(t, came, "end"); got.Status != decide.ConnectError {
+	if got := next(t, replies, "end"); got.Status != decide.ConnectError {
 		t.Errorf("got %v", got.Status)
 	}
 	if _, err := io.Copy(io.Discard, p); err != nil && !strings.Contains(err.Error(), "reset") {
@@ -203,19 +203,19 @@
 }
 
 // An attempt that was given up must not close the connection of the one that has it now.
-func TestLateStopClosesNobodyElses(t *testing.T) {
-	_, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
+func TestLateCancelDoesNotCloseReusedConnection(t *testing.T) {
+	_, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
 	var first engine.Canceler
-	came := startAttempt(t, at, &first, getCommand())
+	replies := startAttempt(t, endpoint, &first, getCommand())
 	p.readCommand()
 	p.send(value)
-	next(t, came, "first answer")
-	came = startAttempt(t, at, &engine.Canceler{}, getCommand())
+	next(t, replies, "first answer")
+	replies = startAttempt(t, endpoint, &engine.Canceler{}, getCommand())
 	first.Cancel()
 	p.readCommand()
 	p.send(value)
-	if got := next(t, came, "second answer"); got.Status != decide.OK {
+	if got := next(t, replies, "second answer"); got.Status != decide.OK {
 		t.Errorf("got %v", got.Status)
 	}
 }
@@ -236,10 +236,10 @@
 		}
 		return own
 	})
-	at := pool.add(f.Addr, protocolFor(false))
-	const each, askers = 200, 6
-	ended := make(chan int, askers)
-	for a := range askers {
+	endpoint := pool.add(f.Addr, protocolFor(false))
+	const each, workers = 200, 6
+	ended := make(chan int, workers)
+	for a := range workers {
 		go func() {
 			n := 0
 			for i := range each {
@@ -250,7 +250,7 @@
 				if i%7 == 0 {
 					go stop.Cancel()
 				}
-				got := attempt(at, &stop, r, always)
+				got := attempt(endpoint, &stop, r, always)
 				if n++; got.Status == decide.OK && string(got.Body) != r.ID {
 					t.Errorf("got %q", got.Body)
 				}
@@ -258,7 +258,7 @@
 			ended <- n
 		}()
 	}
-	for range askers {
+	for range workers {
 		if n := next(t, ended, "asker"); n != each {
 			t.Errorf("%d ends", n)
 		}
@@ -266,6 +266,6 @@
 	waitUntil(t, "connections are booked that are neither kept nor at work", func() bool {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
-		return pool.open == len(at.idle) && at.open == pool.open
+		return pool.open == len(endpoint.idle) && endpoint.open == pool.open
 	})
 }
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -187,7 +187,7 @@
 	}
 }
 
-func TestNoConnectionIsNeverRan(t *testing.T) {
+func TestFailedConnectReportsConnectError(t *testing.T) {
 	pool := testPool(t, 10*time.Second, 10)
 	ln := listenLocal(t)
 	refusing := pool.add(ln.Addr().String(), protocolFor(false))
@@ -239,15 +239,15 @@
 
 func TestSocketLimit(t *testing.T) {
 	pool := testPool(t, 10*time.Second, 1)
-	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
-	a, b := pool.add(f.Addr, protocolFor(false)), pool.add(silent.Addr, protocolFor(false))
+	f, hanging := startFake(t, hit), startFake(t, func(string) string { return "" })
+	a, b := pool.add(f.Addr, protocolFor(false)), pool.add(hanging.Addr, protocolFor(false))
 	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Fatalf("got %v", got.Status)
 	}
 	var stop engine.Canceler
 	done := make(chan engine.Reply, 1)
 	go func() { done <- attempt(b, &stop, getCommand(), always) }() // takes the place of the idle one
-	next(t, silent.Seen, "request")
+	next(t, hanging.Seen, "request")
 	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.Ignored {
 		t.Errorf("beyond the limit: got %v", got.Status)
 	}
@@ -262,15 +262,15 @@
 // one's when its attempts are given up.
 func TestHangingServerLeavesSocketsToOthers(t *testing.T) {
 	pool := testPool(t, 10*time.Second, 8)
-	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
-	a, b := pool.add(f.Addr, protocolFor(false)), pool.add(silent.Addr, protocolFor(false))
+	f, hanging := startFake(t, hit), startFake(t, func(string) string { return "" })
+	a, b := pool.add(f.Addr, protocolFor(false)), pool.add(hanging.Addr, protocolFor(false))
 	var stops [8]engine.Canceler
 	done := make(chan engine.Reply, len(stops))
 	for i := range stops {
 		go func() { done <- attempt(b, &stops[i], getCommand(), always) }()
 	}
 	for range 6 {
-		next(t, silent.Seen, "request")
+		next(t, hanging.Seen, "request")
 	}
 	for range 2 {
 		if got := next(t, done, "one beyond its part"); got.Status != decide.Ignored {
@@ -296,7 +296,7 @@
 }
 
 // An attempt that is called off before its first byte leaves none.
-func TestCalledOffAttemptIsNotWritten(t *testing.T) {
+func TestCanceledAttemptIsNotWritten(t *testing.T) {
 	f := startFake(t, hit)
 	pool := testPool(t, 10*time.Second, 10)
 	target := pool.add(f.Addr, protocolFor(false))
@@ -325,7 +325,7 @@
 }
 
 // Connections that a peak has opened take turns, or all but one would run out and be opened anew at the next peak.
-func TestKeptConnectionsTakeTurns(t *testing.T) {
+func TestIdleConnectionsAreUsedInRotation(t *testing.T) {
 	f := startFake(t, hit)
 	pool := testPool(t, 10*time.Second, 10)
 	target := pool.add(f.Addr, protocolFor(false))
@@ -354,7 +354,7 @@
 
 // A second copy of an origin's answer that comes a moment later carries no id: the connection rests until it would be
 // there, and is then found not to be quiet.
-func TestLateCopyIsNotTheNextAnswer(t *testing.T) {
+func TestLateDuplicateIsNotTheNextAnswer(t *testing.T) {
 	ln := listenLocal(t)
 	go func() {
 		for {
