--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -12,13 +12,14 @@
 	"mossproxy.example/mossproxy/internal/engine"
 )
 
-// fakeServer is the server's side of a connection that a test drives byte by byte.
+// fakeServer is the server side of a connection, driven byte by byte by a test.
 type fakeServer struct {
 	*net.TCPConn
 	t *testing.T
 }
 
-// newFakeServer is a target whose server is the test itself, and its next connections.
+// newFakeServer returns a pool, a target in it whose server is the test, and a function that accepts the next
+// connection to that server.
 func newFakeServer(t *testing.T, isOrigin bool) (pool *Pool, endpoint *target, accept func() fakeServer) {
 	t.Helper()
 	ln := listenLocal(t)
@@ -36,7 +37,7 @@
 	}
 }
 
-// readCommand reads up to the end of a command's line.
+// readCommand reads up to the end of the line of a command.
 func (p fakeServer) readCommand() string {
 	p.t.Helper()
 	var line []byte
@@ -49,7 +50,7 @@
 	return string(line)
 }
 
-// send writes to the router.
+// send writes to the pool side of the connection.
 func (p fakeServer) send(text string) {
 	p.t.Helper()
 	if _, err := io.WriteString(p, text); err != nil {
@@ -57,19 +58,19 @@
 	}
 }
 
-// startAttempt begins an attempt, which must not be over at once.
+// startAttempt starts an attempt, which must not finish at once.
 func startAttempt(t *testing.T, endpoint *target, canceler *engine.Canceler, r *engine.Request) <-chan engine.Reply {
 	t.Helper()
 	a := attemptHandler{probeHandler{make(chan engine.Reply, 1)}, always}
 	if got, known := endpoint.Attempt(canceler, r, a); known {
-		t.Fatalf("over at once: %v", got.Status)
+		t.Fatalf("finished at once: %v", got.Status)
 	}
 	return a.result
 }
 
 const value = "VA 5 Oa1 h1\r\nhello\r\n"
 
-// keepConn has one kept connection there.
+// keepConn makes one successful attempt, which leaves one idle connection in the pool.
 func keepConn(t *testing.T, endpoint *target, accept func() fakeServer) fakeServer {
 	t.Helper()
 	replies := startAttempt(t, endpoint, &engine.Canceler{}, getCommand())
@@ -82,7 +83,7 @@
 	return p
 }
 
-// waitUntil waits for something that a socket brings about.
+// waitUntil polls until a condition holds that depends on socket events, or fails the test.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(wait); !ok(); time.Sleep(time.Millisecond) {
@@ -92,26 +93,26 @@
 	}
 }
 
-// The end of a kept connection shows at once, with nobody looking.
+// The end of an idle connection is noticed at once, without another attempt.
 func TestEndOfAKeptConnectionIsSeenAtOnce(t *testing.T) {
 	pool, endpoint, accept := newFakeServer(t, false)
 	p := keepConn(t, endpoint, accept)
 	p.Close()
-	waitUntil(t, "a connection that has ended is counted", func() bool {
+	waitUntil(t, "a closed connection is still counted", func() bool {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
 		return pool.open == 0 && len(endpoint.idle) == 0
 	})
 }
 
-// What comes while nothing is asked is nobody's answer, even if it reads like that of the next request.
+// Input on an idle connection is discarded, even if it looks like the answer to the next request.
 func TestUnsolicitedAnswerIsDiscarded(t *testing.T) {
-	for range 50 { // the next request is begun before, while and after the reader sees it
+	for range 50 { // starts the next request before, while and after the reader notices the input
 		_, endpoint, accept := newFakeServer(t, false)
 		p := keepConn(t, endpoint, accept)
-		p.send("VA 5 Oa1 h1\r\nstale\r\n") // over loopback it is there once this returns
+		p.send("VA 5 Oa1 h1\r\nstale\r\n") // over loopback it has arrived once this returns
 		replies := startAttempt(t, endpoint, &engine.Canceler{}, getCommand())
-		replacement := accept() // the old one is of no use
+		replacement := accept() // the idle connection is not used
 		replacement.readCommand()
 		replacement.send(value)
 		if got := next(t, replies, "answer"); string(got.Body) != "hello" {
@@ -120,19 +121,19 @@
 	}
 }
 
-// largePut is a write that no socket takes at once from a server that reads nothing.
+// largePut returns a write that is too large for the socket buffers while the server reads nothing.
 func largePut() *engine.Request {
 	r := putCommand()
 	r.Value = bytes.Repeat([]byte("x"), 16<<20)
 	return r
 }
 
-// A command that does not fit into the socket is finished without holding up who began it, and its answer counts once all of it
-// is written.
+// A command that does not fit into the socket is written in the background without blocking the caller, and
+// its answer counts only once the whole command is written.
 func TestLongCommandIsWrittenInBackground(t *testing.T) {
 	_, endpoint, accept := newFakeServer(t, false)
 	p := keepConn(t, endpoint, accept)
-	replies := startAttempt(t, endpoint, &engine.Canceler{}, largePut()) // returns though nothing is read
+	replies := startAttempt(t, endpoint, &engine.Canceler{}, largePut()) // returns although nothing is read
 	p.readCommand()
 	if n, err := io.CopyN(io.Discard, p, 16<<20+2); err != nil {
 		t.Fatalf("after %d bytes: %v", n, err)
@@ -143,7 +144,7 @@
 	}
 }
 
-// A server that answers before it has all of a command, and reads no further, has not got it: nothing has run.
+// A server that answers and closes the connection before it has read the whole command has not run it.
 func TestAnswerToIncompleteCommandIsIgnored(t *testing.T) {
 	pool, endpoint, accept := newFakeServer(t, false)
 	p := keepConn(t, endpoint, accept)
@@ -151,9 +152,9 @@
 	p.readCommand()
 	p.send("HD Oa1 c77\r\n")
 	p.SetLinger(0)
-	p.Close() // with input unread
+	p.Close() // with unread input
 	if got := next(t, replies, "end"); got.Status != decide.ConnectError {
-		t.Errorf("got %v: the last byte was never out", got.Status)
+		t.Errorf("got %v: the last byte was not written", got.Status)
 	}
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -162,7 +163,7 @@
 	}
 }
 
-// writeByHandler is who an attempt is made for whose last byte has to be out within a time.
+// writeByHandler handles an attempt whose last byte must be written within a time limit.
 type writeByHandler struct {
 	probeHandler
 	within time.Duration
@@ -172,13 +173,14 @@
 	return engine.Try{DeadlineMS: 400, WriteBy: time.Now().Add(h.within)}, true
 }
 
-// Guards against a server that is passed more time than is left, as a long value went out long after the deadline ahead of it.
+// Guards against a server that is given more time than is left: the deadline is sent ahead of a long value,
+// whose last byte may be written long after it.
 func TestCommandWhoseLastByteComesTooLateNeverRan(t *testing.T) {
 	_, endpoint, accept := newFakeServer(t, false)
 	p := keepConn(t, endpoint, accept)
 	h := writeByHandler{probeHandler{make(chan engine.Reply, 1)}, 100 * time.Millisecond}
 	if got, known := endpoint.Attempt(&engine.Canceler{}, largePut(), h); known {
-		t.Fatalf("over at once: %v", got.Status)
+		t.Fatalf("finished at once: %v", got.Status)
 	}
 	p.readCommand() // and reads no further
 	if got := next(t, h.result, "end"); got.Status != decide.ConnectError {
@@ -186,7 +188,7 @@
 	}
 }
 
-// Giving up an attempt whose command is not all out ends it.
+// Canceling an attempt ends it even if its command is not fully written.
 func TestCancelLongCommand(t *testing.T) {
 	_, endpoint, accept := newFakeServer(t, false)
 	p := keepConn(t, endpoint, accept)
@@ -198,11 +200,11 @@
 		t.Errorf("got %v", got.Status)
 	}
 	if _, err := io.Copy(io.Discard, p); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("the server's side: %v", err)
+		t.Errorf("server side: %v", err)
 	}
 }
 
-// An attempt that was given up must not close the connection of the one that has it now.
+// Canceling an attempt that has finished must not close the connection, which another attempt uses now.
 func TestLateCancelDoesNotCloseReusedConnection(t *testing.T) {
 	_, endpoint, accept := newFakeServer(t, false)
 	p := keepConn(t, endpoint, accept)
@@ -220,8 +222,8 @@
 	}
 }
 
-// Attempts, ends of connections and attempts that are given up at once and together: each is told its end once, none gets
-// another's value, and every connection is booked.
+// Concurrent attempts while connections end and attempts are canceled: each attempt reports its end once,
+// none receives the value of another, and every connection is counted.
 func TestAttemptsOverConnectionsThatEnd(t *testing.T) {
 	pool := testPool(t, 10*time.Second, 8)
 	const own = "VA 3 O{id} h1\r\n{id}\r\n"
@@ -259,11 +261,11 @@
 		}()
 	}
 	for range workers {
-		if n := next(t, ended, "asker"); n != each {
-			t.Errorf("%d ends", n)
+		if n := next(t, ended, "worker"); n != each {
+			t.Errorf("%d attempts finished", n)
 		}
 	}
-	waitUntil(t, "connections are booked that are neither kept nor at work", func() bool {
+	waitUntil(t, "connections are counted that are neither idle nor in use", func() bool {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
 		return pool.open == len(endpoint.idle) && endpoint.open == pool.open
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -37,7 +37,7 @@
 	return standintest.Next(t, ch, what)
 }
 
-// protocolFor is the protocol of a cache server or of the origin.
+// protocolFor returns the protocol of the origin or of a cache server.
 func protocolFor(isOrigin bool) Protocol {
 	if isOrigin {
 		return origin.Protocol{}
@@ -55,7 +55,7 @@
 
 func always() bool { return true }
 
-// attemptHandler is who an attempt of a test is made for.
+// attemptHandler handles the attempt of a test.
 type attemptHandler struct {
 	probeHandler
 	begin func() bool
@@ -65,7 +65,7 @@
 	return engine.Try{DeadlineMS: 400, WriteBy: time.Now().Add(wait)}, a.begin()
 }
 
-// attempt makes an attempt and waits for its end.
+// attempt makes an attempt and waits for its result.
 func attempt(t *target, canceler *engine.Canceler, r *engine.Request, begin func() bool) engine.Reply {
 	a := attemptHandler{probeHandler{make(chan engine.Reply, 1)}, begin}
 	got, known := t.Attempt(canceler, r, a)
@@ -94,7 +94,7 @@
 	return slices.Clone(t.idle)
 }
 
-// Each row of the outcome table, for both protocols.
+// Checks the status and the reuse of the connection for each kind of answer, for both protocols.
 func TestOutcomeTable(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	for name, c := range map[string]struct {
@@ -109,10 +109,10 @@
 		"value without flag":  {answer: "VA 0 O{id}\r\n\r\n", want: decide.OK, reused: true},
 		"receipt":             {answer: "HD O{id} c77\r\n", write: true, want: decide.OK, reused: true},
 		"miss":                {answer: "EN O{id}\r\n", want: decide.Miss, reused: true},
-		"miss, told":          {answer: "EN O{id} h0\r\n", want: decide.Miss, note: 2, reused: true},
-		"miss, fetch is out":  {answer: "EN O{id} h0 Z\r\n", want: decide.Miss, note: 3, reused: true},
+		"miss, reported":      {answer: "EN O{id} h0\r\n", want: decide.Miss, note: 2, reused: true},
+		"miss, fetch pending": {answer: "EN O{id} h0 Z\r\n", want: decide.Miss, note: 3, reused: true},
 		"error":               {answer: "SERVER_ERROR failed\r\n", want: decide.Failed, reused: true},
-		"turned away":         {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
+		"rejected, busy":      {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
 		"closed":              {answer: "close", want: decide.Reset},
 		"value cut":           {answer: "VA 50 O{id}\r\nhel{cut}", want: decide.InvalidAnswer},
 		"value without end":   {answer: "VA 3 O{id}\r\nhello\r\n", want: decide.InvalidAnswer},
@@ -126,7 +126,7 @@
 		"client error":        {answer: "CLIENT_ERROR bad\r\n", want: decide.InvalidAnswer},
 		"no protocol":         {answer: "\x00\x01\r\n", want: decide.InvalidAnswer},
 		"endless line":        {answer: long, want: decide.InvalidAnswer},
-		"noise without end":   {answer: "\x07\x01\x02", want: decide.InvalidAnswer},
+		"unterminated noise":  {answer: "\x07\x01\x02", want: decide.InvalidAnswer},
 		"value stops short":   {answer: "VA 50 O{id}\r\nhel", want: decide.InvalidAnswer},
 		"line stops short":    {answer: "VA 50 O{id} h1", want: decide.InvalidAnswer},
 		"value of 3 GB":       {answer: "VA 3000000000 O{id}\r\nhel", want: decide.InvalidAnswer},
@@ -197,12 +197,12 @@
 	}
 }
 
-// A kept connection that the server has closed must not carry a request: written to it, it would end as a reset,
-// which may have run.
+// An idle connection that the server has closed must not be used: a request written to it would end as a
+// reset, which may have run.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
 	pool := testPool(t, 10*time.Second, 10)
 	f := startFake(t, func(line string) string {
-		if strings.HasPrefix(line, "PUT") { // answers as if to keep the connection, and closes it
+		if strings.HasPrefix(line, "PUT") { // answers as if it kept the connection open, then closes it
 			return httpAnswer("200 OK", "77") + "{cut}"
 		}
 		return httpAnswer("200 OK", "fresh")
@@ -213,7 +213,7 @@
 			t.Fatalf("request %d: got %v", n, got.Status)
 		}
 		for kept := idleConns(pool, target); len(kept) > 0 && sock.IsIdle(kept[0].Conn); {
-			time.Sleep(time.Millisecond) // until the end has come over the socket
+			time.Sleep(time.Millisecond) // until the end of the connection has arrived
 		}
 	}
 	if n := f.Conns.Load(); n != 3 {
@@ -246,20 +246,20 @@
 	}
 	var stop engine.Canceler
 	done := make(chan engine.Reply, 1)
-	go func() { done <- attempt(b, &stop, getCommand(), always) }() // takes the place of the idle one
+	go func() { done <- attempt(b, &stop, getCommand(), always) }() // evicts the idle connection
 	next(t, hanging.Seen, "request")
 	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.Ignored {
-		t.Errorf("beyond the limit: got %v", got.Status)
+		t.Errorf("above the limit: got %v", got.Status)
 	}
 	stop.Cancel()
-	next(t, done, "end of the attempt that was given up")
+	next(t, done, "end of the canceled attempt")
 	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
-		t.Errorf("once there is room: got %v", got.Status)
+		t.Errorf("once a connection is available: got %v", got.Status)
 	}
 }
 
-// A server that hangs takes three quarters of the sockets and no more: the other one has the rest, and gets back what was the hanging
-// one's when its attempts are given up.
+// A server that hangs takes at most three quarters of the sockets. The other server can use the rest, and the
+// sockets of the hanging one are released when its attempts are canceled.
 func TestHangingServerLeavesSocketsToOthers(t *testing.T) {
 	pool := testPool(t, 10*time.Second, 8)
 	f, hanging := startFake(t, hit), startFake(t, func(string) string { return "" })
@@ -273,29 +273,29 @@
 		next(t, hanging.Seen, "request")
 	}
 	for range 2 {
-		if got := next(t, done, "one beyond its part"); got.Status != decide.Ignored {
+		if got := next(t, done, "attempt beyond its share"); got.Status != decide.Ignored {
 			t.Errorf("got %v", got.Status)
 		}
 	}
 	for range 8 {
 		if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
-			t.Errorf("the other one: got %v", got.Status)
+			t.Errorf("other server: got %v", got.Status)
 		}
 	}
 	for i := range stops {
 		stops[i].Cancel()
 	}
 	for range 6 {
-		next(t, done, "end of what was given up")
+		next(t, done, "end of a canceled attempt")
 	}
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if b.open != 0 || a.open != 1 || pool.open != 1 {
-		t.Errorf("%d and %d open, %d in all", a.open, b.open, pool.open)
+		t.Errorf("%d and %d open, %d in total", a.open, b.open, pool.open)
 	}
 }
 
-// An attempt that is called off before its first byte leaves none.
+// An attempt that is canceled before its first byte writes nothing.
 func TestCanceledAttemptIsNotWritten(t *testing.T) {
 	f := startFake(t, hit)
 	pool := testPool(t, 10*time.Second, 10)
@@ -306,7 +306,7 @@
 	}
 	next(t, f.Seen, "request")
 	if len(f.Seen) > 0 || f.Conns.Load() != 1 {
-		t.Error("the attempt that was called off was written")
+		t.Error("the canceled attempt was written")
 	}
 }
 
@@ -320,11 +320,12 @@
 		}
 	}
 	if st, _ := pool.add(startFake(t, func(string) string { return "ERROR\r\n" }).Addr, protocolFor(false)).Probe(t.Context()); st == decide.OK {
-		t.Error("an error passed for a report")
+		t.Error("an error was accepted as a load report")
 	}
 }
 
-// Connections that a peak has opened take turns, or all but one would run out and be opened anew at the next peak.
+// Connections that a load peak has opened are used in rotation. Otherwise all but one would expire and have
+// to be opened again at the next peak.
 func TestIdleConnectionsAreUsedInRotation(t *testing.T) {
 	f := startFake(t, hit)
 	pool := testPool(t, 10*time.Second, 10)
@@ -332,7 +333,7 @@
 	var opened [2]*conn
 	for i := range opened {
 		if !pool.reserve(target) {
-			t.Fatal("no room")
+			t.Fatal("no capacity for a connection")
 		}
 		c, err := pool.dial(&engine.Canceler{}, target)
 		if err != nil {
@@ -346,14 +347,14 @@
 	for n, want := range []int{0, 1, 0} {
 		got := pool.takeIdle(target)
 		if got != opened[want] {
-			t.Errorf("turn %d went to another connection", n)
+			t.Errorf("attempt %d took the wrong connection", n)
 		}
 		pool.put(got, true)
 	}
 }
 
-// A second copy of an origin's answer that comes a moment later carries no id: the connection rests until it would be
-// there, and is then found not to be quiet.
+// A duplicate of an answer of the origin carries no id. The connection is not reused until a duplicate would
+// have arrived; with unread input it is then discarded.
 func TestLateDuplicateIsNotTheNextAnswer(t *testing.T) {
 	ln := listenLocal(t)
 	go func() {
@@ -384,7 +385,7 @@
 		if got := attempt(target, &engine.Canceler{}, cmd, always); string(got.Body) != cmd.ID {
 			t.Errorf("request %s: got status %v, %q", cmd.ID, got.Status, got.Body)
 		}
-		if n == 2 { // the copies are there now
+		if n == 2 { // the duplicates have arrived
 			for kept := idleConns(pool, target); len(kept) > 0 && (sock.IsIdle(kept[0].Conn) || time.Since(kept[0].idleSince) < (20*time.Millisecond)); kept = idleConns(pool, target) {
 				time.Sleep(time.Millisecond)
 			}
