--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -261,7 +261,7 @@
 		}()
 	}
 	for range workers {
-		if n := next(t, ended, "worker"); n != each {
+		if n := next(t, ended, "asker"); n != each {
 			t.Errorf("%d attempts finished", n)
 		}
 	}
