--- a/internal/backend/meta/meta.go
+++ b/internal/backend/meta/meta.go
@@ -34,9 +34,9 @@
 // ReadAnswer reads the answer to a request.
 func (Protocol) ReadAnswer(in *bufio.Reader, _ string, r *engine.Request, _ engine.Try) (engine.Reply, bool, error) {
 	a, err := meta.ReadAnswer(in, newCommand(r)) // an invalid answer may still carry a load report
-	reply := engine.Reply{Status: statusByKind[a.Kind], Body: a.Body, CacheResult: a.Note, Load: settings.ParseLoad(a.Report)}
-	if a.Long > 0 {
-		reply.UnreadBytes, reply.Trailer = a.Long, "\r\n"
+	reply := engine.Reply{Status: statusByKind[a.Kind], Body: a.Body, CacheResult: a.CacheResult, Load: settings.ParseLoad(a.LoadReport)}
+	if a.UnreadBytes > 0 {
+		reply.UnreadBytes, reply.Trailer = a.UnreadBytes, "\r\n"
 	}
 	return reply, false, err
 }
