--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -12,18 +12,19 @@
 	"mossproxy.example/mossproxy/internal/engine"
 )
 
-// fakeServer is the server's side of a connection that a test drives byte by byte.
+// fakeServer is the server side of a connection, driven byte by byte by a test.
 type fakeServer struct {
 	*net.TCPConn
 	t *testing.T
 }
 
-// newFakeServer is a target whose server is the test itself, and its next connections.
-func newFakeServer(t *testing.T, isOrigin bool) (u *Pool, at *target, accept func() fakeServer) {
+// newFakeServer returns a pool, a target in it whose server is the test, and a function that accepts the next
+// connection to that server.
+func newFakeServer(t *testing.T, isOrigin bool) (pool *Pool, endpoint *target, accept func() fakeServer) {
 	t.Helper()
 	ln := listenLocal(t)
-	u = testPool(t, 10*time.Second, 10)
-	return u, u.add(ln.Addr().String(), protocolFor(isOrigin)), func() fakeServer {
+	pool = testPool(t, 10*time.Second, 10)
+	return pool, pool.add(ln.Addr().String(), protocolFor(isOrigin)), func() fakeServer {
 		t.Helper()
 		ln.(*net.TCPListener).SetDeadline(time.Now().Add(wait))
 		c, err := ln.Accept()
@@ -36,7 +37,7 @@
 	}
 }
 
-// readCommand reads up to the end of a command's line.
+// readCommand reads up to the end of the line of a command.
 func (p fakeServer) readCommand() string {
 	p.t.Helper()
 	var line []byte
@@ -49,7 +50,7 @@
 	return string(line)
 }
 
-// send writes to the router.
+// send writes to the pool side of the connection.
 func (p fakeServer) send(text string) {
 	p.t.Helper()
 	if _, err := io.WriteString(p, text); err != nil {
@@ -57,32 +58,32 @@
 	}
 }
 
-// startAttempt begins an attempt, which must not be over at once.
-func startAttempt(t *testing.T, at *target, stop *engine.Canceler, r *engine.Request) <-chan engine.Reply {
+// startAttempt starts an attempt, which must not finish at once.
+func startAttempt(t *testing.T, endpoint *target, canceler *engine.Canceler, r *engine.Request) <-chan engine.Reply {
 	t.Helper()
 	a := attemptHandler{probeHandler{make(chan engine.Reply, 1)}, always}
-	if got, known := at.Attempt(stop, r, a); known {
-		t.Fatalf("over at once: %v", got.Status)
+	if got, known := endpoint.Attempt(canceler, r, a); known {
+		t.Fatalf("finished at once: %v", got.Status)
 	}
 	return a.result
 }
 
 const value = "VA 5 Oa1 h1\r\nhello\r\n"
 
-// keepConn has one kept connection there.
-func keepConn(t *testing.T, at *target, accept func() fakeServer) fakeServer {
+// keepConn makes one successful attempt, which leaves one idle connection in the pool.
+func keepConn(t *testing.T, endpoint *target, accept func() fakeServer) fakeServer {
 	t.Helper()
-	came := startAttempt(t, at, &engine.Canceler{}, getCommand())
+	replies := startAttempt(t, endpoint, &engine.Canceler{}, getCommand())
 	p := accept()
 	p.readCommand()
 	p.send(value)
-	if got := next(t, came, "answer"); got.Status != decide.OK {
+	if got := next(t, replies, "answer"); got.Status != decide.OK {
 		t.Fatalf("got %v", got.Status)
 	}
 	return p
 }
 
-// waitUntil waits for something that a socket brings about.
+// waitUntil polls until a condition holds that depends on socket events, or fails the test.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(wait); !ok(); time.Sleep(time.Millisecond) {
@@ -92,77 +93,77 @@
 	}
 }
 
-// The end of a kept connection shows at once, with nobody looking.
+// The end of an idle connection is noticed at once, without another attempt.
 func TestEndOfAKeptConnectionIsSeenAtOnce(t *testing.T) {
-	u, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
+	pool, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
 	p.Close()
-	waitUntil(t, "a connection that has ended is counted", func() bool {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		return u.open == 0 && len(at.idle) == 0
+	waitUntil(t, "a closed connection is still counted", func() bool {
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return pool.open == 0 && len(endpoint.idle) == 0
 	})
 }
 
-// What comes while nothing is asked is nobody's answer, even if it reads like that of the next request.
-func TestAnswerAheadOfItsRequestIsNobodys(t *testing.T) {
-	for range 50 { // the next request is begun before, while and after the reader sees it
-		_, at, accept := newFakeServer(t, false)
-		p := keepConn(t, at, accept)
-		p.send("VA 5 Oa1 h1\r\nstale\r\n") // over loopback it is there once this returns
-		came := startAttempt(t, at, &engine.Canceler{}, getCommand())
-		other := accept() // the old one is of no use
-		other.readCommand()
-		other.send(value)
-		if got := next(t, came, "answer"); string(got.Body) != "hello" {
+// Input on an idle connection is discarded, even if it looks like the answer to the next request.
+func TestUnsolicitedAnswerIsDiscarded(t *testing.T) {
+	for range 50 { // starts the next request before, while and after the reader notices the input
+		_, endpoint, accept := newFakeServer(t, false)
+		p := keepConn(t, endpoint, accept)
+		p.send("VA 5 Oa1 h1\r\nstale\r\n") // over loopback it has arrived once this returns
+		replies := startAttempt(t, endpoint, &engine.Canceler{}, getCommand())
+		replacement := accept() // the idle connection is not used
+		replacement.readCommand()
+		replacement.send(value)
+		if got := next(t, replies, "answer"); string(got.Body) != "hello" {
 			t.Fatalf("got %v, %q", got.Status, got.Body)
 		}
 	}
 }
 
-// largePut is a write that no socket takes at once from a server that reads nothing.
+// largePut returns a write that is too large for the socket buffers while the server reads nothing.
 func largePut() *engine.Request {
 	r := putCommand()
 	r.Value = bytes.Repeat([]byte("x"), 16<<20)
 	return r
 }
 
-// A command that does not fit into the socket is finished without holding up who began it, and its answer counts once all of it
-// is written.
-func TestLongCommandIsFinishedBehind(t *testing.T) {
-	_, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
-	came := startAttempt(t, at, &engine.Canceler{}, largePut()) // returns though nothing is read
+// A command that does not fit into the socket is written in the background without blocking the caller, and
+// its answer counts only once the whole command is written.
+func TestLongCommandIsWrittenInBackground(t *testing.T) {
+	_, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
+	replies := startAttempt(t, endpoint, &engine.Canceler{}, largePut()) // returns although nothing is read
 	p.readCommand()
 	if n, err := io.CopyN(io.Discard, p, 16<<20+2); err != nil {
 		t.Fatalf("after %d bytes: %v", n, err)
 	}
 	p.send("HD Oa1 c77\r\n")
-	if got := next(t, came, "receipt"); got.Status != decide.OK || string(got.Body) != "77" {
+	if got := next(t, replies, "receipt"); got.Status != decide.OK || string(got.Body) != "77" {
 		t.Errorf("got %v, %q", got.Status, got.Body)
 	}
 }
 
-// A server that answers before it has all of a command, and reads no further, has not got it: nothing has run.
-func TestAnswerToHalfACommandIsNone(t *testing.T) {
-	u, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
-	came := startAttempt(t, at, &engine.Canceler{}, largePut())
+// A server that answers and closes the connection before it has read the whole command has not run it.
+func TestAnswerToIncompleteCommandIsIgnored(t *testing.T) {
+	pool, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
+	replies := startAttempt(t, endpoint, &engine.Canceler{}, largePut())
 	p.readCommand()
 	p.send("HD Oa1 c77\r\n")
 	p.SetLinger(0)
-	p.Close() // with input unread
-	if got := next(t, came, "end"); got.Status != decide.ConnectError {
-		t.Errorf("got %v: the last byte was never out", got.Status)
+	p.Close() // with unread input
+	if got := next(t, replies, "end"); got.Status != decide.ConnectError {
+		t.Errorf("got %v: the last byte was not written", got.Status)
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.open != 0 {
-		t.Errorf("%d connections are still counted", u.open)
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if pool.open != 0 {
+		t.Errorf("%d connections are still counted", pool.open)
 	}
 }
 
-// writeByHandler is who an attempt is made for whose last byte has to be out within a time.
+// writeByHandler handles an attempt whose last byte must be written within a time limit.
 type writeByHandler struct {
 	probeHandler
 	within time.Duration
@@ -172,13 +173,14 @@
 	return engine.Try{DeadlineMS: 400, WriteBy: time.Now().Add(h.within)}, true
 }
 
-// Guards against a server that is passed more time than is left, as a long value went out long after the deadline ahead of it.
+// Guards against a server that is given more time than is left: the deadline is sent ahead of a long value,
+// whose last byte may be written long after it.
 func TestCommandWhoseLastByteComesTooLateNeverRan(t *testing.T) {
-	_, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
+	_, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
 	h := writeByHandler{probeHandler{make(chan engine.Reply, 1)}, 100 * time.Millisecond}
-	if got, known := at.Attempt(&engine.Canceler{}, largePut(), h); known {
-		t.Fatalf("over at once: %v", got.Status)
+	if got, known := endpoint.Attempt(&engine.Canceler{}, largePut(), h); known {
+		t.Fatalf("finished at once: %v", got.Status)
 	}
 	p.readCommand() // and reads no further
 	if got := next(t, h.result, "end"); got.Status != decide.ConnectError {
@@ -186,44 +188,44 @@
 	}
 }
 
-// Giving up an attempt whose command is not all out ends it.
-func TestGivingUpALongCommand(t *testing.T) {
-	_, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
+// Canceling an attempt ends it even if its command is not fully written.
+func TestCancelLongCommand(t *testing.T) {
+	_, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
 	var stop engine.Canceler
-	came := startAttempt(t, at, &stop, largePut())
+	replies := startAttempt(t, endpoint, &stop, largePut())
 	p.readCommand()
 	stop.Cancel()
-	if got := next(t, came, "end"); got.Status != decide.ConnectError {
+	if got := next(t, replies, "end"); got.Status != decide.ConnectError {
 		t.Errorf("got %v", got.Status)
 	}
 	if _, err := io.Copy(io.Discard, p); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("the server's side: %v", err)
+		t.Errorf("server side: %v", err)
 	}
 }
 
-// An attempt that was given up must not close the connection of the one that has it now.
-func TestLateStopClosesNobodyElses(t *testing.T) {
-	_, at, accept := newFakeServer(t, false)
-	p := keepConn(t, at, accept)
+// Canceling an attempt that has finished must not close the connection, which another attempt uses now.
+func TestLateCancelDoesNotCloseReusedConnection(t *testing.T) {
+	_, endpoint, accept := newFakeServer(t, false)
+	p := keepConn(t, endpoint, accept)
 	var first engine.Canceler
-	came := startAttempt(t, at, &first, getCommand())
+	replies := startAttempt(t, endpoint, &first, getCommand())
 	p.readCommand()
 	p.send(value)
-	next(t, came, "first answer")
-	came = startAttempt(t, at, &engine.Canceler{}, getCommand())
+	next(t, replies, "first answer")
+	replies = startAttempt(t, endpoint, &engine.Canceler{}, getCommand())
 	first.Cancel()
 	p.readCommand()
 	p.send(value)
-	if got := next(t, came, "second answer"); got.Status != decide.OK {
+	if got := next(t, replies, "second answer"); got.Status != decide.OK {
 		t.Errorf("got %v", got.Status)
 	}
 }
 
-// Attempts, ends of connections and attempts that are given up at once and together: each is told its end once, none gets
-// another's value, and every connection is booked.
+// Concurrent attempts while connections end and attempts are canceled: each attempt reports its end once,
+// none receives the value of another, and every connection is counted.
 func TestAttemptsOverConnectionsThatEnd(t *testing.T) {
-	u := testPool(t, 10*time.Second, 8)
+	pool := testPool(t, 10*time.Second, 8)
 	const own = "VA 3 O{id} h1\r\n{id}\r\n"
 	f := startFake(t, func(line string) string {
 		switch line = strings.TrimSpace(line); {
@@ -236,10 +238,10 @@
 		}
 		return own
 	})
-	at := u.add(f.Addr, protocolFor(false))
-	const each, askers = 200, 6
-	ended := make(chan int, askers)
-	for a := range askers {
+	endpoint := pool.add(f.Addr, protocolFor(false))
+	const each, workers = 200, 6
+	ended := make(chan int, workers)
+	for a := range workers {
 		go func() {
 			n := 0
 			for i := range each {
@@ -250,7 +252,7 @@
 				if i%7 == 0 {
 					go stop.Cancel()
 				}
-				got := attempt(at, &stop, r, always)
+				got := attempt(endpoint, &stop, r, always)
 				if n++; got.Status == decide.OK && string(got.Body) != r.ID {
 					t.Errorf("got %q", got.Body)
 				}
@@ -258,14 +260,14 @@
 			ended <- n
 		}()
 	}
-	for range askers {
+	for range workers {
 		if n := next(t, ended, "asker"); n != each {
-			t.Errorf("%d ends", n)
+			t.Errorf("%d attempts finished", n)
 		}
 	}
-	waitUntil(t, "connections are booked that are neither kept nor at work", func() bool {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		return u.open == len(at.idle) && at.open == u.open
+	waitUntil(t, "connections are counted that are neither idle nor in use", func() bool {
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return pool.open == len(endpoint.idle) && endpoint.open == pool.open
 	})
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,5 +1,5 @@
-// Package backend keeps the connections to servers and makes attempts on them, one at a time on each, in whatever
-// protocol a server speaks.
+// Package backend maintains a pool of connections to servers and makes attempts on them, one at a time on
+// each connection, in the protocol of each server.
 package backend
 
 import (
@@ -17,22 +17,24 @@
 	"mossproxy.example/mossproxy/internal/engine"
 )
 
-// Protocol is what a server speaks. Its methods may be called from any goroutine.
+// Protocol is the protocol of a server. Its methods may be called from any goroutine.
 type Protocol interface {
-	// Command is what an attempt writes, made when its connection is up. An error says that the request can't be said in the
-	// protocol; it comes before anything is written.
+	// Command encodes the request of an attempt. It is called once the connection is open. An error means
+	// that the protocol cannot express the request; nothing has been written then.
 	Command(addr string, r *engine.Request, try engine.Try) ([]byte, error)
-	// ReadAnswer reads the answer to it. With last the connection carries no further request; an error leaves it without use.
+	// ReadAnswer reads the answer to a command. If last is set or err is not nil, the connection is closed.
 	ReadAnswer(in *bufio.Reader, addr string, r *engine.Request, try engine.Try) (a engine.Reply, last bool, err error)
-	// Preamble is what is written ahead of the first command of a connection, and Opened reads the answer to it.
+	// Preamble returns what is written ahead of the first command of a connection; ReadPreambleReply reads
+	// the reply to it.
 	Preamble() []byte
 	ReadPreambleReply(in *bufio.Reader) error
-	// Probe is what asks for the load; "" = it can't be asked.
+	// Probe returns the command that requests the load; "" = the protocol has none.
 	Probe(addr string) string
-	// ReadLoad reads the answer to that.
+	// ReadLoad reads the answer to a probe.
 	ReadLoad(in *bufio.Reader) (decide.Load, error)
-	// ReuseDelay is how long a connection rests after an answer: where answers carry no id, a second copy of the last one that
-	// comes a moment later must be there before the next request is, and not be taken for its answer.
+	// ReuseDelay returns the minimum time between an answer and the next request on a connection. Where
+	// answers carry no id, a duplicate of the last answer that arrives late must be there before the next
+	// request is written, so that it is not taken for its answer.
 	ReuseDelay() time.Duration
 }
 
@@ -41,97 +43,98 @@
 	pool    *Pool
 	proto   Protocol
 	addr    string
-	idle    []*conn // longest idle first; guarded by pool.mu, as is what follows
-	open    int     // its part of the pool's
-	removed bool    // no connection to it is kept any more
+	idle    []*conn // longest idle first; this and the following fields are guarded by pool.mu
+	open    int     // connections open or being opened
+	removed bool    // connections to it are no longer kept
 }
 
-// Pool keeps the connections to cache servers and origin.
+// Pool maintains the connections to cache servers and the origin.
 type Pool struct {
 	dialer  net.Dialer
 	maxIdle time.Duration
 	limit   int
-	tls     TLS // nil = links are plain
+	tls     TLS // nil = plain connections
 
 	mu      sync.Mutex
 	open    int // connections open or being opened
 	targets map[*target]struct{}
-	closed  bool                        // nothing is kept any more
-	streams map[*streamedValue]struct{} // values that are passing
+	closed  bool                        // connections are no longer kept
+	streams map[*streamedValue]struct{} // values being streamed
 }
 
-// NewPool keeps at most limit connections to all servers together. Servers close connections that stand idle for
-// connIdle; one that is not up within connectTimeout has failed.
+// NewPool returns a pool of at most limit connections to all servers together. connIdle is the time after
+// which servers close idle connections. A connection that is not open within connectTimeout has failed.
 func NewPool(connIdle, connectTimeout time.Duration, limit int) *Pool {
-	u := &Pool{limit: limit, targets: map[*target]struct{}{}, streams: map[*streamedValue]struct{}{}}
-	u.dialer.Timeout = connectTimeout
-	u.dialer.KeepAlive = -1
-	// A request written to a connection that the server has just closed ends as a reset: be well ahead of it.
-	u.maxIdle = connIdle - min(connIdle/4, time.Second)
-	return u
+	pool := &Pool{limit: limit, targets: map[*target]struct{}{}, streams: map[*streamedValue]struct{}{}}
+	pool.dialer.Timeout = connectTimeout
+	pool.dialer.KeepAlive = -1
+	// Close idle connections well before the server does: a request that is written to a connection that the
+	// server has just closed ends as a reset.
+	pool.maxIdle = connIdle - min(connIdle/4, time.Second)
+	return pool
 }
 
-// SetTLS has links to servers carry TLS. It is called before the first Link.
-func (u *Pool) SetTLS(t TLS) { u.tls = t }
+// SetTLS makes connections to servers use TLS. It must be called before the first Endpoint.
+func (pool *Pool) SetTLS(t TLS) { pool.tls = t }
 
-// SetLimit changes how many connections there may be at most. Idle ones are closed where there are more; those with an attempt out end
-// by themselves, and no new one is opened until then.
-func (u *Pool) SetLimit(n int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.limit = max(1, n)
-	for u.open > u.limit && u.evict() {
+// SetLimit changes the maximum number of connections, which is at least 1. Idle connections above it are
+// closed; those with an attempt in flight finish first, and no new one is opened until then.
+func (pool *Pool) SetLimit(n int) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	pool.limit = max(1, n)
+	for pool.open > pool.limit && pool.evict() {
 	}
 }
 
-// Limit is how many connections there may be at most.
-func (u *Pool) Limit() int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.limit
+// Limit returns the maximum number of connections.
+func (pool *Pool) Limit() int {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	return pool.limit
 }
 
-// tlsSerial is that of the material of new connections.
-func (u *Pool) tlsSerial() int {
-	if u.tls == nil {
+// tlsSerial returns the serial of the current TLS configuration; 0 = plain connections.
+func (pool *Pool) tlsSerial() int {
+	if pool.tls == nil {
 		return 0
 	}
-	return u.tls.Serial()
+	return pool.tls.Serial()
 }
 
-// Endpoint is the way to the server at an address that speaks a protocol.
-func (u *Pool) Endpoint(addr string, p Protocol) engine.Endpoint { return u.add(addr, p) }
+// Endpoint returns the endpoint for the server at addr that speaks protocol p.
+func (pool *Pool) Endpoint(addr string, p Protocol) engine.Endpoint { return pool.add(addr, p) }
 
-func (u *Pool) add(addr string, p Protocol) *target {
-	t := &target{pool: u, proto: p, addr: addr}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.targets[t] = struct{}{}
+func (pool *Pool) add(addr string, p Protocol) *target {
+	t := &target{pool: pool, proto: p, addr: addr}
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	pool.targets[t] = struct{}{}
 	return t
 }
 
-// Remove lets a target go once its attempts are back.
+// Remove stops keeping connections to a target. Attempts in flight finish first.
 func (t *target) Remove() {
-	u := t.pool
-	u.mu.Lock()
+	pool := t.pool
+	pool.mu.Lock()
 	t.removed = true
-	delete(u.targets, t)
-	u.mu.Unlock()
+	delete(pool.targets, t)
+	pool.mu.Unlock()
 	t.CloseIdle()
 }
 
 // CloseIdle closes the idle connections to a target.
 func (t *target) CloseIdle() {
-	u := t.pool
-	u.mu.Lock()
-	old := t.idle
+	pool := t.pool
+	pool.mu.Lock()
+	closing := t.idle
 	t.idle = nil
-	t.addOpen(-len(old))
-	u.mu.Unlock()
-	closeAll(old)
+	t.addOpen(-len(closing))
+	pool.mu.Unlock()
+	closeAll(closing)
 }
 
-// addOpen books connections that are opened, or with n below 0 closed. The caller holds mu.
+// addOpen counts n connections as opened, or if n is negative, -n as closed. The caller holds mu.
 func (t *target) addOpen(n int) {
 	t.pool.open += n
 	t.open += n
@@ -143,56 +146,57 @@
 	}
 }
 
-// Sweep closes connections that have stood idle for long, until ctx ends.
-func (u *Pool) Sweep(ctx context.Context) {
+// Sweep closes connections that have been idle for too long or use an earlier TLS configuration. When ctx
+// ends, it closes all idle connections and the pool.
+func (pool *Pool) Sweep(ctx context.Context) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			u.mu.Lock()
-			defer u.mu.Unlock()
-			u.closed = true
-			for t := range u.targets {
+			pool.mu.Lock()
+			defer pool.mu.Unlock()
+			pool.closed = true
+			for t := range pool.targets {
 				closeAll(t.idle)
 				t.addOpen(-len(t.idle))
 				t.idle = nil
 			}
-			for l := range u.streams {
+			for l := range pool.streams {
 				l.Discard()
 			}
 			return
 		case <-tick.C:
 		}
-		var old []*conn
-		serial := u.tlsSerial()
-		u.mu.Lock()
-		for t := range u.targets {
+		var expired []*conn
+		serial := pool.tlsSerial()
+		pool.mu.Lock()
+		for t := range pool.targets {
 			before := len(t.idle)
 			t.idle = slices.DeleteFunc(t.idle, func(c *conn) bool {
-				dead := time.Since(c.idleSince) >= u.maxIdle || c.tlsSerial != serial
-				if dead {
-					old = append(old, c)
+				isExpired := time.Since(c.idleSince) >= pool.maxIdle || c.tlsSerial != serial
+				if isExpired {
+					expired = append(expired, c)
 				}
-				return dead
+				return isExpired
 			})
 			t.addOpen(len(t.idle) - before)
 		}
-		u.mu.Unlock()
-		closeAll(old)
+		pool.mu.Unlock()
+		closeAll(expired)
 	}
 }
 
-// takeIdle takes a kept connection to t for an attempt, nil where there is none. The one that has been idle for longest, so that a
-// peak's connections stay in use: taking the latest let the others run out, and twice as many handshakes, each work for the
-// server, had to be made.
-func (u *Pool) takeIdle(t *target) *conn {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+// takeIdle takes an idle connection to t out of the pool, or returns nil. It takes the one that has been idle
+// for longest, so that all connections that a load peak has opened stay in use. Taking the latest would let
+// the others expire, which caused twice as many handshakes, each of them work for the server.
+func (pool *Pool) takeIdle(t *target) *conn {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	for len(t.idle) > 0 && time.Since(t.idle[0].idleSince) >= t.proto.ReuseDelay() {
 		c := t.idle[0]
 		t.idle = slices.Delete(t.idle, 0, 1)
-		if time.Since(c.idleSince) < u.maxIdle {
+		if time.Since(c.idleSince) < pool.maxIdle {
 			return c
 		}
 		t.addOpen(-1)
@@ -201,74 +205,76 @@
 	return nil
 }
 
-// reserve takes a place for one more connection to t, if there is any.
-func (u *Pool) reserve(t *target) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if t.open >= u.maxPerTarget() || u.open >= u.limit && !u.evict() {
+// reserve reserves capacity for one more connection to t. It reports whether there was any.
+func (pool *Pool) reserve(t *target) bool {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if t.open >= pool.maxPerTarget() || pool.open >= pool.limit && !pool.evict() {
 		return false
 	}
 	t.addOpen(1)
 	return true
 }
 
-// dial opens a connection, whose place is taken. stop ends the opening.
-func (u *Pool) dial(stop *engine.Canceler, t *target) (*conn, error) {
+// dial opens a connection whose capacity is reserved. Canceling canceler aborts it.
+func (pool *Pool) dial(canceler *engine.Canceler, t *target) (*conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	stop.OnCancel(cancel)
-	defer stop.Detach()
-	serial := u.tlsSerial() // ahead of the material: what changes meanwhile makes the connection an old one
-	opened, err := u.dialer.DialContext(ctx, "tcp", t.addr)
+	canceler.OnCancel(cancel)
+	defer canceler.Detach()
+	// Before the configuration is read, so that a change in between makes the connection an old one.
+	serial := pool.tlsSerial()
+	netConn, err := pool.dialer.DialContext(ctx, "tcp", t.addr)
 	if err != nil {
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
-	c, err := newConn(t, opened)
-	if err != nil || u.tls == nil {
+	c, err := newConn(t, netConn)
+	if err != nil || pool.tls == nil {
 		return c, err
 	}
 	c.tlsSerial = serial
-	if err := c.handshake(ctx, u.tls.Client(), u.dialer.Timeout); err != nil {
+	if err := c.handshake(ctx, pool.tls.Client(), pool.dialer.Timeout); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
 	return c, nil
 }
 
-// evict closes the connection that has been idle for longest. The caller holds mu.
-func (u *Pool) evict() bool {
-	var from *target
-	for t := range u.targets {
-		if len(t.idle) > 0 && (from == nil || t.idle[0].idleSince.Before(from.idle[0].idleSince)) {
-			from = t
+// evict closes the connection that has been idle for longest. It returns false if none is idle. The caller
+// holds mu.
+func (pool *Pool) evict() bool {
+	var oldest *target
+	for t := range pool.targets {
+		if len(t.idle) > 0 && (oldest == nil || t.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
+			oldest = t
 		}
 	}
-	if from == nil {
+	if oldest == nil {
 		return false
 	}
-	from.idle[0].Close()
-	from.idle = slices.Delete(from.idle, 0, 1)
-	from.addOpen(-1)
+	oldest.idle[0].Close()
+	oldest.idle = slices.Delete(oldest.idle, 0, 1)
+	oldest.addOpen(-1)
 	return true
 }
 
-// maxPerTarget is how many connections one server may have: where there are others, three quarters of all, or one that hangs would
-// take the sockets that requests to the others need. That leaves the origin more than the module's bound on fetches (64) where
-// descriptors are fewest. The caller holds mu.
-func (u *Pool) maxPerTarget() int {
-	if len(u.targets) < 2 {
-		return u.limit
+// maxPerTarget returns how many connections one server may have: three quarters of the limit if there are
+// other servers, as one that hangs would otherwise take all sockets. Even at the lowest limit on descriptors,
+// that leaves the origin more connections than the 64 fetches that the module allows. The caller holds mu.
+func (pool *Pool) maxPerTarget() int {
+	if len(pool.targets) < 2 {
+		return pool.limit
 	}
-	return max(1, u.limit*3/4)
+	return max(1, pool.limit*3/4)
 }
 
-// put keeps a connection for the next attempt, or closes it. It tells whether it is kept.
-func (u *Pool) put(c *conn, reuse bool) bool {
+// put keeps a connection for the next attempt, or closes it. It reports whether it was kept.
+func (pool *Pool) put(c *conn, reuse bool) bool {
 	t := c.target
-	reuse = reuse && c.tlsSerial == u.tlsSerial()
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if reuse = reuse && !t.removed && !u.closed; reuse {
+	reuse = reuse && c.tlsSerial == pool.tlsSerial()
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if reuse = reuse && !t.removed && !pool.closed; reuse {
 		c.idleSince = time.Now()
 		t.idle = append(t.idle, c)
 		return true
@@ -278,57 +284,57 @@
 	return false
 }
 
-// discard lets a connection go that has ended, or brought what nobody asked for, while it was kept.
-func (u *Pool) discard(c *conn) {
+// discard closes a connection that ended or received unexpected input while idle.
+func (pool *Pool) discard(c *conn) {
 	t := c.target
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if i := slices.Index(t.idle, c); i >= 0 { // else who took it out has counted it
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if i := slices.Index(t.idle, c); i >= 0 { // otherwise the goroutine that took it out counts it
 		t.idle = slices.Delete(t.idle, i, i+1)
 		t.addOpen(-1)
 	}
 	c.Close()
 }
 
-// Attempt is engine.Endpoint's. On a kept connection the command is written here, as far as that needs no waiting; where there is
-// none, another is opened by a goroutine that reads from it from then on.
-func (t *target) Attempt(stop *engine.Canceler, r *engine.Request, caller engine.AttemptHandler) (engine.Reply, bool) {
-	return t.startTask(task{canceler: stop, request: r, handler: caller})
+// Attempt implements engine.Endpoint. On an idle connection it writes the command without blocking; the rest
+// is written by another goroutine. If there is none, a new goroutine opens a connection and serves it.
+func (t *target) Attempt(canceler *engine.Canceler, request *engine.Request, handler engine.AttemptHandler) (engine.Reply, bool) {
+	return t.startTask(task{canceler: canceler, request: request, handler: handler})
 }
 
-// startTask has some work done. It tells how that ended if it is known at once.
-func (t *target) startTask(w task) (engine.Reply, bool) {
-	u := t.pool
-	for c := u.takeIdle(t); c != nil; c = u.takeIdle(t) {
-		got := c.start(w)
+// startTask starts a task. If the task finishes at once, it returns the reply and true.
+func (t *target) startTask(work task) (engine.Reply, bool) {
+	pool := t.pool
+	for c := pool.takeIdle(t); c != nil; c = pool.takeIdle(t) {
+		got := c.start(work)
 		if got == started {
 			return engine.Reply{}, false
 		}
-		if u.put(c, got.connReusable()); got != unusable {
+		if pool.put(c, got.connReusable()); got != unusable {
 			return engine.Reply{Status: startFailureStatus[got], Load: decide.NoLoad}, true
 		}
 	}
-	if !u.reserve(t) {
+	if !pool.reserve(t) {
 		return engine.Reply{Status: decide.Ignored, Load: decide.NoLoad}, true
 	}
-	go t.connect(w)
+	go t.connect(work)
 	return engine.Reply{}, false
 }
 
-// connect opens a connection for some work, whose place is taken, and reads from it until it ends.
-func (t *target) connect(w task) {
-	u := t.pool
-	c, err := u.dial(w.canceler, t)
+// connect opens a connection whose capacity is reserved, starts a task on it and serves it until it ends.
+func (t *target) connect(work task) {
+	pool := t.pool
+	c, err := pool.dial(work.canceler, t)
 	if err != nil {
-		u.mu.Lock()
+		pool.mu.Lock()
 		t.addOpen(-1)
-		u.mu.Unlock()
-		w.handler.Done(engine.Reply{Status: decide.ConnectError, Load: decide.NoLoad, ConnRefused: errors.Is(err, syscall.ECONNREFUSED)})
+		pool.mu.Unlock()
+		work.handler.Done(engine.Reply{Status: decide.ConnectError, Load: decide.NoLoad, ConnRefused: errors.Is(err, syscall.ECONNREFUSED)})
 		return
 	}
-	if got := c.start(w); got != started {
-		kept := u.put(c, got.connReusable())
-		w.handler.Done(engine.Reply{Status: startFailureStatus[got], Load: decide.NoLoad})
+	if got := c.start(work); got != started {
+		kept := pool.put(c, got.connReusable())
+		work.handler.Done(engine.Reply{Status: startFailureStatus[got], Load: decide.NoLoad})
 		if !kept {
 			return
 		}
@@ -336,40 +342,40 @@
 	c.serve()
 }
 
-// startFailureStatus are the statuses of work that a connection did not begin.
+// startFailureStatus maps the result of a task that did not start to its status.
 var startFailureStatus = map[startResult]decide.Status{unusable: decide.ConnectError, canceled: decide.Ignored, unsupported: decide.Ignored, writeFailed: decide.ConnectError}
 
-// probeHandler is who a probe is made for.
-type probeHandler struct{ result chan engine.Reply } // of capacity 1
+// probeHandler is the engine.AttemptHandler of a probe.
+type probeHandler struct{ result chan engine.Reply } // capacity 1
 
-// Begin says that the probe is wanted.
+// Begin allows the probe and sets the deadline for writing it.
 func (probeHandler) Begin() (engine.Try, bool) {
 	return engine.Try{WriteBy: time.Now().Add(probeWriteTimeout)}, true
 }
 
-// probeWriteTimeout is for a probe to be written, which is one line.
+// probeWriteTimeout is the time for writing a probe, which is one line.
 const probeWriteTimeout = 100 * time.Millisecond
 
-// Written needs not be told: probes are no attempts.
+// Written does nothing: probes are not attempts.
 func (probeHandler) Written() {}
 
-// Done takes how the probe ended.
+// Done receives the result of the probe.
 func (p probeHandler) Done(r engine.Reply) { p.result <- r }
 
-// Probe is engine.Endpoint's.
+// Probe implements engine.Endpoint.
 func (t *target) Probe(ctx context.Context) (decide.Status, decide.Load) {
-	text := t.proto.Probe(t.addr)
-	if text == "" {
+	command := t.proto.Probe(t.addr)
+	if command == "" {
 		return decide.OK, decide.NoLoad
 	}
-	var stop engine.Canceler
-	defer context.AfterFunc(ctx, stop.Cancel)()
-	p := probeHandler{result: make(chan engine.Reply, 1)}
-	got, known := t.startTask(task{canceler: &stop, handler: p, probe: text})
-	if !known {
-		got = <-p.result
+	var canceler engine.Canceler
+	defer context.AfterFunc(ctx, canceler.Cancel)()
+	handler := probeHandler{result: make(chan engine.Reply, 1)}
+	got, finished := t.startTask(task{canceler: &canceler, handler: handler, probe: command})
+	if !finished {
+		got = <-handler.result
 	}
-	if got.Status == decide.Ignored { // no socket is left
+	if got.Status == decide.Ignored { // the connection limit is reached
 		got.Status = decide.ConnectError
 	}
 	if got.Status != decide.OK && ctx.Err() != nil {
