--- a/internal/backend/meta/meta.go
+++ b/internal/backend/meta/meta.go
@@ -34,9 +34,9 @@
 // Answer reads the answer to a request.
 func (Protocol) Answer(in *bufio.Reader, _ string, r *engine.Request, _ engine.Try) (engine.Reply, bool, error) {
 	a, err := meta.ReadAnswer(in, command(r)) // an answer that can't be used may still tell the load
-	reply := engine.Reply{Status: statuses[a.Kind], Body: a.Body, CacheResult: a.Note, Load: settings.ParseLoad(a.Report)}
-	if a.Long > 0 {
-		reply.UnreadBytes, reply.Trailer = a.Long, "\r\n"
+	reply := engine.Reply{Status: statuses[a.Kind], Body: a.Body, CacheResult: a.CacheResult, Load: settings.ParseLoad(a.LoadReport)}
+	if a.UnreadBytes > 0 {
+		reply.UnreadBytes, reply.Trailer = a.UnreadBytes, "\r\n"
 	}
 	return reply, false, err
 }
--- a/internal/backend/origin/origin.go
+++ b/internal/backend/origin/origin.go
@@ -102,7 +102,7 @@
 		case err != nil:
 			return nil, nil, meta.Malformed("origin answer: %v", err)
 		case resp.StatusCode >= 200:
-			if n := resp.ContentLength; long && resp.StatusCode == http.StatusOK && n > meta.MaxValue && n <= meta.MaxLong {
+			if n := resp.ContentLength; long && resp.StatusCode == http.StatusOK && n > meta.MaxValue && n <= meta.MaxLongValue {
 				return resp, nil, nil
 			}
 			body, err := readBody(r, resp)
--- a/internal/front/meta/callers.go
+++ b/internal/front/meta/callers.go
@@ -21,7 +21,7 @@
 		why = s.guest.Secret(words[1], []byte(words[2]))
 	}
 	if why != caller.None {
-		return front.Command{Text: meta.NotTaken(why.String(), 0), Unknown: true, Slow: why == caller.Throttled, End: why == caller.Throttled}
+		return front.Command{Text: meta.ClientError(why.String(), 0), Unknown: true, Slow: why == caller.Throttled, End: why == caller.Throttled}
 	}
 	return front.Command{Text: []byte("HD\r\n")}
 }
@@ -46,15 +46,15 @@
 	}
 	key, err := s.p.Key(pass, cmd.Key)
 	if err != nil {
-		return s.pass(in, &cmd, front.Command{Text: meta.NotTaken(err.Error(), 0)})
+		return s.pass(in, &cmd, front.Command{Text: meta.ClientError(err.Error(), 0)})
 	}
 	id := cmd.ID
-	idem := cmd.Idem
+	idem := cmd.IdempotencyKey
 	if idem != "" {
 		idem = pass.Space.ID(idem, meta.MaxID)
 	}
 	cmd.Key, cmd.ID = key, pass.Space.ID(id, meta.MaxID)
-	cmd.Restate(pass.Tenant.Name, idem)
+	cmd.RewriteFacts(pass.Tenant.Name, idem)
 	return s.request(in, e, cmd, pass.Tenant.Generation, func(q *engine.Request, a engine.Answer) []byte { return renderAs(id, q, a) })
 }
 
@@ -62,7 +62,7 @@
 func (s session) Tenant() string { return s.guest.Tenant() }
 
 // Crowded is front.Session's.
-func (session) Crowded() []byte { return meta.NotTaken(caller.Connections.String(), 0) }
+func (session) Crowded() []byte { return meta.ClientError(caller.Connections.String(), 0) }
 
 // caller is who makes a request: whom its own token stands for, or the connection's caller.
 func (s session) caller(cmd *meta.Command) (*caller.Pass, caller.Reason) {
@@ -84,7 +84,7 @@
 
 // notTaken answers a request that is not taken.
 func (s session) notTaken(in *bufio.Reader, cmd *meta.Command, why caller.Reason, again float64, unknown bool) (front.Command, error) {
-	return s.pass(in, cmd, front.Command{Text: meta.NotTaken(why.String(), again), Unknown: unknown, Slow: why == caller.Throttled})
+	return s.pass(in, cmd, front.Command{Text: meta.ClientError(why.String(), again), Unknown: unknown, Slow: why == caller.Throttled})
 }
 
 // pass passes over a command's value, so that the next one can be read.
@@ -102,9 +102,9 @@
 	if a.Result == engine.Served && a.Content == nil {
 		switch {
 		case a.Absent:
-			return meta.Absent(id)
+			return meta.NotFound(id)
 		case a.Streamed != nil:
-			return meta.ServedHead(id, a.Streamed.Len())
+			return meta.ServedHeader(id, a.Streamed.Len())
 		}
 		return meta.Served(q.Write, id, a.Body)
 	}
--- a/internal/front/meta/meta.go
+++ b/internal/front/meta/meta.go
@@ -64,7 +64,7 @@
 		return s.request(in, e, cmd, 0, render)
 	case "auth":
 		if s.guest != nil {
-			return s.login(cmd.Words), nil
+			return s.login(cmd.Args), nil
 		}
 	case "mn": // the router is used from MN on, so it must be able to serve
 		if ready() {
@@ -113,7 +113,7 @@
 	switch {
 	case !ok:
 		return meta.Malformed("class %.40q", cmd.Class)
-	case c.Effect == decide.Keyed && cmd.Idem == "":
+	case c.Effect == decide.Keyed && cmd.IdempotencyKey == "":
 		return meta.Malformed("class %s takes k", cmd.Class)
 	case c.Effect == decide.Keyed && s.p.Owners != nil:
 		return meta.Malformed("class %s: the servers of this pool drop no repeats", cmd.Class)
@@ -127,9 +127,9 @@
 	case engine.Served:
 		switch {
 		case a.Absent:
-			return meta.Absent(q.ID)
+			return meta.NotFound(q.ID)
 		case a.Streamed != nil:
-			return meta.ServedHead(q.ID, a.Streamed.Len())
+			return meta.ServedHeader(q.ID, a.Streamed.Len())
 		case a.Content != nil: // in terms that this protocol has no words for
 			return meta.Failure()
 		}
--- a/internal/front/resp/commands.go
+++ b/internal/front/resp/commands.go
@@ -123,16 +123,16 @@
 	case c.first > 0:
 		flags = append(flags, "readonly")
 	}
-	b = resp.AppendArray(b, 10)
+	b = resp.AppendArrayHeader(b, 10)
 	b = resp.AppendBulk(b, []byte(strings.ToLower(c.name)))
 	b = resp.AppendInt(b, int64(c.arity))
-	b = resp.AppendArray(b, len(flags))
+	b = resp.AppendArrayHeader(b, len(flags))
 	for _, f := range flags {
 		b = resp.AppendSimple(b, f)
 	}
 	b = resp.AppendInt(resp.AppendInt(resp.AppendInt(b, int64(c.first)), int64(c.last)), int64(c.step))
 	for range 4 { // categories, tips, key specifications, subcommands
-		b = resp.AppendArray(b, 0)
+		b = resp.AppendArrayHeader(b, 0)
 	}
 	return b
 }
--- a/internal/front/resp/local.go
+++ b/internal/front/resp/local.go
@@ -119,7 +119,7 @@
 		in = true
 	}
 	s.proto, s.tenant, s.in, s.name = proto, tenant, in, name
-	b := resp.AppendMap(nil, 7, proto)
+	b := resp.AppendMapHeader(nil, 7, proto)
 	for _, kv := range [][2]string{{"server", "redis"}, {"version", version}, {"proto", ""}, {"id", ""}, {"mode", "cluster"}, {"role", "master"}, {"modules", ""}} {
 		b = resp.AppendBulk(b, []byte(kv[0]))
 		switch kv[0] {
@@ -128,7 +128,7 @@
 		case "id":
 			b = resp.AppendInt(b, int64(s.id))
 		case "modules":
-			b = resp.AppendArray(b, 0)
+			b = resp.AppendArrayHeader(b, 0)
 		default:
 			b = resp.AppendBulk(b, []byte(kv[1]))
 		}
@@ -185,7 +185,7 @@
 	}
 	switch sub {
 	case "":
-		b := resp.AppendArray(nil, len(names))
+		b := resp.AppendArrayHeader(nil, len(names))
 		for _, n := range names {
 			b = appendSpec(b, specs[n])
 		}
@@ -193,7 +193,7 @@
 	case "COUNT":
 		return resp.AppendInt(nil, int64(len(names)))
 	case "INFO":
-		b := resp.AppendArray(nil, len(args)-2)
+		b := resp.AppendArrayHeader(nil, len(args)-2)
 		for _, a := range args[2:] {
 			if c := specs[strings.ToUpper(string(a))]; c != nil {
 				b = appendSpec(b, c)
@@ -203,7 +203,7 @@
 		}
 		return b
 	case "DOCS":
-		return resp.AppendMap(nil, 0, s.proto)
+		return resp.AppendMapHeader(nil, 0, s.proto)
 	case "GETKEYS":
 		return getKeys(args[2:])
 	}
@@ -219,7 +219,7 @@
 		return resp.AppendError(nil, "ERR The command has no key arguments")
 	}
 	keys := c.keys(args)
-	b := resp.AppendArray(nil, len(keys))
+	b := resp.AppendArrayHeader(nil, len(keys))
 	for _, k := range keys {
 		b = resp.AppendBulk(b, k)
 	}
@@ -305,27 +305,27 @@
 		}
 	}
 	slices.SortFunc(runs, func(a, b run) int { return a.from - b.from })
-	b := resp.AppendArray(nil, len(runs))
+	b := resp.AppendArrayHeader(nil, len(runs))
 	for _, n := range runs {
-		b = resp.AppendInt(resp.AppendInt(resp.AppendArray(b, 3), int64(n.from)), int64(n.to))
-		b = resp.AppendBulk(resp.AppendInt(resp.AppendBulk(resp.AppendArray(b, 3), []byte(n.host)), n.port), []byte(nodeID(n.addr)))
+		b = resp.AppendInt(resp.AppendInt(resp.AppendArrayHeader(b, 3), int64(n.from)), int64(n.to))
+		b = resp.AppendBulk(resp.AppendInt(resp.AppendBulk(resp.AppendArrayHeader(b, 3), []byte(n.host)), n.port), []byte(nodeID(n.addr)))
 	}
 	return b
 }
 
 func (p *Protocol) clusterShards(proto int) []byte {
 	parts := p.serving()
-	b := resp.AppendArray(nil, len(parts))
+	b := resp.AppendArrayHeader(nil, len(parts))
 	str := func(t string) { b = resp.AppendBulk(b, []byte(t)) }
 	for _, n := range parts {
-		b = resp.AppendMap(b, 2, proto)
+		b = resp.AppendMapHeader(b, 2, proto)
 		str("slots")
-		b = resp.AppendArray(b, 2*len(n.runs))
+		b = resp.AppendArrayHeader(b, 2*len(n.runs))
 		for _, r := range n.runs {
 			b = resp.AppendInt(resp.AppendInt(b, int64(r[0])), int64(r[1]))
 		}
 		str("nodes")
-		b = resp.AppendMap(resp.AppendArray(b, 1), 7, proto)
+		b = resp.AppendMapHeader(resp.AppendArrayHeader(b, 1), 7, proto)
 		for _, kv := range [][2]string{{"id", nodeID(n.addr)}, {"ip", n.host}, {"endpoint", n.host}, {"role", "master"}, {"health", "online"}} {
 			str(kv[0])
 			str(kv[1])
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -483,7 +483,7 @@
 		heard(func(r *router) { r.list(kind, got) })
 	}
 	if cfg.cluster != nil {
-		s.watch = cfg.cluster.Doubt
+		s.watch = cfg.cluster.RequestRefresh
 		s.run = func(ctx context.Context) { cfg.cluster.Run(ctx, func(l member.List) { s.tell(cfg.withOrigin(l)) }) }
 		return s
 	}
