--- a/internal/proto/meta/meta.go
+++ b/internal/proto/meta/meta.go
@@ -1,5 +1,5 @@
-// Package meta is the memcache meta text protocol, as clients speak it to routers and routers to cache servers. All that
-// comes from a peer is bounded.
+// Package meta reads and writes the memcache meta text protocol, which clients speak to routers and routers
+// to cache servers. All input from a peer is bounded in size.
 package meta
 
 import (
@@ -14,41 +14,42 @@
 	"strings"
 )
 
-// Bounds of the protocol.
+// Limits of the protocol, in bytes unless noted.
 const (
-	MaxLine      = 4096     // of a command or an answer
-	MaxKey       = 250      // memcache's own limit
-	MaxValue     = 64 << 10 // that is held as a whole
-	MaxLongValue = 4 << 20  // of a write, or of one that passes through in pieces
+	MaxLine      = 4096     // length of the line of a command or an answer
+	MaxKey       = 250      // the limit of memcache itself
+	MaxValue     = 64 << 10 // value that is buffered as a whole
+	MaxLongValue = 4 << 20  // value of a write, or a value that is streamed
 	MaxID        = 64
-	MaxFacts     = 32
+	MaxFacts     = 32 // number of name=value pairs of a command
 )
 
-// ErrMalformed is the root of all errors about what a peer has sent.
+// ErrMalformed is wrapped by all errors about invalid input from a peer.
 var ErrMalformed = errors.New("malformed")
 
-// Malformed is an error about what a peer has sent.
+// Malformed returns an error that wraps ErrMalformed, for invalid input from a peer.
 func Malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
 // Command is a request of a client.
 type Command struct {
-	Verb   string // "mg", "ms", or another of one word
+	Verb   string // "mg", "ms" or the first word of another command
 	Key    string
-	ID     string // opaque, O
-	Facts  string // P, as it came
-	Length int    // ms: of the value,
-	Value  []byte // which is read last
+	ID     string // opaque id, flag O
+	Facts  string // flag P, unchanged: comma-separated name=value pairs
+	Length int    // ms: length of the value in bytes
+	Value  []byte // ms: read separately, by ReadValue
 
 	Class, Tenant, IdempotencyKey string
-	Auth                          string   // a token of the caller's, for this request alone
-	Args                          []string // of another verb than mg and ms, behind it
-	Wait, Hint, Size              float64  // ms, ms, bytes
+	Auth                          string   // token of the caller, valid for this request alone
+	Args                          []string // arguments of verbs other than mg and ms
+	Wait, Hint, Size              float64  // time left in ms, expected work in ms, size in bytes
 	Retry                         bool
 }
 
-// ReadLine returns a line without its end, valid until the next read. The reader's buffer bounds it.
+// ReadLine returns a line without its line end, valid until the next read. The size of the reader's buffer
+// limits its length.
 func ReadLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -62,23 +63,23 @@
 	}
 	line = line[:len(line)-2]
 	for _, b := range line {
-		if b < ' ' || b > '~' { // also keeps what is passed on in HTTP headers free of line ends
+		if b < ' ' || b > '~' { // also prevents line ends in forwarded HTTP headers
 			return nil, Malformed("byte %#x in a line", b)
 		}
 	}
 	return line, nil
 }
 
-// parseLength reads the length of a value.
-func parseLength(text string, most int) (int, error) {
+// parseLength parses the length of a value, which must not exceed limit bytes.
+func parseLength(text string, limit int) (int, error) {
 	n, err := strconv.ParseUint(text, 10, 31)
-	if err != nil || n > uint64(most) {
+	if err != nil || n > uint64(limit) {
 		return 0, Malformed("value length %.40q", text)
 	}
 	return int(n), nil
 }
 
-// ReadValue reads a value of n bytes and the line end behind it; one that is not wanted is passed over.
+// ReadValue reads a value of n bytes and the line end that follows it. An unwanted value is discarded.
 func ReadValue(r *bufio.Reader, n int, unwanted bool) (v []byte, err error) {
 	if unwanted {
 		_, err = r.Discard(n)
@@ -96,12 +97,12 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Discard(2) //nolint:errcheck // it is buffered
+	r.Discard(2) //nolint:errcheck // both bytes are buffered
 	return v, nil
 }
 
-// ReadCommand reads one command but for its value. It takes the one form that routers pass on and nothing beside it, as
-// what a cache server can't read costs it a connection, with all that waits there.
+// ReadCommand reads one command without its value. It accepts only the form that routers forward: a cache
+// server closes the connection on a command that it can't parse, and all requests that wait there fail.
 func ReadCommand(r *bufio.Reader) (Command, error) {
 	line, err := ReadLine(r)
 	if err != nil {
@@ -143,17 +144,17 @@
 	return c, c.parseFacts()
 }
 
-// parseFacts reads the list of names and values; unknown names are passed over.
+// parseFacts parses the list of name=value pairs; unknown names are ignored.
 func (c *Command) parseFacts() error {
 	c.Wait = -1
-	var names []string
+	var seen []string
 	for f := range strings.SplitSeq(c.Facts, ",") {
 		name, v, found := strings.Cut(f, "=")
-		if !found || name == "" || v == "" || slices.Contains(names, name) || len(names) == MaxFacts {
+		if !found || name == "" || v == "" || slices.Contains(seen, name) || len(seen) == MaxFacts {
 			return Malformed("fact %.40q", f)
 		}
-		names = append(names, name)
-		var at *float64
+		seen = append(seen, name)
+		var target *float64
 		switch name {
 		case "c":
 			c.Class = v
@@ -168,59 +169,59 @@
 				return Malformed("fact %.40q", f)
 			}
 		case "d":
-			at = &c.Wait
+			target = &c.Wait
 		case "h":
-			at = &c.Hint
+			target = &c.Hint
 		case "size":
-			at = &c.Size
+			target = &c.Size
 		}
-		if at == nil {
+		if target == nil {
 			continue
 		}
 		n, err := parseDecimal(v)
 		if err != nil {
 			return err
 		}
-		*at = n
+		*target = n
 	}
-	c.Hint /= 1000 // microseconds on sockets; the module counts in milliseconds throughout
+	c.Hint /= 1000 // microseconds on the wire, milliseconds everywhere else
 	if c.Class == "" || c.Wait < 0 {
 		return Malformed("no class or no time")
 	}
 	return nil
 }
 
-// RewriteFacts makes the facts those that servers get of a known caller: its tenant, whatever it says itself, an idempotency key that is
-// nobody else's, and no token.
-func (c *Command) RewriteFacts(tenant, idem string) {
-	if c.Auth == "" && c.IdempotencyKey == "" && c.Tenant == tenant { // they are that already
+// RewriteFacts replaces the facts by those that servers get for an authenticated caller: the caller's tenant
+// instead of the one it names, an idempotency key that no other caller can use, and no token.
+func (c *Command) RewriteFacts(tenant, idempotencyKey string) {
+	if c.Auth == "" && c.IdempotencyKey == "" && c.Tenant == tenant { // nothing to rewrite
 		return
 	}
-	b := make([]byte, 0, len(c.Facts)+len(tenant)+len(idem))
-	named := false
+	b := make([]byte, 0, len(c.Facts)+len(tenant)+len(idempotencyKey))
+	hasTenant := false
 	for f := range strings.SplitSeq(c.Facts, ",") {
 		name, _, _ := strings.Cut(f, "=")
 		switch name {
 		case "a":
 			continue
 		case "t":
-			f, named = "t="+tenant, true
+			f, hasTenant = "t="+tenant, true
 		case "k":
-			f = "k=" + idem
+			f = "k=" + idempotencyKey
 		}
 		if len(b) > 0 {
 			b = append(b, ',')
 		}
 		b = append(b, f...)
 	}
-	if !named {
+	if !hasTenant {
 		b = append(append(b, ",t="...), tenant...)
 	}
-	c.Facts, c.Tenant, c.IdempotencyKey, c.Auth = string(b), tenant, idem, ""
+	c.Facts, c.Tenant, c.IdempotencyKey, c.Auth = string(b), tenant, idempotencyKey, ""
 }
 
-// parseDecimal reads a number in plain digits, perhaps with a fraction: what the library takes besides (signs, exponents,
-// hexadecimal, words) is no form of the protocol.
+// parseDecimal parses a number in decimal digits with an optional fraction. The other forms that
+// strconv.ParseFloat accepts (signs, exponents, hexadecimal, names) are not part of the protocol.
 func parseDecimal(text string) (float64, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || n > math.MaxUint32 || strings.Trim(text, "0123456789.") != "" || len(text) > 20 {
@@ -229,8 +230,9 @@
 	return n, nil
 }
 
-// Append writes the command as a cache server gets it: as it came, but for the deadline, which becomes what is left in ms.
-func (c *Command) Append(b []byte, left float64) []byte {
+// Append appends the command in the form for a cache server: as received, except that the deadline becomes
+// the remaining time in ms.
+func (c *Command) Append(b []byte, remainingMS float64) []byte {
 	b = append(append(append(b, c.Verb...), ' '), c.Key...)
 	if c.Verb == "ms" {
 		b = strconv.AppendInt(append(b, ' '), int64(len(c.Value)), 10)
@@ -238,7 +240,7 @@
 		b = append(b, " v"...)
 	}
 	b = append(append(append(b, " O"...), c.ID...), " P"...)
-	b = AppendFacts(b, c.Facts, left)
+	b = AppendFacts(b, c.Facts, remainingMS)
 	b = append(b, "\r\n"...)
 	if c.Verb == "ms" {
 		b = append(append(b, c.Value...), "\r\n"...)
@@ -246,8 +248,9 @@
 	return b
 }
 
-// AppendFacts writes a request's facts as a server gets them: as they came, but for the deadline, which becomes what is left in ms.
-func AppendFacts(b []byte, facts string, left float64) []byte {
+// AppendFacts appends the facts of a request in the form for a server: as received, except that the deadline
+// becomes the remaining time in ms, at least 1.
+func AppendFacts(b []byte, facts string, remainingMS float64) []byte {
 	rest, more := facts, facts != ""
 	for i := 0; more; i++ {
 		var fact string
@@ -256,7 +259,7 @@
 			b = append(b, ',')
 		}
 		if strings.HasPrefix(fact, "d=") {
-			b = strconv.AppendInt(append(b, "d="...), int64(max(1, left)), 10)
+			b = strconv.AppendInt(append(b, "d="...), int64(max(1, remainingMS)), 10)
 		} else {
 			b = append(b, fact...)
 		}
@@ -264,14 +267,14 @@
 	return b
 }
 
-// Kind is what a cache server says.
+// Kind is the kind of an answer of a cache server.
 type Kind int
 
-// The answers of a cache server.
+// Kinds of answers of a cache server.
 const (
-	Done   Kind = iota // a value or a receipt
-	Miss               // it lacks the key
-	Busy               // turned away, not run
+	Done   Kind = iota // a value, or the receipt of a write
+	Miss               // the server does not hold the key
+	Busy               // rejected for lack of capacity, not run
 	Failed             // it may have run
 )
 
@@ -279,20 +282,21 @@
 type Answer struct {
 	Kind        Kind
 	Body        []byte // Done: the value or the receipt
-	CacheResult int    // 1 hit, 2 miss, 3 miss while another fetch of the key is out
-	LoadReport  string // the load report, as it came
-	UnreadBytes int    // Done: length of a value that is not read, with its end; 0 = Body is the value
+	CacheResult int    // 1 hit, 2 miss, 3 miss while another fetch of the key is in flight
+	LoadReport  string // the load report, unchanged
+	UnreadBytes int    // Done: length of a value that is still unread, as is its line end; 0 = Body is the value
 }
 
-// answerPrefixes are the beginnings of a cache server's answers.
+// answerPrefixes lists the prefixes of valid answers of a cache server.
 var answerPrefixes = [][]byte{[]byte("VA "), []byte("HD "), []byte("EN"), []byte("SERVER_ERROR ")}
 
-// readAnswerLine returns an answer's first line without its end and without the load report that may end it, and the
-// report. The line is valid until the next read. What can't become an answer is rejected as soon as it shows: noise
-// has no line end to wait for. A report may hold any byte, as it is no part of the answer.
+// readAnswerLine returns the first line of an answer, without its line end and without the load report that
+// may follow the answer, and the report. Both are valid until the next read. Input that can't become an
+// answer is rejected as soon as a byte shows it, since garbage may never contain a line end. A report may
+// hold any byte, as it is no part of the answer.
 func readAnswerLine(r *bufio.Reader) (line, report []byte, err error) {
-	for seen := 1; ; seen = r.Buffered() + 1 {
-		b, err := r.Peek(seen)
+	for needed := 1; ; needed = r.Buffered() + 1 {
+		b, err := r.Peek(needed)
 		if errors.Is(err, bufio.ErrBufferFull) {
 			return nil, nil, Malformed("answer line over %d bytes", r.Size())
 		}
@@ -307,7 +311,7 @@
 		b, _ = r.Peek(r.Buffered())
 		if i := bytes.IndexByte(b, '\n'); i >= 0 {
 			line = bytes.TrimSuffix(b[:i], []byte("\r"))
-			r.Discard(i + 1) //nolint:errcheck // it is buffered
+			r.Discard(i + 1) //nolint:errcheck // the line is buffered
 			break
 		}
 	}
@@ -320,7 +324,8 @@
 	return line, report, nil
 }
 
-// ReadAnswer reads a cache server's answer to a command, but for the value where that is long. An error leaves the connection without use.
+// ReadAnswer reads the answer of a cache server to a command. A value longer than MaxValue stays unread, see
+// UnreadBytes. After an error the connection can't be used any more.
 func ReadAnswer(r *bufio.Reader, c *Command) (Answer, error) {
 	var a Answer
 	line, report, err := readAnswerLine(r)
@@ -331,12 +336,12 @@
 	if len(parts) < 2 {
 		return a, Malformed("answer %q", parts)
 	}
-	a.LoadReport = string(report) // before the line's buffer is used again
+	a.LoadReport = string(report) // copied before the next read reuses the buffer
 	kind, flags := parts[0], parts[1:]
 	id, receipt, known := "", "", true
 	switch {
 	case kind == "VA" && c.Verb == "mg":
-		if id, err = answerID(flags[1:]); err == nil && id == c.ID { // else its value is nobody's, and not read
+		if id, err = answerID(flags[1:]); err == nil && id == c.ID { // else the value belongs to no request and stays unread
 			var n int
 			if n, err = parseLength(flags[0], MaxLongValue); err == nil && n > MaxValue {
 				a.UnreadBytes = n
@@ -352,7 +357,7 @@
 	case kind == "EN":
 		a.Kind = Miss
 	case kind == "SERVER_ERROR" && flags[0] == "busy":
-		a.Kind, id, flags = Busy, c.ID, nil // an error line carries no id
+		a.Kind, id, flags = Busy, c.ID, nil // error lines carry no id
 	case kind == "SERVER_ERROR" && flags[0] == "failed":
 		a.Kind, id, flags = Failed, c.ID, nil
 	default:
@@ -366,7 +371,7 @@
 			return a, err
 		}
 	}
-	// An answer to another request, left over on the connection, must not reach this client.
+	// A leftover answer to an earlier request on the connection must not reach this client.
 	if id != c.ID {
 		return a, Malformed("answer for id %q, want %q", id, c.ID)
 	}
@@ -389,7 +394,8 @@
 	return a, nil
 }
 
-// answerID finds the id among an answer's flags. Two of them belong to no request.
+// answerID returns the id among the flags of an answer, or "". An answer with two ids belongs to no request
+// and is an error.
 func answerID(flags []string) (id string, err error) {
 	for _, f := range flags {
 		if f[0] != 'O' {
@@ -403,9 +409,9 @@
 	return id, nil
 }
 
-// The answers that a client gets.
+// Answers to clients.
 
-// Served is the answer with a value, or with the receipt of a write.
+// Served returns the answer with a value, or with the receipt of a write.
 func Served(write bool, id string, body []byte) []byte {
 	if write {
 		return fmt.Appendf(nil, "HD O%s c%s\r\n", id, body)
@@ -414,33 +420,36 @@
 	return append(append(b, body...), "\r\n"...)
 }
 
-// ServedHeader is the beginning of an answer with a value of n bytes, which the value and a line end follow.
+// ServedHeader returns the first line of an answer with a value of n bytes. The value and a line end follow
+// it.
 func ServedHeader(id string, n int) []byte { return fmt.Appendf(nil, "VA %d O%s\r\n", n, id) }
 
-// ClientError says that a request is not taken, for what its sender may or may not do: it has not run, and trying it again as it is brings
-// the same.
-func ClientError(why string, wait float64) []byte {
-	if wait < 1 {
-		return fmt.Appendf(nil, "CLIENT_ERROR %s\r\n", why)
-	}
-	return fmt.Appendf(nil, "CLIENT_ERROR %s, come again after %d ms\r\n", why, int64(wait))
+// ClientError returns the answer to a request that is rejected for lack of permission or quota of its sender.
+// The request has not run, and an unchanged retry is rejected again, at least for retryAfterMS milliseconds
+// where that is 1 or more.
+func ClientError(reason string, retryAfterMS float64) []byte {
+	if retryAfterMS < 1 {
+		return fmt.Appendf(nil, "CLIENT_ERROR %s\r\n", reason)
+	}
+	return fmt.Appendf(nil, "CLIENT_ERROR %s, come again after %d ms\r\n", reason, int64(retryAfterMS))
 }
 
-// NotFound is the answer to a read of what nobody has.
+// NotFound returns the answer to a read of a key that has no value.
 func NotFound(id string) []byte { return fmt.Appendf(nil, "EN O%s\r\n", id) }
 
-// Refused says that trying again is harmless, after wait milliseconds where that is 1 or more.
-func Refused(wait float64) []byte {
-	if wait < 1 {
+// Refused returns the answer to a request that has not run: a retry is harmless, after retryAfterMS
+// milliseconds where that is 1 or more.
+func Refused(retryAfterMS float64) []byte {
+	if retryAfterMS < 1 {
 		return []byte("SERVER_ERROR busy\r\n")
 	}
-	return fmt.Appendf(nil, "SERVER_ERROR busy %d\r\n", int64(wait))
+	return fmt.Appendf(nil, "SERVER_ERROR busy %d\r\n", int64(retryAfterMS))
 }
 
-// Failure promises nothing.
+// Failure returns the answer to a failed request, which may have run.
 func Failure() []byte { return []byte("SERVER_ERROR failed\r\n") }
 
-// ReadStats reads the answer to stats load, as the text of a load report.
+// ReadStats reads the answer to the command "stats load" and returns it in the form of a load report.
 func ReadStats(r *bufio.Reader) (report string, err error) {
 	var fields []string
 	for range 64 {
--- a/internal/proto/resp/resp.go
+++ b/internal/proto/resp/resp.go
@@ -1,6 +1,6 @@
-// Package resp is the wire form of RESP2 and RESP3 (the Redis serialization protocol, redis.io/docs/reference/protocol-spec):
-// commands as clients send them, replies as servers give them, read from either side. Every length, depth and line that a
-// peer can name is bounded.
+// Package resp reads and writes RESP2 and RESP3, the Redis serialization protocol
+// (redis.io/docs/reference/protocol-spec): commands of clients and replies of servers. Every length, nesting
+// depth and line of a peer is bounded.
 package resp
 
 import (
@@ -12,37 +12,39 @@
 	"strconv"
 )
 
-// Bounds on what a peer may send.
+// Limits on the input from a peer.
 const (
-	MaxLine    = 4096      // bytes of a line, as of an inline command, an error or a length
+	MaxLine    = 4096      // bytes of a line, such as an inline command, an error or a length
 	MaxBulk    = 64 << 10  // bytes of one string
-	MaxArgs    = 1024      // words of a command
-	MaxCommand = 256 << 10 // bytes of a command's words together, and of a reply's strings
-	MaxDepth   = 8         // aggregates within aggregates
-	MaxItems   = 1 << 16   // items of a reply: a map of all slots, each alone, has some 50,000
+	MaxArgs    = 1024      // arguments of a command, including its name
+	MaxCommand = 256 << 10 // total bytes of the arguments of a command, or of the strings of a reply
+	MaxDepth   = 8         // levels of nested aggregates
+	MaxItems   = 1 << 16   // items of a reply: a slot map with one range per slot has about 50,000
 )
 
-// ErrProtocol is the root of all errors about what a peer has sent.
+// ErrProtocol is wrapped by all errors about invalid input from a peer.
 var ErrProtocol = errors.New("protocol error")
 
+// protocolError returns an error that wraps ErrProtocol.
 func protocolError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrProtocol, fmt.Sprintf(format, args...))
 }
 
-// Command is one command. Its words lie in memory that the next Read into the same Command uses again.
+// Command is one command. Its arguments are valid until the next ReadCommand into the same Command, which
+// reuses their memory.
 type Command struct {
 	Args [][]byte
 	buf  []byte
 	ends []int
 }
 
-// Reader reads commands or replies. The buffer of in bounds lines: it must hold MaxLine.
+// Reader reads commands or replies. The buffer of in limits the length of lines and must hold MaxLine bytes.
 type Reader struct{ in *bufio.Reader }
 
-// NewReader reads from in, whose buffer holds at least MaxLine bytes.
+// NewReader returns a Reader of in, whose buffer must hold at least MaxLine bytes.
 func NewReader(in *bufio.Reader) Reader { return Reader{in} }
 
-// readLine returns a line without its end, valid until the next read.
+// readLine returns a line without its line end, valid until the next read.
 func (r Reader) readLine() ([]byte, error) {
 	l, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(l) > MaxLine {
@@ -54,9 +56,9 @@
 	return bytes.TrimSuffix(l[:len(l)-1], []byte("\r")), nil
 }
 
-// parseLength reads a number of at most max behind a type byte; -1 is taken where null says so.
-func parseLength(text []byte, max int, null bool) (int, error) {
-	if null && len(text) == 2 && text[0] == '-' && text[1] == '1' {
+// parseLength parses the length that follows a type byte, at most limit. It accepts -1 only with allowNull.
+func parseLength(text []byte, limit int, allowNull bool) (int, error) {
+	if allowNull && len(text) == 2 && text[0] == '-' && text[1] == '1' {
 		return -1, nil
 	}
 	n := 0
@@ -69,14 +71,14 @@
 		}
 		n = 10*n + int(b-'0')
 	}
-	if n > max {
-		return 0, protocolError("a length of %d, at most %d", n, max)
+	if n > limit {
+		return 0, protocolError("a length of %d, at most %d", n, limit)
 	}
 	return n, nil
 }
 
-// ReadCommand reads a command, an array of strings or an inline one, into c. An empty one has no words. It allocates
-// only where c has not held as much before.
+// ReadCommand reads a command, either an array of strings or an inline command, into c. An empty command has
+// no arguments. It allocates only if c has not held a command of that size before.
 func (r Reader) ReadCommand(c *Command) error {
 	c.Args, c.buf, c.ends = c.Args[:0], c.buf[:0], c.ends[:0]
 	first, err := r.in.Peek(1)
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// unexpectedEOF makes an end within a command differ from one between two.
+// unexpectedEOF turns io.EOF into io.ErrUnexpectedEOF, for input that ends within a command or a reply.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -115,7 +117,7 @@
 	return err
 }
 
-// readArg reads one string of a command.
+// readArg reads one argument of a command.
 func (r Reader) readArg(c *Command) error {
 	l, err := r.readLine()
 	if err != nil {
@@ -128,8 +130,8 @@
 	if err != nil {
 		return err
 	}
-	at := len(c.buf)
-	if at+n > MaxCommand {
+	start := len(c.buf)
+	if start+n > MaxCommand {
 		return protocolError("a command of over %d bytes", MaxCommand)
 	}
 	if c.buf, err = r.readBulk(c.buf, n); err != nil {
@@ -139,15 +141,15 @@
 	return nil
 }
 
-// readBulk appends n bytes and passes over the line end behind them. What is not there yet is made room for in steps, so that
-// a length alone costs nothing.
-func (r Reader) readBulk(to []byte, n int) ([]byte, error) {
+// readBulk appends n bytes of input to dst and skips the line end that follows. It allocates in steps of 8
+// KiB as data arrives, so that a peer that only announces a large length does not consume memory.
+func (r Reader) readBulk(dst []byte, n int) ([]byte, error) {
 	for n > 0 {
 		step := min(n, 8<<10)
-		at := len(to)
-		to = append(to, make([]byte, step)...)
-		if _, err := io.ReadFull(r.in, to[at:]); err != nil {
-			return to, unexpectedEOF(err)
+		start := len(dst)
+		dst = append(dst, make([]byte, step)...)
+		if _, err := io.ReadFull(r.in, dst[start:]); err != nil {
+			return dst, unexpectedEOF(err)
 		}
 		n -= step
 	}
@@ -155,26 +157,27 @@
 	for i := range end {
 		b, err := r.in.ReadByte()
 		if err != nil {
-			return to, unexpectedEOF(err)
+			return dst, unexpectedEOF(err)
 		}
 		end[i] = b
 	}
 	if end != [2]byte{'\r', '\n'} {
-		return to, protocolError("a string without its end")
+		return dst, protocolError("a string without its end")
 	}
-	return to, nil
+	return dst, nil
 }
 
-// splitArgs finds the words in the buffer, once it moves no more.
+// splitArgs sets Args to the arguments in the buffer. It is called once the buffer is complete, since growth
+// may move it.
 func (c *Command) splitArgs() {
-	at := 0
+	start := 0
 	for _, end := range c.ends {
-		c.Args = append(c.Args, c.buf[at:end:end])
-		at = end
+		c.Args = append(c.Args, c.buf[start:end:end])
+		start = end
 	}
 }
 
-// parseInline reads a command in words on a line, with quotes as redis-cli and telnet users write them.
+// parseInline parses an inline command: words on one line, quoted as redis-cli and telnet users write them.
 func (c *Command) parseInline(l []byte) error {
 	for i := 0; i < len(l); {
 		if l[i] == ' ' || l[i] == '\t' {
@@ -194,7 +197,7 @@
 	return nil
 }
 
-// parseWord reads one word from i on, and returns where it ends.
+// parseWord parses one word that starts at index i, and returns the index after it.
 func (c *Command) parseWord(l []byte, i int) (int, error) {
 	var quote byte
 	for ; i < len(l); i++ {
@@ -220,7 +223,8 @@
 	return i, nil
 }
 
-// parseEscape reads what stands behind a backslash, and returns the place of its last byte.
+// parseEscape parses an escape sequence whose backslash precedes index i, and returns the index of its last
+// byte.
 func (c *Command) parseEscape(l []byte, i int) int {
 	if l[i] == 'x' && i+2 < len(l) {
 		if v, err := strconv.ParseUint(string(l[i+1:i+3]), 16, 8); err == nil {
@@ -236,10 +240,10 @@
 	return i
 }
 
-// Kind is the type of a reply, by its first byte on the wire.
+// Kind is the type of a reply: its first byte on the wire.
 type Kind byte
 
-// The kinds of replies. Those from Null on are RESP3's alone.
+// Kinds of replies. Those from Null on exist only in RESP3.
 const (
 	Simple    Kind = '+'
 	Error     Kind = '-'
@@ -258,25 +262,26 @@
 	Attribute Kind = '|'
 )
 
-// Reply is one reply of a server. Nil strings and arrays of RESP2 become Null.
+// Reply is one reply of a server. Null strings and null arrays of RESP2 have kind Null.
 type Reply struct {
 	Kind  Kind
-	Text  []byte  // of all that are no aggregates; the digits of numbers
-	Items []Reply // of aggregates; a map's keys and values in turn
+	Text  []byte  // content of all kinds except aggregates; the digits of a number
+	Items []Reply // elements of an aggregate; the keys and values of a map alternate
 }
 
-// IsError says whether a reply is an error.
+// IsError reports whether the reply is an error.
 func (r *Reply) IsError() bool { return r.Kind == Error || r.Kind == BlobError }
 
-// ReadReply reads a reply. Attributes are read and passed over.
+// ReadReply reads a reply. Attributes are read and discarded.
 func (r Reader) ReadReply() (Reply, error) {
 	b := &remaining{items: MaxItems, bytes: MaxCommand}
 	return r.readNested(0, b)
 }
 
-// ReadItems reads an array whose items may be more than a reply may hold together: each is handed to take by itself, and
-// bounded by itself. most bounds their number. An answer that is no array is an error that says what it is.
-func (r Reader) ReadItems(most int, take func(Reply) error) error {
+// ReadItems reads an array that may exceed the limits of one reply, and calls handle for each item. The
+// limits of a reply hold for each item alone; limit is the maximum number of items. A reply that is not an
+// array gives an error that quotes it.
+func (r Reader) ReadItems(limit int, handle func(Reply) error) error {
 	l, err := r.readLine()
 	if err != nil {
 		return err
@@ -284,7 +289,7 @@
 	if len(l) == 0 || Kind(l[0]) != Array {
 		return protocolError("%.80q where an array was expected", l)
 	}
-	n, err := parseLength(l[1:], most, false)
+	n, err := parseLength(l[1:], limit, false)
 	if err != nil {
 		return err
 	}
@@ -293,16 +298,17 @@
 		if err != nil {
 			return unexpectedEOF(err)
 		}
-		if err := take(item); err != nil {
+		if err := handle(item); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// remaining is what is left for a reply.
+// remaining holds the number of items and bytes that the rest of a reply may still have.
 type remaining struct{ items, bytes int }
 
+// readNested reads a reply at a nesting depth, and subtracts its items and bytes from b.
 func (r Reader) readNested(depth int, b *remaining) (Reply, error) {
 	if b.items--; b.items < 0 || depth > MaxDepth {
 		return Reply{}, protocolError("a reply of over %d items, or %d deep", MaxItems, MaxDepth)
@@ -339,7 +345,7 @@
 	return Reply{}, protocolError("unknown type %.1q", l)
 }
 
-// parseScalar reads what stands on one line.
+// parseScalar checks and copies the text of a reply that consists of one line.
 func (r Reader) parseScalar(k Kind, text []byte, b *remaining) (Reply, error) {
 	ok := true
 	switch k {
@@ -363,6 +369,8 @@
 	return Reply{Kind: k, Text: bytes.Clone(text)}, nil
 }
 
+// readAggregate reads the elements of an aggregate, whose length is in text. Instead of an attribute it
+// returns the reply that follows.
 func (r Reader) readAggregate(k Kind, text []byte, depth int, b *remaining) (Reply, error) {
 	n, err := parseLength(text, MaxItems, k == Array)
 	if err != nil {
@@ -382,13 +390,13 @@
 		}
 		out.Items = append(out.Items, item)
 	}
-	if k == Attribute { // it only speaks of the reply behind it
+	if k == Attribute { // an attribute only describes the reply that follows it
 		return r.readNested(depth, b)
 	}
 	return out, nil
 }
 
-// AppendCommand writes a command.
+// AppendCommand appends a command.
 func AppendCommand(b []byte, args ...[]byte) []byte {
 	b = appendHeader(b, '*', len(args))
 	for _, a := range args {
@@ -397,21 +405,22 @@
 	return b
 }
 
+// appendHeader appends a type byte, a length and a line end.
 func appendHeader(b []byte, k byte, n int) []byte {
 	return append(strconv.AppendInt(append(b, k), int64(n), 10), "\r\n"...)
 }
 
-// AppendBulk writes a string.
+// AppendBulk appends a bulk string.
 func AppendBulk(b, text []byte) []byte {
 	return append(append(appendHeader(b, '$', len(text)), text...), "\r\n"...)
 }
 
-// AppendSimple writes a status.
+// AppendSimple appends a simple string (a status).
 func AppendSimple(b []byte, text string) []byte {
 	return append(append(append(b, '+'), text...), "\r\n"...)
 }
 
-// AppendError writes an error. Line ends in it become blanks.
+// AppendError appends a simple error. Carriage returns and line feeds in text become blanks.
 func AppendError(b []byte, text string) []byte {
 	b = append(b, '-')
 	for i := range len(text) {
@@ -424,15 +433,15 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendInt writes a number.
+// AppendInt appends an integer.
 func AppendInt(b []byte, n int64) []byte {
 	return append(strconv.AppendInt(append(b, ':'), n, 10), "\r\n"...)
 }
 
-// AppendArrayHeader writes the head of an array of n items.
+// AppendArrayHeader appends the header of an array of n items.
 func AppendArrayHeader(b []byte, n int) []byte { return appendHeader(b, '*', n) }
 
-// AppendMapHeader writes the head of a map of n pairs: in RESP2 an array of both.
+// AppendMapHeader appends the header of a map of n pairs, in RESP2 that of an array of 2n items.
 func AppendMapHeader(b []byte, n, proto int) []byte {
 	if proto < 3 {
 		return appendHeader(b, '*', 2*n)
@@ -440,7 +449,7 @@
 	return appendHeader(b, '%', n)
 }
 
-// AppendNull writes that there is nothing.
+// AppendNull appends a null, in RESP2 a null bulk string.
 func AppendNull(b []byte, proto int) []byte {
 	if proto < 3 {
 		return append(b, "$-1\r\n"...)
@@ -448,7 +457,7 @@
 	return append(b, "_\r\n"...)
 }
 
-// AppendReply writes a reply as a client of that version of the protocol reads it.
+// AppendReply appends a reply in the form of RESP version proto (2 or 3).
 func AppendReply(b []byte, r *Reply, proto int) []byte {
 	switch r.Kind {
 	case Null:
@@ -484,6 +493,7 @@
 	return append(append(append(b, byte(r.Kind)), r.Text...), "\r\n"...)
 }
 
+// appendAggregateHeader appends the header of an array, map, set or push.
 func appendAggregateHeader(b []byte, r *Reply, proto int) []byte {
 	switch {
 	case r.Kind == Map:
