--- a/internal/backend/resp/cluster.go
+++ b/internal/backend/resp/cluster.go
@@ -19,64 +19,64 @@
 	"mossproxy.example/mossproxy/internal/pure/slots"
 )
 
-// Config says how a cluster is reached.
+// Config configures the connection to a cluster.
 type Config struct {
-	Seeds    []string    // addresses, of which one that answers is enough
-	Site     string      // that its servers are taken to stand in
-	Protocol Protocol    // its Cluster is set here
-	TLS      backend.TLS // of the links to servers; nil = they are plain
-	Now      func() float64
+	Seeds    []string       // host:port addresses of servers; one that answers is enough
+	Site     string         // site that all its servers are assumed to be in
+	Protocol Protocol       // NewCluster sets its field Cluster
+	TLS      backend.TLS    // for connections to servers; nil = plain TCP
+	Now      func() float64 // time in ms
 	Log      func(format string, args ...any)
 }
 
 const (
-	epochInterval      = 250 * time.Millisecond // between two looks at the epoch: who drains must be known within 500 ms
-	mapInterval        = time.Second            // between two maps, where the epoch stays
-	minRefreshDelay    = 25 * time.Millisecond  // between two, where something does
+	epochInterval      = 250 * time.Millisecond // between epoch checks: a drain must be known within 500 ms
+	mapInterval        = time.Second            // between full maps while the epoch stays the same
+	minRefreshDelay    = 25 * time.Millisecond  // least delay of a requested refresh
 	mapTimeout         = 500 * time.Millisecond
-	refreshDelayFactor = 10 // times what the last map took is between it and one that is called for: a large one costs milliseconds
-	// maxNodes bounds the servers of a cluster; what maps and redirections name beyond that is passed over.
+	refreshDelayFactor = 10 // delay of a requested refresh / duration of the last: a large map takes ms
+	// maxNodes limits the number of servers of a cluster; maps and redirections can't add more.
 	maxNodes = 1000
 )
 
-// Cluster is where the servers of a cluster come from: it asks them for their map, and knows the owners of slots.
+// Cluster discovers the servers of a cluster by polling them for slot maps, and tracks the owners of slots.
 type Cluster struct {
 	cfg              Config
-	refreshRequested chan struct{}                           // of capacity 1: a map is asked for soon
-	ownersBySlot     [slots.Count]atomic.Pointer[slotOwners] // what requests read
+	refreshRequested chan struct{}                           // capacity 1: refresh pending
+	ownersBySlot     [slots.Count]atomic.Pointer[slotOwners] // read without mu; nil = no owner
 
 	mu              sync.Mutex
 	table           *slots.Table
-	nodes           map[string]float64 // address to when it was first seen; 0 = with the first map
-	redirectTargets map[string]float64 // addresses that redirections named and no map yet, and when
+	nodes           map[string]float64 // address -> time in ms when it was first seen; 0 = in the first map
+	redirectTargets map[string]float64 // address seen only in redirections -> time in ms
 	version         int64
 	rotation        int
-	mapDue          float64 // when a whole map is due; Run's alone
+	mapDue          float64 // when the next full map is due, in ms; used only by the goroutine of Run
 	onUpdate        func(member.List)
-	lastError       string // the last trouble that was logged
+	lastError       string // text of the last logged error; "" = none since a map was accepted
 }
 
-// resolveOwners is who owns a slot, as the module's numbers. It never changes.
+// slotOwners holds the owners of a slot as server ids of the module. It is immutable.
 type slotOwners struct {
 	write []uint32
 	read  []uint32
 }
 
-// NewCluster is a cluster that nothing is known of yet.
+// NewCluster returns a cluster without any known servers or owners.
 func NewCluster(cfg Config) *Cluster {
 	c := &Cluster{cfg: cfg, refreshRequested: make(chan struct{}, 1), table: slots.New(), nodes: map[string]float64{}, redirectTargets: map[string]float64{}}
 	c.cfg.Protocol.Cluster = c
 	return c
 }
 
-// Protocol is what its servers speak.
+// Protocol returns the protocol of the cluster's servers.
 func (c *Cluster) Protocol() Protocol { return c.cfg.Protocol }
 
-// noOwners are the owners of a slot that nobody owns.
+// noOwners is returned for a slot without a known owner.
 var noOwners = []uint32{}
 
-// Owners are the servers that may serve a command on a slot, the primary first. It may be called from any goroutine; the
-// slice is shared and must not be changed. It is empty where nobody is known.
+// Owners returns the servers that may serve a command on a slot, the primary first, or an empty slice that is
+// not nil if none is known. May be called from any goroutine. The slice is shared and must not be modified.
 func (c *Cluster) Owners(slot int, write bool) []uint32 {
 	if slot < 0 || slot >= slots.Count {
 		return noOwners
@@ -92,7 +92,7 @@
 	return o.read
 }
 
-// RequestRefresh asks for a new map soon.
+// RequestRefresh requests a new slot map soon. It does not block.
 func (c *Cluster) RequestRefresh() {
 	select {
 	case c.refreshRequested <- struct{}{}:
@@ -100,10 +100,10 @@
 	}
 }
 
-// serverID is the module's number of the server at an address.
+// serverID returns the module's id of the server at an address.
 func serverID(addr string) uint32 { return member.ServerID(addr) }
 
-// HandleMoved is Sent's.
+// HandleMoved implements Topology.
 func (c *Cluster) HandleMoved(slot int, addr string) ([]uint32, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,11 +112,11 @@
 		return nil, false
 	}
 	o, _ := c.table.Owner(slot)
-	c.ownersBySlot[slot].Store(c.resolveOwners(&o)) // that one alone: in a migration redirections come by thousands
+	c.ownersBySlot[slot].Store(c.resolveOwners(&o)) // migrations cause thousands of redirections
 	return []uint32{serverID(addr)}, true
 }
 
-// HandleAsk is Sent's.
+// HandleAsk implements Topology.
 func (c *Cluster) HandleAsk(addr string) ([]uint32, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,8 +126,9 @@
 	return []uint32{serverID(addr)}, true
 }
 
-// ensureListed makes sure that the server at an address is on the list, so that the module can send there. The news of it is
-// told before the outcome that needs it. The caller holds mu.
+// ensureListed adds the server at an address to the list if necessary, so that the module can send there. The
+// updated list is published before the outcome of the attempt that needs the server. It reports false for an
+// invalid address, or if the list is full. The caller holds mu.
 func (c *Cluster) ensureListed(addr string) bool {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return false
@@ -146,36 +147,36 @@
 	return true
 }
 
-// Run asks for maps until ctx ends, and hands each change of servers to tell.
-func (c *Cluster) Run(ctx context.Context, tell func(member.List)) {
+// Run polls for slot maps until ctx ends, and calls onUpdate with each change of the list of servers.
+func (c *Cluster) Run(ctx context.Context, onUpdate func(member.List)) {
 	c.mu.Lock()
-	c.onUpdate = tell
+	c.onUpdate = onUpdate
 	c.mu.Unlock()
-	pause, soon := time.NewTimer(0), minRefreshDelay
-	defer pause.Stop()
+	timer, refreshDelay := time.NewTimer(0), minRefreshDelay
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-pause.C:
+		case <-timer.C:
 		case <-c.refreshRequested:
 			c.mapDue = 0
 			select {
-			case <-time.After(soon):
+			case <-time.After(refreshDelay):
 			case <-ctx.Done():
 				return
 			}
 		}
-		began := time.Now()
+		start := time.Now()
 		c.refresh(ctx)
-		soon = min(max(minRefreshDelay, refreshDelayFactor*time.Since(began)), epochInterval)
-		pause.Reset(epochInterval)
+		refreshDelay = min(max(minRefreshDelay, refreshDelayFactor*time.Since(start)), epochInterval)
+		timer.Reset(epochInterval)
 	}
 }
 
-// refresh asks servers in turn until one gives a map that is taken.
+// refresh asks the servers in turn until one returns an acceptable map or has the epoch of the current one.
 func (c *Cluster) refresh(ctx context.Context) {
-	var trouble []error
+	var errs []error
 	for _, addr := range c.candidates() {
 		m, err := c.fetchMap(ctx, addr)
 		if ctx.Err() != nil || errors.Is(err, errMapUnchanged) {
@@ -189,28 +190,28 @@
 			c.logError("")
 			return
 		}
-		trouble = append(trouble, fmt.Errorf("%s: %w", addr, err))
+		errs = append(errs, fmt.Errorf("%s: %w", addr, err))
 	}
-	if err := errors.Join(trouble...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		c.logError(strings.ReplaceAll(err.Error(), "\n", "; "))
 	}
 }
 
-// logError logs what is wrong with the maps, once for each text.
+// logError logs an error with the slot map unless it is the same as the last one; "" resets it.
 func (c *Cluster) logError(text string) {
 	c.mu.Lock()
-	new := text != c.lastError
+	changed := text != c.lastError
 	c.lastError = text
 	c.mu.Unlock()
-	if new && text != "" {
-		c.cfg.Log("cluster: no new map, the one in use stays: %s", text)
+	if changed && text != "" {
+		c.cfg.Log("cluster: slot map not refreshed, keeping the current one: %s", text)
 	}
 }
 
-// maxServersAsked bounds the servers that one refresh asks.
+// maxServersAsked limits the number of known servers, besides the seeds, that one refresh asks.
 const maxServersAsked = 8
 
-// candidates are the servers to ask for a map, each time another one first.
+// candidates returns the servers to ask for a map. Each call starts with the next server; seeds are last.
 func (c *Cluster) candidates() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,17 +233,17 @@
 	return out
 }
 
-// fetchMap gets the map of one server.
+// fetchMap fetches the slot map of one server, or returns errMapUnchanged if no new map is needed.
 func (c *Cluster) fetchMap(ctx context.Context, addr string) (m slots.Map, err error) {
-	ctx, stop := context.WithTimeout(ctx, mapTimeout)
-	defer stop()
-	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	ctx, cancel := context.WithTimeout(ctx, mapTimeout)
+	defer cancel()
+	tcpConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return m, err
 	}
-	defer raw.Close()
-	defer context.AfterFunc(ctx, func() { raw.Close() })()
-	conn, err := backend.Over(ctx, raw, c.cfg.TLS, addr)
+	defer tcpConn.Close()
+	defer context.AfterFunc(ctx, func() { tcpConn.Close() })()
+	conn, err := backend.Over(ctx, tcpConn, c.cfg.TLS, addr)
 	if err != nil {
 		return m, err
 	}
@@ -250,11 +251,11 @@
 	if _, err := conn.Write(resp.AppendCommand(p.Open(), []byte("CLUSTER"), []byte("INFO"))); err != nil {
 		return m, err
 	}
-	in := bufio.NewReaderSize(conn, resp.MaxLine)
-	if err := p.Opened(in); err != nil {
+	input := bufio.NewReaderSize(conn, resp.MaxLine)
+	if err := p.Opened(input); err != nil {
 		return m, err
 	}
-	r := resp.NewReader(in)
+	r := resp.NewReader(input)
 	info, err := r.ReadReply()
 	if err != nil {
 		return m, err
@@ -272,16 +273,17 @@
 	return m, err
 }
 
-// errMapUnchanged tells that the epoch is that of the map in use, and none is due.
-var errMapUnchanged = errors.New("the same epoch")
+// errMapUnchanged reports that the server has the epoch of the current map, and no full map is due.
+var errMapUnchanged = errors.New("epoch unchanged")
 
+// mapCurrent reports whether the current map has this epoch and no full map is due.
 func (c *Cluster) mapCurrent(epoch uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.nodes) > 0 && epoch == c.table.Epoch() && c.cfg.Now() < c.mapDue
 }
 
-// readEpoch reads the current epoch from CLUSTER INFO; 0 where it is not told.
+// readEpoch returns the current epoch in a reply to CLUSTER INFO, or 0 if it has none.
 func readEpoch(info *resp.Reply) (uint64, error) {
 	if info.IsError() {
 		return 0, errors.New(string(info.Text))
@@ -290,7 +292,7 @@
 		if v, ok := strings.CutPrefix(strings.TrimSpace(line), "cluster_current_epoch:"); ok {
 			n, err := strconv.ParseUint(v, 10, 64)
 			if err != nil {
-				return 0, fmt.Errorf("epoch %.20q", v)
+				return 0, fmt.Errorf("invalid cluster epoch %.20q", v)
 			}
 			return n, nil
 		}
@@ -298,60 +300,61 @@
 	return 0, nil
 }
 
-// readRanges reads what CLUSTER SLOTS says, run by run: of a cluster whose slots lie scattered it is megabytes, which are
-// not held. A host that is left out is that of the server asked.
+// readRanges reads the reply to CLUSTER SLOTS range by range, without buffering it as a whole: with
+// fragmented slots it has megabytes. An omitted host is that of the server at addr, which has been asked.
 func readRanges(r resp.Reader, addr string) (out []slots.Range, err error) {
-	own, _, _ := net.SplitHostPort(addr)
-	names := map[string]string{} // each address once, however many runs name it
+	defaultHost, _, _ := net.SplitHostPort(addr)
+	addresses := map[string]string{} // interned addresses: ranges share the string of an address
 	err = r.ReadItems(slots.Count, func(item resp.Reply) error {
-		run, err := readRange(item.Items, own, names)
-		out = append(out, run)
+		slotRange, err := readRange(item.Items, defaultHost, addresses)
+		out = append(out, slotRange)
 		return err
 	})
 	return out, err
 }
 
-// readRange reads one run: from, to, its primary, its replicas.
-func readRange(it []resp.Reply, own string, names map[string]string) (r slots.Range, err error) {
-	if len(it) < 3 {
-		return r, errors.New("a run of slots without an owner")
+// readRange reads one range: first slot, last slot, primary, replicas.
+func readRange(items []resp.Reply, defaultHost string, addresses map[string]string) (r slots.Range, err error) {
+	if len(items) < 3 {
+		return r, errors.New("slot range without an owner")
 	}
-	if r.From, err = strconv.Atoi(string(it[0].Text)); err == nil {
-		r.To, err = strconv.Atoi(string(it[1].Text))
+	if r.From, err = strconv.Atoi(string(items[0].Text)); err == nil {
+		r.To, err = strconv.Atoi(string(items[1].Text))
 	}
 	if err != nil {
-		return r, fmt.Errorf("slots %.20q to %.20q", it[0].Text, it[1].Text)
+		return r, fmt.Errorf("invalid slot range %.20q to %.20q", items[0].Text, items[1].Text)
 	}
-	for j, n := range it[2:min(len(it), 3+slots.MaxReplicas)] {
-		if len(n.Items) < 2 {
-			return r, errors.New("a server without an address")
+	for j, server := range items[2:min(len(items), 3+slots.MaxReplicas)] {
+		if len(server.Items) < 2 {
+			return r, errors.New("server entry without an address")
 		}
-		host := string(n.Items[0].Text)
+		host := string(server.Items[0].Text)
 		if host == "" || host == "?" {
-			host = own
+			host = defaultHost
 		}
-		at := net.JoinHostPort(host, string(n.Items[1].Text))
-		if known, ok := names[at]; ok {
-			at = known
-		} else if len(names) < maxNodes {
-			names[at] = at
+		address := net.JoinHostPort(host, string(server.Items[1].Text))
+		if interned, ok := addresses[address]; ok {
+			address = interned
+		} else if len(addresses) < maxNodes {
+			addresses[address] = address
 		}
 		if j == 0 {
-			r.Primary = at
+			r.Primary = address
 		} else {
-			r.Replicas = append(r.Replicas, at)
+			r.Replicas = append(r.Replicas, address)
 		}
 	}
 	return r, nil
 }
 
-// applyMap uses a map. Servers that are new with it count as started now: nobody tells when they did.
+// applyMap replaces the current map. Servers that it adds count as started now, since maps contain no start
+// time; those of the first map have start time 0.
 func (c *Cluster) applyMap(m slots.Map) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ch := c.table.Full(c.cfg.Now(), m)
-	if ch.Refused != "" {
-		return errors.New(ch.Refused)
+	change := c.table.Full(c.cfg.Now(), m)
+	if change.Refused != "" {
+		return errors.New(change.Refused)
 	}
 	seen := map[string]bool{}
 	for _, r := range m.Ranges {
@@ -369,8 +372,8 @@
 			if first {
 				started = 0
 			}
-			if at, ok := c.redirectTargets[addr]; ok {
-				started = at
+			if redirectedAt, ok := c.redirectTargets[addr]; ok {
+				started = redirectedAt
 			}
 			c.nodes[addr], changed = started, true
 		}
@@ -383,28 +386,28 @@
 		}
 	}
 	now := c.cfg.Now()
-	for addr, at := range c.redirectTargets { // named by a redirection, and by no map since
-		if now-at > 10000 {
+	for addr, redirectedAt := range c.redirectTargets { // 10 s without a map that lists it
+		if now-redirectedAt > 10000 {
 			delete(c.redirectTargets, addr)
 			changed = true
 		}
 	}
-	if ch.Slots > 0 || ch.Clashes > 0 || ch.Gaps > 0 && first {
-		c.cfg.Log("cluster: map of epoch %d: %d slots changed hands, %d without an owner, %d claimed by two", m.Epoch, ch.Slots, ch.Gaps, ch.Clashes)
+	if change.Slots > 0 || change.Clashes > 0 || change.Gaps > 0 && first {
+		c.cfg.Log("cluster: map of epoch %d: %d slots changed owner, %d have no owner, %d have conflicting owners", m.Epoch, change.Slots, change.Gaps, change.Clashes)
 	}
-	c.publishOwners() // before the list, which makes the router ready
+	c.publishOwners() // before the list of servers, which makes the router ready
 	if changed {
 		c.publishServers()
 	}
 	return nil
 }
 
-// publishServers tells which servers there are. The caller holds mu.
+// publishServers passes the full list of servers to onUpdate. The caller holds mu.
 func (c *Cluster) publishServers() {
 	c.version++
 	l := member.List{Version: c.version, Full: true}
-	for _, from := range []map[string]float64{c.nodes, c.redirectTargets} {
-		for addr, started := range from {
+	for _, group := range []map[string]float64{c.nodes, c.redirectTargets} {
+		for addr, started := range group {
 			l.Servers = append(l.Servers, member.Entry{ID: addr, Addr: addr, Zone: c.cfg.Site, Kind: "cache", State: "active", Weight: 1, Started: started})
 		}
 	}
@@ -414,17 +417,18 @@
 	}
 }
 
-// publishOwners makes the owners known to requests. The caller holds mu.
+// publishOwners updates the owners of all slots that requests see. The caller holds mu.
 func (c *Cluster) publishOwners() {
-	made := map[*slots.Owner]*slotOwners{}
+	converted := map[*slots.Owner]*slotOwners{}
 	for s, o := range c.table.Owners() {
-		if o != nil && made[o] == nil {
-			made[o] = c.resolveOwners(o)
+		if o != nil && converted[o] == nil {
+			converted[o] = c.resolveOwners(o)
 		}
-		c.ownersBySlot[s].Store(made[o]) // nil = nobody
+		c.ownersBySlot[s].Store(converted[o]) // nil = no owner
 	}
 }
 
+// resolveOwners converts addresses to server ids; replicas count for reads only, and only if enabled.
 func (c *Cluster) resolveOwners(o *slots.Owner) *slotOwners {
 	out := &slotOwners{write: []uint32{serverID(o.Primary)}}
 	out.read = out.write
--- a/internal/backend/resp/protocol.go
+++ b/internal/backend/resp/protocol.go
@@ -1,5 +1,6 @@
-// Package resp speaks RESP to the servers of a cluster: one command on one connection, its reply mapped to how the attempt
-// ended and whether it has run. A redirection is never followed here: it is an outcome, and the module decides on the next.
+// Package resp implements the RESP client for the servers of a cluster. It sends one command at a time on a
+// connection and maps the reply to the outcome of the attempt, including whether the command has run. It
+// never follows redirections: a redirection is an outcome, and the module decides on the next attempt.
 package resp
 
 import (
@@ -14,30 +15,30 @@
 	"mossproxy.example/mossproxy/internal/proto/resp"
 )
 
-// Topology tells the cluster of what a server said beside an answer.
+// Topology receives what the error replies of servers reveal about the slots of the cluster.
 type Topology interface {
-	// HandleMoved takes a redirection for good, and gives the servers that may serve the request now; ok is false where it is not
-	// believed.
+	// HandleMoved applies a permanent redirection (MOVED), and returns the servers that may serve the request
+	// now. ok is false if the redirection is rejected.
 	HandleMoved(slot int, addr string) (owners []uint32, ok bool)
-	// HandleAsk gives the server that an ASK names.
+	// HandleAsk returns the server that a temporary redirection (ASK) names. ok is false if it is rejected.
 	HandleAsk(addr string) (owners []uint32, ok bool)
-	// RequestRefresh asks for a new map soon.
+	// RequestRefresh requests a new slot map soon.
 	RequestRefresh()
 }
 
-// Protocol is a backend.Protocol.
+// Protocol implements backend.Protocol.
 type Protocol struct {
 	Cluster  Topology
-	User     string // "" = AUTH with a password alone
+	User     string // "" = AUTH with the password only
 	Password string // "" = no AUTH
-	Replicas bool   // connections may read from replicas
-	Origin   bool   // there is one behind the servers: a key that they lack is a miss
+	Replicas bool   // replicas may serve reads
+	Origin   bool   // an origin stands behind the servers: a key that they don't hold is a miss
 }
 
 var askingCommand = resp.AppendCommand(nil, []byte("ASKING"))
 
-// Command is the client's command, behind ASKING where the server has it by leave. A request of another front is a GET or
-// a SET.
+// Command returns the bytes of the client's command, preceded by ASKING if the attempt follows an ASK
+// redirection. A request of a front end of another protocol becomes a GET or a SET.
 func (Protocol) Command(_ string, r *engine.Request, try engine.Try) ([]byte, error) {
 	var b []byte
 	if try.Asking {
@@ -54,47 +55,51 @@
 	return resp.AppendCommand(b, []byte("GET"), []byte(r.Key)), nil
 }
 
-// MaxOriginKey is the longest key that the origin is asked for, in bytes: it becomes part of an address.
+// MaxOriginKey is the maximum length in bytes of a key that is fetched from the origin: the key becomes part
+// of a URL.
 const MaxOriginKey = 1024
 
-// isMiss says whether a reply means that the server lacks a key that the origin may have. Commands other than GET are
-// answered by what the servers hold.
-func (p Protocol) isMiss(r *engine.Request, got *resp.Reply) bool {
+// isMiss reports whether a reply means that the server does not hold a key that the origin may have. Only GET
+// can miss; all other commands are answered from the data of the servers alone.
+func (p Protocol) isMiss(r *engine.Request, reply *resp.Reply) bool {
 	get := len(r.Args) == 0 || len(r.Args) == 2 && strings.EqualFold(string(r.Args[0]), "GET")
-	return p.Origin && get && !r.Write && got.Kind == resp.Null && len(r.Key) <= MaxOriginKey
+	return p.Origin && get && !r.Write && reply.Kind == resp.Null && len(r.Key) <= MaxOriginKey
 }
 
-// StoreCommand is the write by which a value of the origin is kept for some ms, only where the key is not there.
-func StoreCommand(key string, value []byte, keep int64) [][]byte {
-	return [][]byte{[]byte("SET"), []byte(key), value, []byte("PX"), strconv.AppendInt(nil, keep, 10), []byte("NX")}
+// StoreCommand returns the command that stores a value of the origin for ttlMS milliseconds, unless the key
+// exists.
+func StoreCommand(key string, value []byte, ttlMS int64) [][]byte {
+	return [][]byte{[]byte("SET"), []byte(key), value, []byte("PX"), strconv.AppendInt(nil, ttlMS, 10), []byte("NX")}
 }
 
-// okBody is what a write of another front gets: the server's word.
+// okBody is the receipt of a write for front ends of other protocols: the reply of the server.
 var okBody = []byte("OK")
 
-// convertReply puts a reply into the terms of other fronts. What is neither value nor receipt stays as it is: the server has
-// answered, so nothing is held against it, and the front can only call it a failure.
-func convertReply(a *engine.Reply, r *engine.Request, got *resp.Reply) {
+// convertReply converts a reply for front ends of other protocols. A reply that is neither a value nor a
+// receipt stays in Content: the server has answered, so the attempt does not count against it, and the front
+// end reports a failure.
+func convertReply(a *engine.Reply, r *engine.Request, reply *resp.Reply) {
 	switch a.Content = nil; {
-	case r.Write && got.Kind == resp.Simple:
+	case r.Write && reply.Kind == resp.Simple:
 		a.Body = okBody
-	case !r.Write && got.Kind == resp.Null:
+	case !r.Write && reply.Kind == resp.Null:
 		a.Absent = true
-	case !r.Write && got.Kind == resp.Bulk:
-		a.Body = got.Text
+	case !r.Write && reply.Kind == resp.Bulk:
+		a.Body = reply.Text
 	default:
-		a.Content = got
+		a.Content = reply
 	}
 }
 
-// Open says who we are, and that replicas may answer reads.
+// Open returns the commands that start a connection: authentication, and READONLY if replicas may serve
+// reads.
 func (p Protocol) Open() (b []byte) {
 	if p.Password != "" {
-		words := [][]byte{[]byte("AUTH")}
+		args := [][]byte{[]byte("AUTH")}
 		if p.User != "" {
-			words = append(words, []byte(p.User))
+			args = append(args, []byte(p.User))
 		}
-		b = resp.AppendCommand(b, append(words, []byte(p.Password))...)
+		b = resp.AppendCommand(b, append(args, []byte(p.Password))...)
 	}
 	if p.Replicas {
 		b = resp.AppendCommand(b, []byte("READONLY"))
@@ -102,7 +107,8 @@
 	return b
 }
 
-// Opened reads what a server says to Open. An error there shows in the answer to the command behind it too.
+// Opened reads the replies to the commands of Open. It ignores error replies, because the command that
+// follows then fails as well.
 func (p Protocol) Opened(in *bufio.Reader) error {
 	n := 0
 	if p.Password != "" {
@@ -119,7 +125,8 @@
 	return nil
 }
 
-// Answer reads the reply to a command.
+// Answer reads the reply to a command and maps it to the outcome of the attempt. An error means that the
+// connection can't be used any more.
 func (p Protocol) Answer(in *bufio.Reader, addr string, q *engine.Request, try engine.Try) (engine.Reply, bool, error) {
 	r := resp.NewReader(in)
 	if try.Asking {
@@ -127,69 +134,71 @@
 			return engine.Reply{Load: decide.NoLoad}, true, err
 		}
 	}
-	got, err := r.ReadReply()
-	for err == nil && got.Kind == resp.Push { // news that nobody asked for
-		got, err = r.ReadReply()
+	reply, err := r.ReadReply()
+	for err == nil && reply.Kind == resp.Push { // unsolicited push message
+		reply, err = r.ReadReply()
 	}
 	if err != nil {
 		return engine.Reply{Load: decide.NoLoad}, true, err
 	}
-	a := engine.Reply{Status: decide.OK, Load: decide.NoLoad, Content: &got}
-	if got.IsError() {
-		p.applyError(&a, addr, string(got.Text))
+	a := engine.Reply{Status: decide.OK, Load: decide.NoLoad, Content: &reply}
+	if reply.IsError() {
+		p.applyError(&a, addr, string(reply.Text))
 	}
 	switch {
 	case a.Status != decide.OK:
-	case p.isMiss(q, &got):
+	case p.isMiss(q, &reply):
 		a.Status, a.CacheResult, a.Content = decide.Miss, 2, nil
 	case len(q.Args) == 0:
-		convertReply(&a, q, &got)
+		convertReply(&a, q, &reply)
 	}
 	return a, false, nil
 }
 
-// Probe asks nothing: RESP has no load report.
+// Probe returns "", since RESP has no load report.
 func (Protocol) Probe(string) string { return "" }
 
-// Load is never read.
+// Load is never called, since Probe returns "".
 func (Protocol) Load(*bufio.Reader) (decide.Load, error) { return decide.NoLoad, nil }
 
-// Rest is none: a server gives one reply for each command, and one too many shows as input on an idle connection.
+// Rest returns 0: a server sends one reply per command, and an extra one is detected as input on an idle
+// connection.
 func (Protocol) Rest() time.Duration { return 0 }
 
-// errorOutcome is what an error says.
+// errorOutcome is the meaning of an error reply.
 type errorOutcome struct {
 	status     decide.Status
-	refreshMap bool // the map may be old
+	refreshMap bool // the slot map may be outdated
 }
 
-// errorOutcomes are the errors that prove that a command did not run (redis.io/docs/reference/cluster-spec, and the server's
-// own sources for the words). Any other error is the command's own answer: it was carried out as far as it goes, and the
-// client gets it as it is. Ignored says nothing against the server; QueueFull says that it can't serve now.
+// errorOutcomes maps the error codes that prove that a command did not run
+// (redis.io/docs/reference/cluster-spec and the source code of the server). Any other error is the result of
+// the command itself, which has run as far as it could, and goes to the client unchanged. Ignored does not
+// count against the server; QueueFull means that it can't serve requests at present.
 var errorOutcomes = map[string]errorOutcome{
-	"TRYAGAIN":    {decide.Ignored, false},   // several keys, of which some have moved
-	"CLUSTERDOWN": {decide.Ignored, true},    // the slot, or the cluster, is without an owner
-	"READONLY":    {decide.Ignored, true},    // a write at a replica
-	"LOADING":     {decide.QueueFull, false}, // it reads its data
-	"MASTERDOWN":  {decide.QueueFull, true},  // a replica that has lost its primary
-	"BUSY":        {decide.QueueFull, false}, // a script runs
-	"MISCONF":     {decide.QueueFull, false}, // it can't save, so it takes no writes
-	"OOM":         {decide.QueueFull, false}, // and no more memory
-	"NOREPLICAS":  {decide.QueueFull, false},
-	"NOAUTH":      {decide.QueueFull, false}, // our password is missing
+	"TRYAGAIN":    {decide.Ignored, false},   // command with several keys, some of which have moved
+	"CLUSTERDOWN": {decide.Ignored, true},    // the slot has no owner, or the cluster is down
+	"READONLY":    {decide.Ignored, true},    // write sent to a replica
+	"LOADING":     {decide.QueueFull, false}, // loading its data set
+	"MASTERDOWN":  {decide.QueueFull, true},  // replica without a connection to its primary
+	"BUSY":        {decide.QueueFull, false}, // running a script
+	"MISCONF":     {decide.QueueFull, false}, // can't persist data, so rejects writes
+	"OOM":         {decide.QueueFull, false}, // out of memory
+	"NOREPLICAS":  {decide.QueueFull, false}, // too few replicas to accept writes
+	"NOAUTH":      {decide.QueueFull, false}, // the router has not authenticated
 	"WRONGPASS":   {decide.QueueFull, false},
 	"NOPERM":      {decide.QueueFull, false},
 }
 
-// applyError books what an error says of the attempt.
+// applyError sets the outcome of the attempt for an error reply, and requests a new slot map if necessary.
 func (p Protocol) applyError(a *engine.Reply, addr, text string) {
-	word, rest, _ := strings.Cut(text, " ")
-	if word == "MOVED" || word == "ASK" {
+	code, rest, _ := strings.Cut(text, " ")
+	if code == "MOVED" || code == "ASK" {
 		a.Status, a.Content = decide.Ignored, nil
-		p.applyRedirection(a, addr, word, rest)
+		p.applyRedirection(a, addr, code, rest)
 		return
 	}
-	v, ok := errorOutcomes[word]
+	v, ok := errorOutcomes[code]
 	if !ok {
 		return
 	}
@@ -199,29 +208,29 @@
 	}
 }
 
-// applyRedirection books a redirection: "SLOT HOST:PORT", where a host that is left out is the server's own.
-func (p Protocol) applyRedirection(a *engine.Reply, addr, word, rest string) {
-	n, to, _ := strings.Cut(rest, " ")
-	slot, err := strconv.Atoi(n)
-	if err != nil || to == "" {
+// applyRedirection applies a redirection "SLOT HOST:PORT"; an omitted host is that of the server at addr.
+func (p Protocol) applyRedirection(a *engine.Reply, addr, code, rest string) {
+	slotText, target, _ := strings.Cut(rest, " ")
+	slot, err := strconv.Atoi(slotText)
+	if err != nil || target == "" {
 		p.Cluster.RequestRefresh()
 		return
 	}
-	if strings.HasPrefix(to, ":") {
-		to = addr[:strings.LastIndexByte(addr, ':')] + to
+	if strings.HasPrefix(target, ":") {
+		target = addr[:strings.LastIndexByte(addr, ':')] + target
 	}
-	if to == addr { // to itself: it does not know what it says, and a new map may
+	if target == addr { // redirection to itself: not usable, a new map may resolve it
 		p.Cluster.RequestRefresh()
 		return
 	}
 	var owners []uint32
 	ok := false
-	if word == "MOVED" {
-		owners, ok = p.Cluster.HandleMoved(slot, to)
+	if code == "MOVED" {
+		owners, ok = p.Cluster.HandleMoved(slot, target)
 	} else {
-		owners, ok = p.Cluster.HandleAsk(to)
+		owners, ok = p.Cluster.HandleAsk(target)
 	}
 	if ok {
-		a.Owners, a.Asking = owners, word == "ASK"
+		a.Owners, a.Asking = owners, code == "ASK"
 	}
 }
--- a/internal/backend/resp/resp_test.go
+++ b/internal/backend/resp/resp_test.go
@@ -19,17 +19,17 @@
 // fakeTopology notes what a protocol tells its cluster.
 type fakeTopology struct {
 	calls  []string
-	refuse bool
+	reject bool
 }
 
 func (h *fakeTopology) HandleMoved(slot int, addr string) ([]uint32, bool) {
 	h.calls = append(h.calls, fmt.Sprintf("moved %d %s", slot, addr))
-	return []uint32{1}, !h.refuse
+	return []uint32{1}, !h.reject
 }
 
 func (h *fakeTopology) HandleAsk(addr string) ([]uint32, bool) {
 	h.calls = append(h.calls, "asked "+addr)
-	return []uint32{2}, !h.refuse
+	return []uint32{2}, !h.reject
 }
 
 func (h *fakeTopology) RequestRefresh() { h.calls = append(h.calls, "doubt") }
@@ -48,8 +48,8 @@
 
 // With an origin a GET of what a server lacks is a miss, which has not run; all else is the server's own answer.
 func TestMisses(t *testing.T) {
-	long := command("GET", "k")
-	long.Key = strings.Repeat("k", MaxOriginKey+1)
+	longKey := command("GET", "k")
+	longKey.Key = strings.Repeat("k", MaxOriginKey+1)
 	for _, row := range []struct {
 		q      *engine.Request
 		answer string
@@ -58,7 +58,7 @@
 	}{
 		{command("GET", "k"), "$-1", true, decide.Miss}, {command("get", "k"), "_", true, decide.Miss}, {command("GET", "k"), "$-1", false, decide.OK},
 		{command("GET", "k"), "$0\r\n", true, decide.OK}, {command("GETDEL", "k"), "$-1", true, decide.OK}, {command("MGET", "k", "l"), "*2\r\n$-1\r\n$-1", true, decide.OK},
-		{long, "$-1", true, decide.OK}, {&engine.Request{Key: "k"}, "$-1", true, decide.Miss}, {&engine.Request{Key: "k", Write: true}, "$-1", true, decide.OK},
+		{longKey, "$-1", true, decide.OK}, {&engine.Request{Key: "k"}, "$-1", true, decide.Miss}, {&engine.Request{Key: "k", Write: true}, "$-1", true, decide.OK},
 		{command("GET", "k"), "-LOADING x", true, decide.QueueFull},
 	} {
 		a, _, err := Protocol{Cluster: &fakeTopology{}, Origin: row.origin}.Answer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
@@ -175,22 +175,22 @@
 	if err := c.applyMap(slots.Map{Epoch: 1, Ranges: []slots.Range{{From: 0, To: slots.Count - 1, Owner: slots.Owner{Primary: "10.0.0.1:1"}}}}); err != nil {
 		b.Fatal(err)
 	}
-	to := []string{"10.0.0.2:1", "10.0.0.1:1"}
-	c.HandleMoved(0, to[0])
+	targets := []string{"10.0.0.2:1", "10.0.0.1:1"}
+	c.HandleMoved(0, targets[0])
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		c.HandleMoved(i%10000, to[i/10000%2])
+		c.HandleMoved(i%10000, targets[i/10000%2])
 	}
 }
 
 // Each error of a server: whether it has run, what the cluster hears, and who may serve the request now.
 func TestErrorTable(t *testing.T) {
 	for _, row := range []struct {
-		answer string
-		status decide.Status
-		said   string
-		owners int // the owner that is told, 0 = none
-		asking bool
+		answer    string
+		status    decide.Status
+		wantCalls string
+		owners    int // the owner that is told, 0 = none
+		asking    bool
 	}{
 		{"+OK", decide.OK, "", 0, false}, {":7", decide.OK, "", 0, false}, {"$-1", decide.OK, "", 0, false},
 		{"-ERR no such thing", decide.OK, "", 0, false}, {"-WRONGTYPE x", decide.OK, "", 0, false}, {"!5\r\nERR x", decide.OK, "", 0, false},
@@ -204,19 +204,19 @@
 		{"-MISCONF x", decide.QueueFull, "", 0, false}, {"-OOM x", decide.QueueFull, "", 0, false}, {"-NOREPLICAS x", decide.QueueFull, "", 0, false},
 		{"-NOAUTH x", decide.QueueFull, "", 0, false}, {"-WRONGPASS x", decide.QueueFull, "", 0, false}, {"-NOPERM x", decide.QueueFull, "", 0, false},
 	} {
-		for _, refuse := range []bool{false, true} {
-			h := &fakeTopology{refuse: refuse}
+		for _, reject := range []bool{false, true} {
+			h := &fakeTopology{reject: reject}
 			a, last, err := Protocol{Cluster: h}.Answer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", command("INCR", "k"), engine.Try{})
 			owners := 0
 			if len(a.Owners) > 0 {
 				owners = int(a.Owners[0])
 			}
 			want, asking := row.owners, row.asking
-			if refuse { // what is not believed sends a request nowhere
+			if reject { // what is not believed sends a request nowhere
 				want, asking = 0, false
 			}
-			if err != nil || last || a.Status != row.status || strings.Join(h.calls, ";") != row.said || owners != want || a.Asking != asking {
-				t.Errorf("%s (refused %v): %+v, %v; said %q", row.answer, refuse, a, err, h.calls)
+			if err != nil || last || a.Status != row.status || strings.Join(h.calls, ";") != row.wantCalls || owners != want || a.Asking != asking {
+				t.Errorf("%s (refused %v): %+v, %v; said %q", row.answer, reject, a, err, h.calls)
 			}
 			if (a.Content == nil) != (row.status != decide.OK) {
 				t.Errorf("%s: content %v", row.answer, a.Content)
@@ -283,11 +283,11 @@
 func TestListFollowsTheMap(t *testing.T) {
 	now := 1e12
 	c, lists := newTestCluster(&now)
-	half := func(epoch uint64, a, b string) slots.Map {
+	halves := func(epoch uint64, a, b string) slots.Map {
 		return slots.Map{Epoch: epoch, Ranges: []slots.Range{{From: 0, To: 8191, Owner: slots.Owner{Primary: a}}, {From: 8192, To: 16383, Owner: slots.Owner{Primary: b}}}}
 	}
 	last := func() member.List { return (*lists)[len(*lists)-1] }
-	if err := c.applyMap(half(1, "a:1", "b:1")); err != nil {
+	if err := c.applyMap(halves(1, "a:1", "b:1")); err != nil {
 		t.Fatal(err)
 	}
 	if got := addresses(last()); !slices.Equal(got, []string{"a:1", "b:1"}) || last().Servers[0].Started != 0 || !last().Full {
@@ -311,13 +311,13 @@
 		t.Error("a server that is listed was told of again")
 	}
 	now += 11000
-	if err := c.applyMap(half(2, "a:1", "b:1")); err != nil || slices.Contains(addresses(last()), "c:1") {
+	if err := c.applyMap(halves(2, "a:1", "b:1")); err != nil || slices.Contains(addresses(last()), "c:1") {
 		t.Errorf("no map names it: %v, %v", addresses(last()), err)
 	}
 	if _, ok := c.HandleMoved(3, "nonsense"); ok {
 		t.Error("an address that is none was believed")
 	}
-	if err := c.applyMap(half(1, "x:1", "x:1")); err == nil || !slices.Equal(c.Owners(3, true), []uint32{serverID("a:1")}) {
+	if err := c.applyMap(halves(1, "x:1", "x:1")); err == nil || !slices.Equal(c.Owners(3, true), []uint32{serverID("a:1")}) {
 		t.Errorf("an older map: %v", err)
 	}
 	if got := c.Owners(-1, true); got == nil || len(got) != 0 {
--- a/internal/proto/meta/meta.go
+++ b/internal/proto/meta/meta.go
@@ -284,7 +284,7 @@
 	Body        []byte // Done: the value or the receipt
 	CacheResult int    // 1 hit, 2 miss, 3 miss while another fetch of the key is in flight
 	LoadReport  string // the load report, unchanged
-	UnreadBytes int    // Done: length of a value that is still unread, as is its line end; 0 = Body is the value
+	UnreadBytes int    // Done: length of the unread value, without its unread line end; 0 = Body is the value
 }
 
 // answerPrefixes lists the prefixes of valid answers of a cache server.
@@ -341,7 +341,7 @@
 	id, receipt, known := "", "", true
 	switch {
 	case kind == "VA" && c.Verb == "mg":
-		if id, err = answerID(flags[1:]); err == nil && id == c.ID { // else the value belongs to no request and stays unread
+		if id, err = answerID(flags[1:]); err == nil && id == c.ID { // else the value stays unread
 			var n int
 			if n, err = parseLength(flags[0], MaxLongValue); err == nil && n > MaxValue {
 				a.UnreadBytes = n
