--- a/internal/backend/resp/resp_test.go
+++ b/internal/backend/resp/resp_test.go
@@ -16,7 +16,7 @@
 	"mossproxy.example/mossproxy/internal/pure/slots"
 )
 
-// fakeTopology notes what a protocol tells its cluster.
+// fakeTopology records the calls of a Protocol. With reject it rejects all redirections.
 type fakeTopology struct {
 	calls  []string
 	reject bool
@@ -46,7 +46,8 @@
 	return q
 }
 
-// With an origin a GET of what a server lacks is a miss, which has not run; all else is the server's own answer.
+// With an origin, a GET of a key that the server does not hold is a miss, which counts as not run. All other
+// replies are results of the command.
 func TestMisses(t *testing.T) {
 	longKey := command("GET", "k")
 	longKey.Key = strings.Repeat("k", MaxOriginKey+1)
@@ -68,7 +69,7 @@
 	}
 }
 
-// Requests of other fronts: what goes out for them, and what comes back in their terms.
+// Requests of front ends of other protocols are sent as GET and SET, and the replies are converted for them.
 func TestRequestsOfOtherFronts(t *testing.T) {
 	read, write := &engine.Request{Key: "k"}, &engine.Request{Key: "k", Value: []byte("v\r\n"), Write: true}
 	p := Protocol{Cluster: &fakeTopology{}}
@@ -85,7 +86,7 @@
 		}
 	}
 	if _, err := p.Command("", &engine.Request{}, engine.Try{}); err == nil {
-		t.Error("a request without a key has a command")
+		t.Error("no error for a request without a key")
 	}
 	for _, row := range []struct {
 		q              *engine.Request
@@ -102,7 +103,7 @@
 	}
 }
 
-// A redirection changes the owner of its one slot for those who read, and no other's.
+// A MOVED redirection changes the published owner of its slot and of no other slot.
 func TestMovedChangesOneSlot(t *testing.T) {
 	now := 1000.0
 	c := NewCluster(Config{Now: func() float64 { return now }, Log: t.Logf})
@@ -110,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if _, ok := c.HandleMoved(7, "10.0.0.2:1"); !ok {
-		t.Fatal("not believed")
+		t.Fatal("redirection rejected")
 	}
 	for s := range slots.Count {
 		want := "10.0.0.1:1"
@@ -123,7 +124,7 @@
 	}
 }
 
-// fragmentedSlots is the answer to CLUSTER SLOTS of a cluster whose every slot is a run of its own.
+// fragmentedSlots returns a reply to CLUSTER SLOTS with n ranges of one slot each.
 func fragmentedSlots(n int) []byte {
 	b := resp.AppendArrayHeader(nil, n)
 	for s := range n {
@@ -136,23 +137,23 @@
 	return b
 }
 
-// The map of a cluster whose slots lie scattered is megabytes, and read all the same; a longer one than there are slots is
-// not, nor one that breaks off.
+// The slot map of a cluster with fragmented slots has megabytes and must be accepted. A map with more ranges
+// than slots, or a truncated or malformed one, is rejected.
 func TestScatteredMap(t *testing.T) {
 	text := fragmentedSlots(slots.Count)
 	got, err := readRanges(resp.NewReader(bufio.NewReaderSize(bytes.NewReader(text), resp.MaxLine)), "x:1")
 	if err != nil || len(got) != slots.Count || got[9].Primary != "10.0.9.0:7000" || len(got[9].Replicas) != 3 {
-		t.Fatalf("%d bytes: %d runs, %v", len(text), len(got), err)
+		t.Fatalf("%d bytes: %d ranges, %v", len(text), len(got), err)
 	}
 	for name, bad := range map[string][]byte{"too many": fragmentedSlots(slots.Count + 1), "cut": text[:len(text)/2], "no array": []byte("-ERR no\r\n"),
 		"null": []byte("*-1\r\n"), "empty": nil, "a long run": append([]byte("*1\r\n*2000000\r\n"), text...)} {
 		if _, err := readRanges(resp.NewReader(bufio.NewReaderSize(bytes.NewReader(bad), resp.MaxLine)), "x:1"); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// BenchmarkScatteredMap is what the largest map costs.
+// BenchmarkScatteredMap measures reading and applying the largest slot map.
 func BenchmarkScatteredMap(b *testing.B) {
 	text, now := fragmentedSlots(slots.Count), 1000.0
 	c, _ := newTestCluster(&now)
@@ -168,7 +169,7 @@
 	}
 }
 
-// BenchmarkMoved is what a redirection costs the one that brings it, while a thousand slots move.
+// BenchmarkMoved measures HandleMoved during the migration of 10000 slots.
 func BenchmarkMoved(b *testing.B) {
 	now := 1000.0
 	c := NewCluster(Config{Now: func() float64 { now += 0.5; return now }, Log: b.Logf})
@@ -183,19 +184,19 @@
 	}
 }
 
-// Each error of a server: whether it has run, what the cluster hears, and who may serve the request now.
+// For each reply of a server: the status of the attempt, the calls to the Topology, and the new owners.
 func TestErrorTable(t *testing.T) {
 	for _, row := range []struct {
 		answer    string
 		status    decide.Status
 		wantCalls string
-		owners    int // the owner that is told, 0 = none
+		owners    int // the returned owner, 0 = none
 		asking    bool
 	}{
 		{"+OK", decide.OK, "", 0, false}, {":7", decide.OK, "", 0, false}, {"$-1", decide.OK, "", 0, false},
 		{"-ERR no such thing", decide.OK, "", 0, false}, {"-WRONGTYPE x", decide.OK, "", 0, false}, {"!5\r\nERR x", decide.OK, "", 0, false},
 		{"-MOVED 7 10.0.0.2:7000", decide.Ignored, "moved 7 10.0.0.2:7000", 1, false},
-		{"-MOVED 7 :7001", decide.Ignored, "moved 7 10.0.0.1:7001", 1, false}, // a host that is left out is the server's own
+		{"-MOVED 7 :7001", decide.Ignored, "moved 7 10.0.0.1:7001", 1, false}, // omitted host
 		{"-MOVED 7 10.0.0.1:7000", decide.Ignored, "doubt", 0, false},         // to itself
 		{"-MOVED x 10.0.0.2:7000", decide.Ignored, "doubt", 0, false}, {"-MOVED", decide.Ignored, "doubt", 0, false}, {"-MOVED 7", decide.Ignored, "doubt", 0, false},
 		{"-ASK 7 10.0.0.2:7000", decide.Ignored, "asked 10.0.0.2:7000", 2, true}, {"-ASK 7 10.0.0.1:7000", decide.Ignored, "doubt", 0, false},
@@ -212,32 +213,33 @@
 				owners = int(a.Owners[0])
 			}
 			want, asking := row.owners, row.asking
-			if reject { // what is not believed sends a request nowhere
+			if reject { // a rejected redirection must not change the owners
 				want, asking = 0, false
 			}
 			if err != nil || last || a.Status != row.status || strings.Join(h.calls, ";") != row.wantCalls || owners != want || a.Asking != asking {
-				t.Errorf("%s (refused %v): %+v, %v; said %q", row.answer, reject, a, err, h.calls)
+				t.Errorf("%s (rejected %v): %+v, %v; calls %q", row.answer, reject, a, err, h.calls)
 			}
 			if (a.Content == nil) != (row.status != decide.OK) {
 				t.Errorf("%s: content %v", row.answer, a.Content)
 			}
 			if row.status != decide.OK && !row.status.NeverRan() {
-				t.Errorf("%s: does not prove that it has not run", row.answer)
+				t.Errorf("%s: status does not prove that the command did not run", row.answer)
 			}
 		}
 	}
 }
 
-// An answer that breaks off, or is none, is an error: the attempt has run.
+// A truncated or malformed reply is an error that closes the connection; the attempt counts as run.
 func TestSpoiltAnswers(t *testing.T) {
 	for _, text := range []string{"", "$5\r\nab", "hello\r\n", "*2\r\n+a\r\n", "$99999999\r\n"} {
 		if _, last, err := (Protocol{Cluster: &fakeTopology{}}).Answer(newInput(text), "a:1", &engine.Request{}, engine.Try{}); err == nil || !last {
-			t.Errorf("%q passed", text)
+			t.Errorf("%q accepted", text)
 		}
 	}
 }
 
-// ASKING goes ahead of the command in the same write, and its own answer is passed over, as are those to Open and news.
+// ASKING precedes the command in the same write. The replies to ASKING and to the commands of Open are
+// skipped, and so are push messages.
 func TestAheadOfTheCommand(t *testing.T) {
 	p := Protocol{Cluster: &fakeTopology{}, User: "u", Password: "p", Replicas: true}
 	r := &engine.Request{Args: [][]byte{[]byte("GET"), []byte("k")}}
@@ -257,13 +259,14 @@
 		t.Errorf("%+v, %v", a, err)
 	}
 	if _, err := p.Command("a:1", &engine.Request{}, engine.Try{}); err == nil {
-		t.Error("a request without a command was written")
+		t.Error("no error for a request without a command")
 	}
 	if _, err := b.ReadByte(); err != io.EOF {
-		t.Error("something is left")
+		t.Error("unread input remains")
 	}
 }
 
+// newTestCluster returns a cluster with the clock *now, and the lists of servers that it publishes.
 func newTestCluster(now *float64) (*Cluster, *[]member.List) {
 	c := NewCluster(Config{Seeds: []string{"s:1"}, Site: "a", Now: func() float64 { return *now }, Log: func(string, ...any) {}})
 	lists := &[]member.List{}
@@ -278,8 +281,8 @@
 	return out
 }
 
-// The list follows maps and redirections: a server that a redirection names is told of before it is needed, and goes again
-// if no map ever names it.
+// The list of servers follows maps and redirections. A server that only a redirection names is published at
+// once, and removed if no map lists it within 10 s.
 func TestListFollowsTheMap(t *testing.T) {
 	now := 1e12
 	c, lists := newTestCluster(&now)
@@ -299,33 +302,33 @@
 	now += 1000
 	owners, ok := c.HandleMoved(3, "c:1")
 	if got := addresses(last()); !ok || !slices.Equal(owners, []uint32{serverID("c:1")}) || !slices.Equal(got, []string{"a:1", "b:1", "c:1"}) {
-		t.Errorf("moved to one that is not listed: %v, list %v", owners, got)
+		t.Errorf("redirection to an unlisted server: owners %v, list %v", owners, got)
 	}
 	if !slices.Equal(c.Owners(3, false), owners) || !slices.Equal(c.Owners(4, false), []uint32{serverID("a:1")}) {
-		t.Error("the redirection is not in use, or moved its neighbours")
+		t.Error("redirection not applied, or applied to other slots")
 	}
 	n := len(*lists)
 	c.HandleAsk("c:1")
 	c.HandleMoved(5, "c:1")
 	if len(*lists) != n {
-		t.Error("a server that is listed was told of again")
+		t.Error("list published again for a listed server")
 	}
 	now += 11000
 	if err := c.applyMap(halves(2, "a:1", "b:1")); err != nil || slices.Contains(addresses(last()), "c:1") {
-		t.Errorf("no map names it: %v, %v", addresses(last()), err)
+		t.Errorf("server that no map lists was kept: %v, %v", addresses(last()), err)
 	}
 	if _, ok := c.HandleMoved(3, "nonsense"); ok {
-		t.Error("an address that is none was believed")
+		t.Error("invalid address accepted")
 	}
 	if err := c.applyMap(halves(1, "x:1", "x:1")); err == nil || !slices.Equal(c.Owners(3, true), []uint32{serverID("a:1")}) {
-		t.Errorf("an older map: %v", err)
+		t.Errorf("older map accepted: %v", err)
 	}
 	if got := c.Owners(-1, true); got == nil || len(got) != 0 {
-		t.Errorf("no slot: %v", got)
+		t.Errorf("owners of an invalid slot: %v", got)
 	}
 }
 
-// What redirections name is bounded.
+// Redirections can't add more than maxNodes servers.
 func TestServersAreBounded(t *testing.T) {
 	now := 1e12
 	c, lists := newTestCluster(&now)
@@ -337,7 +340,7 @@
 	}
 }
 
-// Replicas serve reads where the pool allows it, and no writes.
+// Replicas serve reads if the pool allows it, and never writes.
 func TestReplicas(t *testing.T) {
 	now := 1e12
 	c, _ := newTestCluster(&now)
@@ -350,7 +353,7 @@
 	}
 }
 
-// Whatever a server says of the cluster, reading it ends, and what is taken names slots that are there.
+// Reading any reply to CLUSTER INFO and CLUSTER SLOTS terminates, and an accepted map yields servers.
 func FuzzReadMap(f *testing.F) {
 	f.Add([]byte("$25\r\ncluster_current_epoch:3\r\n\r\n*1\r\n*3\r\n:0\r\n:16383\r\n*2\r\n$0\r\n\r\n:7000\r\n"))
 	f.Add([]byte("-ERR x\r\n*1\r\n*2\r\n:0\r\n:1\r\n"))
@@ -370,7 +373,7 @@
 		now := 1.0
 		c, _ := newTestCluster(&now)
 		if c.applyMap(m) == nil && len(c.nodes) == 0 {
-			t.Errorf("a map without servers was taken: %+v", m)
+			t.Errorf("map without servers accepted: %+v", m)
 		}
 	})
 }
--- a/internal/proto/meta/meta.go
+++ b/internal/proto/meta/meta.go
@@ -284,7 +284,7 @@
 	Body        []byte // Done: the value or the receipt
 	CacheResult int    // 1 hit, 2 miss, 3 miss while another fetch of the key is in flight
 	LoadReport  string // the load report, unchanged
-	UnreadBytes int    // Done: length of the unread value, without its unread line end; 0 = Body is the value
+	UnreadBytes int    // Done: length of a value left unread, as is its line end; 0 = Body is the value
 }
 
 // answerPrefixes lists the prefixes of valid answers of a cache server.
--- a/internal/proto/meta/meta_test.go
+++ b/internal/proto/meta/meta_test.go
@@ -16,7 +16,7 @@
 		got.Value, err = ReadValue(r, got.Length, false)
 	}
 	want := Command{Verb: "ms", Length: 3, IdempotencyKey: "7", Key: "7f3a9c21e0b4d655", ID: "a1", Facts: "c=put,t=acme,d=480.5,k=7,r=1,h=52000,size=3,zz=1",
-		Value: []byte("abc"), Class: "put", Tenant: "acme", Wait: 480.5, Hint: 52, Size: 3, Retry: true} // h is in microseconds
+		Value: []byte("abc"), Class: "put", Tenant: "acme", Wait: 480.5, Hint: 52, Size: 3, Retry: true} // h is in µs
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, %v", got, err)
 	}
@@ -41,7 +41,7 @@
 		}
 		again, err := read(c.Append(nil, c.Wait))
 		if err != nil || again.Key != c.Key || again.ID != c.ID || !bytes.Equal(again.Value, c.Value) {
-			t.Errorf("%q came back as %+v, %v", in, again, err)
+			t.Errorf("%q read back as %+v, %v", in, again, err)
 		}
 	})
 }
@@ -59,6 +59,6 @@
 		if a, err := ReadAnswer(bufio.NewReaderSize(bytes.NewReader(in), MaxLine), c); err == nil && len(a.Body) > MaxValue {
 			t.Errorf("%d bytes of %q", len(a.Body), in)
 		}
-		ReadStats(bufio.NewReaderSize(bytes.NewReader(in), MaxLine)) //nolint:errcheck // it must end
+		ReadStats(bufio.NewReaderSize(bytes.NewReader(in), MaxLine)) //nolint:errcheck // it only must terminate
 	})
 }
--- a/internal/proto/resp/resp_test.go
+++ b/internal/proto/resp/resp_test.go
@@ -30,11 +30,12 @@
 		}
 	}
 	if err := r.ReadCommand(c); err != io.EOF {
-		t.Errorf("then %v", err)
+		t.Errorf("at the end of input: %v, want EOF", err)
 	}
 }
 
-// Lengths that are negative, huge or cut, and whatever else a command can't be.
+// Commands with invalid or excessive lengths, and truncated or malformed ones, are rejected with the right
+// error.
 func TestBadCommands(t *testing.T) {
 	for in, want := range map[string]string{
 		"*2\r\n$-1\r\n": "invalid length", "*-2\r\n": "invalid length", "*1025\r\n": "at most 1024", "*99999999999999\r\n": "invalid length",
@@ -118,13 +119,13 @@
 			wire := AppendReply(nil, &a, 3)
 			b, err := NewReader(bufio.NewReaderSize(bytes.NewReader(wire), MaxLine)).ReadReply()
 			if err != nil || !bytes.Equal(wire, AppendReply(nil, &b, 3)) {
-				t.Fatalf("%q came back otherwise: %v", wire, err)
+				t.Fatalf("%q is not stable under a round trip: %v", wire, err)
 			}
 		}
 	})
 }
 
-// repeatingReader gives the same text again and again.
+// repeatingReader returns the same text in an endless loop.
 type repeatingReader struct {
 	text []byte
 	at   int
@@ -136,7 +137,7 @@
 	return n, nil
 }
 
-// BenchmarkReadCommand gives time and allocations of a SET of 100 bytes. The allocations are the aim: none.
+// BenchmarkReadCommand measures reading a SET of 100 bytes, which should not allocate.
 func BenchmarkReadCommand(b *testing.B) {
 	wire := AppendCommand(nil, []byte("SET"), []byte("container:7f3a9c21e0b4d655"), bytes.Repeat([]byte("v"), 100))
 	r, c := NewReader(bufio.NewReaderSize(&repeatingReader{text: wire}, MaxLine)), new(Command)
