--- a/internal/backend/resp/resp_test.go
+++ b/internal/backend/resp/resp_test.go
@@ -139,7 +139,7 @@
 
 // The slot map of a cluster with fragmented slots has megabytes and must be accepted. A map with more ranges
 // than slots, or a truncated or malformed one, is rejected.
-func TestScatteredMap(t *testing.T) {
+func TestFragmentedSlotMap(t *testing.T) {
 	text := fragmentedSlots(slots.Count)
 	got, err := readRanges(resp.NewReader(bufio.NewReaderSize(bytes.NewReader(text), resp.MaxLine)), "x:1")
 	if err != nil || len(got) != slots.Count || got[9].Primary != "10.0.9.0:7000" || len(got[9].Replicas) != 3 {
@@ -153,8 +153,8 @@
 	}
 }
 
-// BenchmarkScatteredMap measures reading and applying the largest slot map.
-func BenchmarkScatteredMap(b *testing.B) {
+// BenchmarkFragmentedSlotMap measures reading and applying the largest slot map.
+func BenchmarkFragmentedSlotMap(b *testing.B) {
 	text, now := fragmentedSlots(slots.Count), 1000.0
 	c, _ := newTestCluster(&now)
 	b.ReportAllocs()
@@ -230,7 +230,7 @@
 }
 
 // A truncated or malformed reply is an error that closes the connection; the attempt counts as run.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedAnswers(t *testing.T) {
 	for _, text := range []string{"", "$5\r\nab", "hello\r\n", "*2\r\n+a\r\n", "$99999999\r\n"} {
 		if _, last, err := (Protocol{Cluster: &fakeTopology{}}).Answer(newInput(text), "a:1", &engine.Request{}, engine.Try{}); err == nil || !last {
 			t.Errorf("%q accepted", text)
@@ -240,7 +240,7 @@
 
 // ASKING precedes the command in the same write. The replies to ASKING and to the commands of Open are
 // skipped, and so are push messages.
-func TestAheadOfTheCommand(t *testing.T) {
+func TestCommandPreamble(t *testing.T) {
 	p := Protocol{Cluster: &fakeTopology{}, User: "u", Password: "p", Replicas: true}
 	r := &engine.Request{Args: [][]byte{[]byte("GET"), []byte("k")}}
 	wire, err := p.Command("a:1", r, engine.Try{Asking: true})
