--- a/internal/backend/resp/cluster.go
+++ b/internal/backend/resp/cluster.go
@@ -112,7 +112,7 @@
 		return nil, false
 	}
 	o, _ := c.table.Owner(slot)
-	c.ownersBySlot[slot].Store(c.resolveOwners(&o)) // migrations cause thousands of redirections
+	c.ownersBySlot[slot].Store(c.resolveOwners(&o)) // one slot: migrations redirect by thousands
 	return []uint32{serverID(addr)}, true
 }
 
--- a/internal/proto/meta/meta.go
+++ b/internal/proto/meta/meta.go
@@ -341,7 +341,7 @@
 	id, receipt, known := "", "", true
 	switch {
 	case kind == "VA" && c.Verb == "mg":
-		if id, err = answerID(flags[1:]); err == nil && id == c.ID { // else the value stays unread
+		if id, err = answerID(flags[1:]); err == nil && id == c.ID { // else unread: for no request
 			var n int
 			if n, err = parseLength(flags[0], MaxLongValue); err == nil && n > MaxValue {
 				a.UnreadBytes = n
