--- a/internal/backend/resp/cluster.go
+++ b/internal/backend/resp/cluster.go
@@ -108,7 +108,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer c.RequestRefresh()
-	if !c.ensureListed(addr) || !c.table.Moved(c.cfg.Now(), slot, addr) {
+	if !c.ensureListed(addr) || !c.table.ApplyRedirect(c.cfg.Now(), slot, addr) {
 		return nil, false
 	}
 	o, _ := c.table.Owner(slot)
@@ -243,16 +243,16 @@
 	}
 	defer tcpConn.Close()
 	defer context.AfterFunc(ctx, func() { tcpConn.Close() })()
-	conn, err := backend.Over(ctx, tcpConn, c.cfg.TLS, addr)
+	conn, err := backend.WrapTLS(ctx, tcpConn, c.cfg.TLS, addr)
 	if err != nil {
 		return m, err
 	}
 	p := c.cfg.Protocol
-	if _, err := conn.Write(resp.AppendCommand(p.Open(), []byte("CLUSTER"), []byte("INFO"))); err != nil {
+	if _, err := conn.Write(resp.AppendCommand(p.Preamble(), []byte("CLUSTER"), []byte("INFO"))); err != nil {
 		return m, err
 	}
 	input := bufio.NewReaderSize(conn, resp.MaxLine)
-	if err := p.Opened(input); err != nil {
+	if err := p.ReadPreambleReply(input); err != nil {
 		return m, err
 	}
 	r := resp.NewReader(input)
@@ -352,9 +352,9 @@
 func (c *Cluster) applyMap(m slots.Map) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	change := c.table.Full(c.cfg.Now(), m)
-	if change.Refused != "" {
-		return errors.New(change.Refused)
+	change := c.table.ApplyMap(c.cfg.Now(), m)
+	if change.RejectReason != "" {
+		return errors.New(change.RejectReason)
 	}
 	seen := map[string]bool{}
 	for _, r := range m.Ranges {
@@ -392,8 +392,8 @@
 			changed = true
 		}
 	}
-	if change.Slots > 0 || change.Clashes > 0 || change.Gaps > 0 && first {
-		c.cfg.Log("cluster: map of epoch %d: %d slots changed owner, %d have no owner, %d have conflicting owners", m.Epoch, change.Slots, change.Gaps, change.Clashes)
+	if change.ChangedSlots > 0 || change.Conflicts > 0 || change.Gaps > 0 && first {
+		c.cfg.Log("cluster: map of epoch %d: %d slots changed owner, %d have no owner, %d have conflicting owners", m.Epoch, change.ChangedSlots, change.Gaps, change.Conflicts)
 	}
 	c.publishOwners() // before the list of servers, which makes the router ready
 	if changed {
--- a/internal/backend/resp/protocol.go
+++ b/internal/backend/resp/protocol.go
@@ -93,7 +93,7 @@
 
 // Open returns the commands that start a connection: authentication, and READONLY if replicas may serve
 // reads.
-func (p Protocol) Open() (b []byte) {
+func (p Protocol) Preamble() (b []byte) {
 	if p.Password != "" {
 		args := [][]byte{[]byte("AUTH")}
 		if p.User != "" {
@@ -109,7 +109,7 @@
 
 // Opened reads the replies to the commands of Open. It ignores error replies, because the command that
 // follows then fails as well.
-func (p Protocol) Opened(in *bufio.Reader) error {
+func (p Protocol) ReadPreambleReply(in *bufio.Reader) error {
 	n := 0
 	if p.Password != "" {
 		n++
@@ -127,7 +127,7 @@
 
 // Answer reads the reply to a command and maps it to the outcome of the attempt. An error means that the
 // connection can't be used any more.
-func (p Protocol) Answer(in *bufio.Reader, addr string, q *engine.Request, try engine.Try) (engine.Reply, bool, error) {
+func (p Protocol) ReadAnswer(in *bufio.Reader, addr string, q *engine.Request, try engine.Try) (engine.Reply, bool, error) {
 	r := resp.NewReader(in)
 	if try.Asking {
 		if _, err := r.ReadReply(); err != nil {
@@ -159,11 +159,11 @@
 func (Protocol) Probe(string) string { return "" }
 
 // Load is never called, since Probe returns "".
-func (Protocol) Load(*bufio.Reader) (decide.Load, error) { return decide.NoLoad, nil }
+func (Protocol) ReadLoad(*bufio.Reader) (decide.Load, error) { return decide.NoLoad, nil }
 
 // Rest returns 0: a server sends one reply per command, and an extra one is detected as input on an idle
 // connection.
-func (Protocol) Rest() time.Duration { return 0 }
+func (Protocol) ReuseDelay() time.Duration { return 0 }
 
 // errorOutcome is the meaning of an error reply.
 type errorOutcome struct {
--- a/internal/backend/resp/resp_test.go
+++ b/internal/backend/resp/resp_test.go
@@ -62,7 +62,7 @@
 		{longKey, "$-1", true, decide.OK}, {&engine.Request{Key: "k"}, "$-1", true, decide.Miss}, {&engine.Request{Key: "k", Write: true}, "$-1", true, decide.OK},
 		{command("GET", "k"), "-LOADING x", true, decide.QueueFull},
 	} {
-		a, _, err := Protocol{Cluster: &fakeTopology{}, Origin: row.origin}.Answer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
+		a, _, err := Protocol{Cluster: &fakeTopology{}, Origin: row.origin}.ReadAnswer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
 		if err != nil || a.Status != row.want || a.Status == decide.Miss && (a.Content != nil || a.CacheResult != 2) {
 			t.Errorf("%q %q: %+v, %v", row.q.Args, row.answer, a, err)
 		}
@@ -96,7 +96,7 @@
 		{read, "$1\r\nx", "x", false, false}, {read, "$0\r\n", "", false, false}, {read, "$-1", "", true, false}, {write, "+OK", "OK", false, false},
 		{read, "-WRONGTYPE x", "", false, true}, {write, "-ERR x", "", false, true}, {read, ":7", "", false, true}, {write, "$-1", "", false, true},
 	} {
-		a, _, err := p.Answer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
+		a, _, err := p.ReadAnswer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
 		if err != nil || a.Status != decide.OK || string(a.Body) != row.body || a.Absent != row.absent || (a.Content != nil) != row.failed {
 			t.Errorf("%q: %+v, %v", row.answer, a, err)
 		}
@@ -207,7 +207,7 @@
 	} {
 		for _, reject := range []bool{false, true} {
 			h := &fakeTopology{reject: reject}
-			a, last, err := Protocol{Cluster: h}.Answer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", command("INCR", "k"), engine.Try{})
+			a, last, err := Protocol{Cluster: h}.ReadAnswer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", command("INCR", "k"), engine.Try{})
 			owners := 0
 			if len(a.Owners) > 0 {
 				owners = int(a.Owners[0])
@@ -232,7 +232,7 @@
 // A truncated or malformed reply is an error that closes the connection; the attempt counts as run.
 func TestMalformedAnswers(t *testing.T) {
 	for _, text := range []string{"", "$5\r\nab", "hello\r\n", "*2\r\n+a\r\n", "$99999999\r\n"} {
-		if _, last, err := (Protocol{Cluster: &fakeTopology{}}).Answer(newInput(text), "a:1", &engine.Request{}, engine.Try{}); err == nil || !last {
+		if _, last, err := (Protocol{Cluster: &fakeTopology{}}).ReadAnswer(newInput(text), "a:1", &engine.Request{}, engine.Try{}); err == nil || !last {
 			t.Errorf("%q accepted", text)
 		}
 	}
@@ -247,14 +247,14 @@
 	if want := "*1\r\n$6\r\nASKING\r\n*2\r\n$3\r\nGET\r\n$1\r\nk\r\n"; err != nil || string(wire) != want {
 		t.Errorf("%q, %v", wire, err)
 	}
-	if got, want := string(p.Open()), "*3\r\n$4\r\nAUTH\r\n$1\r\nu\r\n$1\r\np\r\n*1\r\n$8\r\nREADONLY\r\n"; got != want {
+	if got, want := string(p.Preamble()), "*3\r\n$4\r\nAUTH\r\n$1\r\nu\r\n$1\r\np\r\n*1\r\n$8\r\nREADONLY\r\n"; got != want {
 		t.Errorf("%q", got)
 	}
 	b := newInput("+OK\r\n-ERR no\r\n+OK\r\n>1\r\n+news\r\n$1\r\nv\r\n")
-	if err := p.Opened(b); err != nil {
+	if err := p.ReadPreambleReply(b); err != nil {
 		t.Error(err)
 	}
-	a, _, err := p.Answer(b, "a:1", r, engine.Try{Asking: true})
+	a, _, err := p.ReadAnswer(b, "a:1", r, engine.Try{Asking: true})
 	if got, ok := a.Content.(*resp.Reply); err != nil || !ok || string(got.Text) != "v" {
 		t.Errorf("%+v, %v", a, err)
 	}
--- a/internal/service/platform_test.go
+++ b/internal/service/platform_test.go
@@ -140,7 +140,7 @@
 			var in *bufio.Reader
 			for n := 0; ctx.Err() == nil; n++ {
 				time.Sleep(time.Millisecond)
-				if conn != nil && !sock.Quiet(conn) {
+				if conn != nil && !sock.IsIdle(conn) {
 					conn.Close()
 					conn = nil
 				}
@@ -316,7 +316,7 @@
 func TestNewProcessStartsByItself(t *testing.T) {
 	s := newSite(t, standintest.Hit)
 	s.start()
-	path := handover.Path(os.TempDir(), s.listen)
+	path := handover.SocketPath(os.TempDir(), s.listen)
 	standintest.Until(t, "the socket", func() bool { _, err := os.Stat(path); return err == nil })
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -144,7 +144,7 @@
 		return 0
 	}
 	for k, v := range from.data {
-		if slots.Of([]byte(k)) != slot {
+		if slots.ForKey([]byte(k)) != slot {
 			continue
 		}
 		if n > 0 {
@@ -221,7 +221,7 @@
 // give hands the keys of a slot to another node. The caller holds mu.
 func (n *Node) give(slot int, to *Node) {
 	for k, v := range n.data {
-		if slots.Of([]byte(k)) == slot {
+		if slots.ForKey([]byte(k)) == slot {
 			to.data[k] = v
 			delete(n.data, k)
 		}
@@ -332,7 +332,7 @@
 	}, nil)
 	view := c.newest().view
 	for k, v := range n.data {
-		view[slots.Of([]byte(k))].data[k] = v
+		view[slots.ForKey([]byte(k))].data[k] = v
 		delete(n.data, k)
 	}
 	clear(n.migrating)
@@ -496,9 +496,9 @@
 	if len(keys) == 0 {
 		return ""
 	}
-	slot := slots.Of([]byte(keys[0]))
+	slot := slots.ForKey([]byte(keys[0]))
 	for _, k := range keys[1:] {
-		if slots.Of([]byte(k)) != slot {
+		if slots.ForKey([]byte(k)) != slot {
 			return "CROSSSLOT Keys in request don't hash to the same slot"
 		}
 	}
