--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -22,7 +22,7 @@
 }
 
 // FleetReserve are the descriptors that the fleet's sockets and streams may hold.
-const FleetReserve = fleet.Descriptors
+const FleetReserve = fleet.MaxDescriptors
 
 type fleetKeys struct {
 	Listen    string   `toml:"listen"`
@@ -55,8 +55,8 @@
 	} else {
 		c.reachable("fleet.listen", k.Listen, out.Key)
 	}
-	if len(k.Join) > fleet.MaxJoin {
-		c.bad("fleet.join", "%d addresses; %d are the most: a few members are enough", len(k.Join), fleet.MaxJoin)
+	if len(k.Join) > fleet.MaxJoinAddrs {
+		c.bad("fleet.join", "%d addresses; %d are the most: a few members are enough", len(k.Join), fleet.MaxJoinAddrs)
 	}
 	for _, a := range k.Join {
 		c.address("fleet.join", a, false)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,10 +16,10 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-const wait = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// running is a Fleet that runs until the test ends.
-type running struct {
+// testFleet is a Fleet that runs until the test ends.
+type testFleet struct {
 	*Fleet
 	mu    sync.Mutex
 	tiers []Tier
@@ -27,7 +27,7 @@
 	ended chan error
 }
 
-func (r *running) last() (t Tier) {
+func (r *testFleet) last() (t Tier) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.tiers) > 0 {
@@ -36,13 +36,13 @@
 	return t
 }
 
-func run(t *testing.T, cfg Config) *running {
+func run(t *testing.T, cfg Config) *testFleet {
 	t.Helper()
-	r := &running{ended: make(chan error, 1)}
+	r := &testFleet{ended: make(chan error, 1)}
 	if cfg.Listen == "" {
 		cfg.Listen = "127.0.0.1:0"
 	}
-	cfg.Tier = func(now Tier) {
+	cfg.TierChanged = func(now Tier) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.tiers = append(r.tiers, now)
@@ -61,7 +61,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-		case <-time.After(wait):
+		case <-time.After(testTimeout):
 			t.Error("it does not end")
 		}
 	})
@@ -71,14 +71,14 @@
 // until looks again and again.
 func until(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(wait); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-func (r *running) states(t *testing.T) string {
+func (r *testFleet) states(t *testing.T) string {
 	t.Helper()
 	v, err := r.View(t.Context())
 	if err != nil {
@@ -97,7 +97,7 @@
 	a := run(t, Config{Name: "a", Key: key})
 	b := run(t, Config{Name: "b", Key: key, Join: []string{a.Addr()}})
 	c := run(t, Config{Name: "c", Key: key, Join: []string{a.Addr()}})
-	for _, r := range []*running{a, b, c} {
+	for _, r := range []*testFleet{a, b, c} {
 		until(t, "all know all", func() bool { return r.states(t) == "a alive, b alive, c alive" })
 		until(t, "a third each", func() bool { return r.last().Parts == 3 && r.last().Routers == 3 && !r.last().Until.IsZero() })
 	}
@@ -106,7 +106,7 @@
 		t.Error(err)
 	}
 	c.ended <- nil
-	for _, r := range []*running{a, b} {
+	for _, r := range []*testFleet{a, b} {
 		until(t, "it has left", func() bool { return r.states(t) == "a alive, b alive, c left" })
 		until(t, "a half each", func() bool { return r.last().Parts == 2 })
 	}
@@ -122,9 +122,9 @@
 	until(t, "two know each other", func() bool { return a.states(t) == "a alive, b alive" })
 	until(t, "messages of strangers are refused", func() bool {
 		v, err := a.View(t.Context())
-		return err == nil && v.Figures.Refused >= 10
+		return err == nil && v.Counters.Refused >= 10
 	})
-	for r, want := range map[*running]string{a: "a alive, b alive", b: "a alive, b alive", wrong: "wrong joining", none: "none joining"} {
+	for r, want := range map[*testFleet]string{a: "a alive, b alive", b: "a alive, b alive", wrong: "wrong joining", none: "none joining"} {
 		if got := r.states(t); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
@@ -174,17 +174,17 @@
 
 // A process alone with no address to join by has what it was told to expect, after a while; other addresses to join by count at once.
 func TestAloneAndThenNot(t *testing.T) {
-	a := run(t, Config{Name: "a", Expected: 6})
+	a := run(t, Config{Name: "a", ExpectedRouters: 6})
 	if got := a.last(); got.Parts != 0 && got.Parts != fleet.NoShare {
 		t.Errorf("at first it has one of %v parts", got.Parts)
 	}
 	until(t, "a sixth", func() bool { return a.last().Parts == 6 && a.last().Until.IsZero() })
 	b := run(t, Config{Name: "b"})
-	if err := b.Rejoin(t.Context(), []string{a.Addr()}); err != nil {
+	if err := b.SetJoinAddrs(t.Context(), []string{a.Addr()}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "half each", func() bool { return a.last().Parts == 2 && b.last().Parts == 2 })
-	if err := b.Rejoin(t.Context(), []string{"nowhere"}); err == nil {
+	if err := b.SetJoinAddrs(t.Context(), []string{"nowhere"}); err == nil {
 		t.Error("an address that is none is taken")
 	}
 }
@@ -207,19 +207,19 @@
 }
 
 func TestChangesAreLoggedAtABoundedRate(t *testing.T) {
-	var b budget
+	var b logLimiter
 	now := time.Now()
-	b.turn(now)
+	b.nextWindow(now)
 	n := 0
 	for range 100 {
-		if b.take(changesRate) {
+		if b.allow(maxChangeLogsPerSecond) {
 			n++
 		}
 	}
-	if n != changesRate || b.over != 80 {
-		t.Errorf("%d lines, %d left out", n, b.over)
+	if n != maxChangeLogsPerSecond || b.suppressed != 80 {
+		t.Errorf("%d lines, %d left out", n, b.suppressed)
 	}
-	if b.turn(now.Add(2 * time.Second)); !b.take(changesRate) {
+	if b.nextWindow(now.Add(2 * time.Second)); !b.allow(maxChangeLogsPerSecond) {
 		t.Error("another second has no line")
 	}
 }
--- a/internal/fleet/loans.go
+++ b/internal/fleet/loans.go
@@ -12,106 +12,108 @@
 
 // The only good is what all routers share as one: cold servers' budgets and fetches.
 const (
-	shared = 0
-	goods  = 1
+	sharedResource = 0
+	numResources   = 1
 )
 
-// rateOver is the time over which work is counted as a rate.
-const rateOver = time.Second
+// rateWindow is the time over which work is counted as a rate.
+const rateWindow = time.Second
 
-// loans are how this router lends its part of what all share, and borrows of the others'. The owner's goroutine alone uses it.
-type loans struct {
-	f       *Fleet
-	q       *quota.Machine
-	peers   []quota.Peer
-	changes uint64 // of the view that peers are of, and one more
-	count   uint64 // of work, at countAt
-	countAt time.Time
-	rate    float64
+// leaseManager are how this router lends its part of what all share, and borrows of the others'. The owner's goroutine alone uses it.
+type leaseManager struct {
+	f            *Fleet
+	machine      *quota.Machine
+	peers        []quota.Peer
+	peersVersion uint64 // of the view that peers are of, and one more
+	lastCount    uint64 // of work, at lastCountAt
+	lastCountAt  time.Time
+	rate         float64
 }
 
-// newLoans is nil where nothing is lent.
-func newLoans(f *Fleet) (*loans, error) {
-	if f.cfg.Work == nil {
+// newLeaseManager is nil where nothing is lent.
+func newLeaseManager(f *Fleet) (*leaseManager, error) {
+	if f.cfg.RequestCount == nil {
 		return nil, nil
 	}
-	l := &loans{f: f}
+	l := &leaseManager{f: f}
 	var err error
-	l.q, err = quota.New(goods, rand.Uint64(), l)
+	l.machine, err = quota.New(numResources, rand.Uint64(), l)
 	return l, err
 }
 
 // Send is quota.Host's.
-func (l *loans) Send(to quota.Peer, m []byte) { l.f.m.SendPayload(l.f.now(), to.Name, to.Start, m) }
+func (l *leaseManager) Send(to quota.Peer, m []byte) {
+	l.f.machine.SendPayload(l.f.now(), to.Name, to.Start, m)
+}
 
-// cargo takes what another router has to say of loans, once the machine that brought it has returned.
-func (l *loans) cargo(from fleet.Record, b []byte) {
+// deliver takes what another router has to say of loans, once the machine that brought it has returned.
+func (l *leaseManager) deliver(from fleet.Record, b []byte) {
 	l.f.post(func() {
-		l.q.UpdateShare(l.f.now(), l.own())
-		if err := l.q.Receive(l.f.now(), quota.Peer{Name: from.Name, Start: from.Start}, b); err != nil {
-			l.f.counts.refused.Add(1)
+		l.machine.UpdateShare(l.f.now(), l.baseShare())
+		if err := l.machine.Receive(l.f.now(), quota.Peer{Name: from.Name, Start: from.Start}, b); err != nil {
+			l.f.counters.rejected.Add(1)
 			slog.Debug("fleet: a word of loans is refused", "from", from.Name, "why", err)
 		}
 	})
 }
 
-// own is what the view gives this router.
-func (l *loans) own() quota.BaseShare {
-	p := l.f.m.Share()
-	return quota.BaseShare{Share: shareOf(p.Routers), Until: p.Until, After: shareOf(p.RoutersAfter)}
+// baseShare is what the view gives this router.
+func (l *leaseManager) baseShare() quota.BaseShare {
+	p := l.f.machine.Share()
+	return quota.BaseShare{Share: shareForRouters(p.Routers), Until: p.Until, After: shareForRouters(p.RoutersAfter)}
 }
 
-// shareOf is one of so many parts; holding is none.
-func shareOf(parts float64) float64 {
+// shareForRouters is one of so many parts; holding is none.
+func shareForRouters(parts float64) float64 {
 	if parts >= fleet.NoShare {
 		return 0
 	}
 	return 1 / parts
 }
 
-// partsOf is how many parts a share is one of.
-func partsOf(share float64) float64 {
+// routersForShare is how many parts a share is one of.
+func routersForShare(share float64) float64 {
 	if share <= 1.0/fleet.NoShare {
 		return fleet.NoShare
 	}
 	return 1 / share
 }
 
-// tick counts work, and asks and lends.
-func (l *loans) tick() {
-	if at := time.Now(); l.countAt.IsZero() {
-		l.count, l.countAt = l.f.cfg.Work(), at
-	} else if gone := at.Sub(l.countAt); gone >= 2*tick {
-		n := l.f.cfg.Work()
-		weight := 1 - math.Exp(-float64(gone)/float64(rateOver))
-		l.rate += weight * (float64(n-min(n, l.count))/gone.Seconds() - l.rate)
-		l.count, l.countAt = n, at
+// tickInterval counts work, and asks and lends.
+func (l *leaseManager) tick() {
+	if at := time.Now(); l.lastCountAt.IsZero() {
+		l.lastCount, l.lastCountAt = l.f.cfg.RequestCount(), at
+	} else if gone := at.Sub(l.lastCountAt); gone >= 2*tickInterval {
+		n := l.f.cfg.RequestCount()
+		weight := 1 - math.Exp(-float64(gone)/float64(rateWindow))
+		l.rate += weight * (float64(n-min(n, l.lastCount))/gone.Seconds() - l.rate)
+		l.lastCount, l.lastCountAt = n, at
 	}
-	if l.changes != l.f.m.ChangeCount()+1 {
-		l.changes, l.peers = l.f.m.ChangeCount()+1, l.peers[:0]
-		l.f.m.ForEach(func(r fleet.Record) {
+	if l.peersVersion != l.f.machine.ChangeCount()+1 {
+		l.peersVersion, l.peers = l.f.machine.ChangeCount()+1, l.peers[:0]
+		l.f.machine.ForEach(func(r fleet.Record) {
 			if r.State == fleet.Alive {
 				l.peers = append(l.peers, quota.Peer{Name: r.Name, Start: r.Start})
 			}
 		})
 	}
-	l.q.Tick(l.f.now(), l.own(), []float64{l.rate}, l.peers)
+	l.machine.Tick(l.f.now(), l.baseShare(), []float64{l.rate}, l.peers)
 }
 
-// part is what this router may use with loans, until a time, and from there on without them.
-func (l *loans) part() fleet.Share {
+// usableShare is what this router may use with loans, until a time, and from there on without them.
+func (l *leaseManager) usableShare() fleet.Share {
 	now := l.f.now()
-	l.q.UpdateShare(now, l.own())
-	until, then := l.q.Expiry(now, shared)
-	return fleet.Share{Routers: partsOf(l.q.UsableShare(now, shared)), Until: until, RoutersAfter: partsOf(then)}
+	l.machine.UpdateShare(now, l.baseShare())
+	until, then := l.machine.Expiry(now, sharedResource)
+	return fleet.Share{Routers: routersForShare(l.machine.UsableShare(now, sharedResource)), Until: until, RoutersAfter: routersForShare(then)}
 }
 
-// Loans are what a router may use, of that what it has borrowed, and what of its own it has lent, as shares of the whole; and the work that
+// Leases are what a router may use, of that what it has borrowed, and what of its own it has lent, as shares of the whole; and the work that
 // it has.
-type Loans struct{ Share, Borrowed, Lent, Rate float64 }
+type LeaseStats struct{ Share, LeasedIn, LeasedOut, Rate float64 }
 
-func (l *loans) figures() Loans {
+func (l *leaseManager) stats() LeaseStats {
 	now := l.f.now()
-	lent, borrowed := l.q.Leases(now, shared)
-	return Loans{Share: l.q.UsableShare(now, shared), Borrowed: borrowed, Lent: lent, Rate: l.rate}
+	lent, borrowed := l.machine.Leases(now, sharedResource)
+	return LeaseStats{Share: l.machine.UsableShare(now, sharedResource), LeasedIn: borrowed, LeasedOut: lent, Rate: l.rate}
 }
--- a/internal/fleet/stream.go
+++ b/internal/fleet/stream.go
@@ -47,47 +47,47 @@
 func (f *Fleet) accept() {
 	for {
 		c, err := f.tcp.Accept()
-		if closed(err) {
+		if isClosed(err) {
 			return
 		}
 		if err != nil {
 			select { // descriptors are short: that passes
-			case <-time.After(tick):
+			case <-time.After(tickInterval):
 				continue
 			case <-f.ctx.Done():
 				return
 			}
 		}
 		select {
-		case f.in <- struct{}{}:
-			f.wg.Go(func() {
-				defer func() { <-f.in }()
+		case f.inStreams <- struct{}{}:
+			f.streamWG.Go(func() {
+				defer func() { <-f.inStreams }()
 				f.serve(c)
 			})
 		default:
-			f.counts.dropped.Add(1)
+			f.counters.dropped.Add(1)
 			c.Close()
 		}
 	}
 }
 
-// bounded has a connection end with the fleet, and its reads and writes end in time.
-func (f *Fleet) bounded(c net.Conn) (end func()) {
-	c.SetDeadline(time.Now().Add(2 * streamWait)) //nolint:errcheck // reads tell
+// limitConn has a connection end with the fleet, and its reads and writes end in time.
+func (f *Fleet) limitConn(c net.Conn) (end func()) {
+	c.SetDeadline(time.Now().Add(2 * streamTimeout)) //nolint:errcheck // reads tell
 	stop := context.AfterFunc(f.ctx, func() { c.Close() })
 	return func() { stop(); c.Close() }
 }
 
 // serve answers on a stream.
 func (f *Fleet) serve(c net.Conn) {
-	defer f.bounded(c)()
+	defer f.limitConn(c)()
 	r, w := bufio.NewReader(c), bufio.NewWriter(c)
 	pages, differ := 0, fleet.AllBuckets
 	for {
 		m, err := f.readFrame(r)
-		if err != nil || pages >= maxFrames {
+		if err != nil || pages >= maxExchangeFrames {
 			if !errors.Is(err, io.EOF) {
-				f.counts.refused.Add(1)
+				f.counters.rejected.Add(1)
 			}
 			return
 		}
@@ -95,70 +95,70 @@
 			break
 		}
 		pages++
-		f.counts.receivedBytes.Add(uint64(len(m)))
+		f.counters.receivedBytes.Add(uint64(len(m)))
 		if fleet.IsBucketDigests(m) {
-			if differ, err = f.compare(m, w); err != nil {
+			if differ, err = f.compareDigests(m, w); err != nil {
 				return
 			}
 			continue
 		}
-		got, stopped := asked(f.ctx, f, func() reply { b, err := f.m.Answer(f.now(), m); return reply{b, err} })
+		got, stopped := callResult(f.ctx, f, func() reply { b, err := f.machine.Answer(f.now(), m); return reply{b, err} })
 		if stopped != nil {
 			return
 		}
 		if got.err != nil {
-			f.counts.refused.Add(1)
+			f.counters.rejected.Add(1)
 			return
 		}
-		if got.b != nil { // one question, one answer
-			f.frame(w, got.b)
+		if got.message != nil { // one question, one answer
+			f.sendFrame(w, got.message)
 			w.Flush() //nolint:errcheck // the other asks again
 			return
 		}
 	}
-	if all, err := asked(f.ctx, f, func() [][]byte { return f.m.Pages(differ) }); err == nil {
+	if all, err := callResult(f.ctx, f, func() [][]byte { return f.machine.Pages(differ) }); err == nil {
 		f.writePages(w, all) //nolint:errcheck // the other asks again
 	}
 }
 
-// compare answers the sums of another's view with those of this one, and says where they differ.
-func (f *Fleet) compare(theirs []byte, w *bufio.Writer) (differ fleet.Buckets, err error) {
+// compareDigests answers the sums of another's view with those of this one, and says where they differ.
+func (f *Fleet) compareDigests(theirs []byte, w *bufio.Writer) (differ fleet.Buckets, err error) {
 	type compared struct {
 		own    []byte
 		differ fleet.Buckets
 		err    error
 	}
-	got, stopped := asked(f.ctx, f, func() (c compared) {
-		c.own = f.m.BucketDigests()
-		c.differ, c.err = f.m.CompareDigests(f.now(), theirs)
+	got, stopped := callResult(f.ctx, f, func() (c compared) {
+		c.own = f.machine.BucketDigests()
+		c.differ, c.err = f.machine.CompareDigests(f.now(), theirs)
 		return c
 	})
 	if stopped != nil {
 		return 0, stopped
 	}
 	if got.err != nil {
-		f.counts.refused.Add(1)
+		f.counters.rejected.Add(1)
 		return 0, got.err
 	}
-	f.frame(w, got.own)
+	f.sendFrame(w, got.own)
 	return got.differ, w.Flush()
 }
 
 // reply is an answer, or why there is none.
 type reply struct {
-	b   []byte
-	err error
+	message []byte
+	err     error
 }
 
-func (f *Fleet) frame(w io.Writer, m []byte) {
+func (f *Fleet) sendFrame(w io.Writer, m []byte) {
 	b := fleet.AppendMAC(f.cfg.Key, m)
-	f.counts.sentBytes.Add(uint64(len(b)))
+	f.counters.sentBytes.Add(uint64(len(b)))
 	writeFrame(w, b) //nolint:errcheck // Flush tells, or the other end
 }
 
 func (f *Fleet) writePages(w *bufio.Writer, all [][]byte) error {
 	for _, p := range all {
-		f.frame(w, p)
+		f.sendFrame(w, p)
 	}
 	w.Write([]byte{0, 0}) //nolint:errcheck // Flush tells
 	return w.Flush()
@@ -166,11 +166,11 @@
 
 // dial connects to a member.
 func (f *Fleet) dial(to fleet.Addr) (net.Conn, error) {
-	d := net.Dialer{Timeout: streamWait}
+	d := net.Dialer{Timeout: streamTimeout}
 	if own := f.udp.LocalAddr().(*net.UDPAddr).IP; !own.IsUnspecified() {
 		d.LocalAddr = &net.TCPAddr{IP: own} // the others know this router by it
 	}
-	return d.DialContext(f.ctx, "tcp", fromPure(to).String())
+	return d.DialContext(f.ctx, "tcp", fromMachineAddr(to).String())
 }
 
 // Check asks a member by a stream. A connection that is refused proves that no process listens there; one that ends without an answer
@@ -178,32 +178,32 @@
 func (h host) StreamPing(to fleet.Addr, m []byte) {
 	f := h.Fleet
 	select {
-	case f.out <- struct{}{}:
+	case f.outStreams <- struct{}{}:
 	default:
-		f.counts.dropped.Add(1)
+		f.counters.dropped.Add(1)
 		return
 	}
-	f.wg.Go(func() {
-		defer func() { <-f.out }()
-		answer, err := f.question(to, m)
+	f.streamWG.Go(func() {
+		defer func() { <-f.outStreams }()
+		answer, err := f.requestOverStream(to, m)
 		refused := errors.Is(err, syscall.ECONNREFUSED)
 		f.call(f.ctx, func() { //nolint:errcheck // it ends
 			if answer != nil {
 				f.receive(answer)
 			}
-			f.m.StreamPingDone(f.now(), to, answer != nil, refused)
+			f.machine.StreamPingDone(f.now(), to, answer != nil, refused)
 		})
 	})
 }
 
-func (f *Fleet) question(to fleet.Addr, m []byte) ([]byte, error) {
+func (f *Fleet) requestOverStream(to fleet.Addr, m []byte) ([]byte, error) {
 	c, err := f.dial(to)
 	if err != nil {
 		return nil, err
 	}
-	defer f.bounded(c)()
+	defer f.limitConn(c)()
 	w := bufio.NewWriter(c)
-	f.frame(w, m)
+	f.sendFrame(w, m)
 	if err := w.Flush(); err != nil {
 		return nil, fmt.Errorf("a question: %v", err) // not wrapped: a refusal after connecting is none
 	}
@@ -218,27 +218,27 @@
 func (h host) PushPull(to fleet.Addr) {
 	f := h.Fleet
 	select {
-	case f.syncs <- struct{}{}:
+	case f.pushPulls <- struct{}{}:
 	default:
 		return
 	}
-	own := f.m.BucketDigests()
-	f.wg.Go(func() {
-		defer func() { <-f.syncs }()
-		if err := f.exchange(to, own); err != nil {
-			f.counts.dropped.Add(1)
+	own := f.machine.BucketDigests()
+	f.streamWG.Go(func() {
+		defer func() { <-f.pushPulls }()
+		if err := f.pushPull(to, own); err != nil {
+			f.counters.dropped.Add(1)
 		}
 	})
 }
 
-func (f *Fleet) exchange(to fleet.Addr, own []byte) error {
+func (f *Fleet) pushPull(to fleet.Addr, own []byte) error {
 	c, err := f.dial(to)
 	if err != nil {
 		return err
 	}
-	defer f.bounded(c)()
+	defer f.limitConn(c)()
 	r, w := bufio.NewReader(c), bufio.NewWriter(c)
-	f.frame(w, own)
+	f.sendFrame(w, own)
 	if err := w.Flush(); err != nil {
 		return err
 	}
@@ -250,10 +250,10 @@
 		ours [][]byte
 		err  error
 	}
-	got, stopped := asked(f.ctx, f, func() (d difference) {
-		differ, err := f.m.CompareDigests(f.now(), theirs)
+	got, stopped := callResult(f.ctx, f, func() (d difference) {
+		differ, err := f.machine.CompareDigests(f.now(), theirs)
 		if d.err = err; err == nil {
-			d.ours = f.m.Pages(differ)
+			d.ours = f.machine.Pages(differ)
 		}
 		return d
 	})
@@ -266,15 +266,15 @@
 	if err := f.writePages(w, got.ours); err != nil {
 		return err
 	}
-	for range maxFrames {
+	for range maxExchangeFrames {
 		m, err := f.readFrame(r)
 		if err != nil || m == nil {
 			return err
 		}
-		f.counts.receivedBytes.Add(uint64(len(m)))
+		f.counters.receivedBytes.Add(uint64(len(m)))
 		if err := f.call(f.ctx, func() { f.receive(m) }); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("more than %d pages", maxFrames)
+	return fmt.Errorf("more than %d pages", maxExchangeFrames)
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -23,28 +23,28 @@
 
 // Grant is what the old process leaves to the new one while both live.
 type Grant struct {
-	Part    float64         `json:"part"`    // of the limits on memory and descriptors, within 0.05 to 0.5
-	Learned json.RawMessage `json:"learned"` // for the module and the lists; whoever reads it checks it
-	// Words says what there is to tell, each time it changes, until ctx ends; nil = nothing. Whoever takes over may hear the latest alone.
-	Words func(ctx context.Context, say func([]byte) error) `json:"-"`
+	Share        float64         `json:"part"`    // of the limits on memory and descriptors, within 0.05 to 0.5
+	LearnedState json.RawMessage `json:"learned"` // for the module and the lists; whoever reads it checks it
+	// Updates says what there is to tell, each time it changes, until ctx ends; nil = nothing. Whoever takes over may hear the latest alone.
+	StreamUpdates func(ctx context.Context, say func([]byte) error) `json:"-"`
 }
 
 // Times of an exchange. A new process that finds nobody there, or somebody who does not answer, starts by itself.
 const (
-	Within    = 800 * time.Millisecond // the whole exchange of the new process
-	letTime   = 600 * time.Millisecond // of that, for the old one to give room back
-	sorryTime = 50 * time.Millisecond  // for who comes while another exchange is on
+	ExchangeTimeout = 800 * time.Millisecond // the whole exchange of the new process
+	yieldTimeout    = 600 * time.Millisecond // of that, for the old one to give room back
+	refusalTimeout  = 50 * time.Millisecond  // for who comes while another exchange is on
 )
 
-// Path is the socket at which the process of a router that listens there is found.
-func Path(dir, listen string) string {
+// SocketPath is the socket at which the process of a router that listens there is found.
+func SocketPath(dir, listen string) string {
 	h := fnv.New64a()
 	h.Write([]byte(listen))
 	return filepath.Join(dir, fmt.Sprintf("cottonyoke-%016x.sock", h.Sum64()))
 }
 
-// Old is a process that may be taken over from.
-type Old interface {
+// Predecessor is a process that may be taken over from.
+type Predecessor interface {
 	// Yield gives room back and says what the new process may use. It returns when ctx ends at the latest.
 	Yield(ctx context.Context) (Grant, error)
 	// Followed tells that the new process takes clients, and Regain that it is gone: all room is this process's again.
@@ -54,7 +54,7 @@
 
 // Serve waits at a path for processes that take over, one at a time, until ctx ends, and gives each the sockets. A process that listened at the
 // path before is found there no longer.
-func Serve(ctx context.Context, path, listen string, sockets []syscall.Conn, old Old) error {
+func Serve(ctx context.Context, path, listen string, sockets []syscall.Conn, old Predecessor) error {
 	ln, err := bind(path)
 	if err != nil {
 		return err
@@ -73,9 +73,9 @@
 			return fmt.Errorf("handover: %w", err)
 		}
 		if !one.TryLock() {
-			c.SetDeadline(time.Now().Add(sorryTime))
-			readFrame(c, nil)                                                          //nolint:errcheck // a close ahead of it would look like a crash
-			c.Write(appendFrame(nil, sorry, []byte("another process is taking over"))) //nolint:errcheck // it starts by itself
+			c.SetDeadline(time.Now().Add(refusalTimeout))
+			readFrame(c, nil)                                                                //nolint:errcheck // a close ahead of it would look like a crash
+			c.Write(appendFrame(nil, kindRefusal, []byte("another process is taking over"))) //nolint:errcheck // it starts by itself
 			c.Close()
 			continue
 		}
@@ -83,7 +83,7 @@
 			defer one.Unlock()
 			defer c.Close()
 			defer context.AfterFunc(ctx, func() { c.Close() })()
-			if err := let(ctx, c, listen, sockets, old); err != nil && ctx.Err() == nil {
+			if err := handOver(ctx, c, listen, sockets, old); err != nil && ctx.Err() == nil {
 				slog.Warn("handover: not taken over from", "why", err)
 			}
 		})
@@ -111,9 +111,9 @@
 	return ln, nil
 }
 
-// let is the old process's half of an exchange. It returns when the new process is gone, or this one ends.
-func let(ctx context.Context, c *net.UnixConn, listen string, sockets []syscall.Conn, old Old) error {
-	c.SetDeadline(time.Now().Add(Within))
+// handOver is the old process's half of an exchange. It returns when the new process is gone, or this one ends.
+func handOver(ctx context.Context, c *net.UnixConn, listen string, sockets []syscall.Conn, old Predecessor) error {
+	c.SetDeadline(time.Now().Add(ExchangeTimeout))
 	if err := sameUser(c); err != nil {
 		return err
 	}
@@ -122,33 +122,33 @@
 		return err
 	}
 	var who Hello
-	if err := json.Unmarshal(body, &who); err != nil || k != hello {
-		return fmt.Errorf("%w: no greeting", errFrame)
+	if err := json.Unmarshal(body, &who); err != nil || k != kindHello {
+		return fmt.Errorf("%w: no greeting", errInvalidFrame)
 	}
 	if who.Listen != listen {
-		c.Write(appendFrame(nil, sorry, []byte("this is the router at "+listen))) //nolint:errcheck // it starts by itself
+		c.Write(appendFrame(nil, kindRefusal, []byte("this is the router at "+listen))) //nolint:errcheck // it starts by itself
 		return fmt.Errorf("handover: asked for by the router at %.60q", who.Listen)
 	}
 	defer old.Regain()
-	yield, cancel := context.WithTimeout(ctx, letTime)
+	yield, cancel := context.WithTimeout(ctx, yieldTimeout)
 	g, err := old.Yield(yield)
 	cancel()
 	if err != nil {
-		c.Write(appendFrame(nil, sorry, []byte(err.Error()))) //nolint:errcheck // it starts by itself
+		c.Write(appendFrame(nil, kindRefusal, []byte(err.Error()))) //nolint:errcheck // it starts by itself
 		return err
 	}
 	if err := sendGrant(c, g, sockets); err != nil {
 		return err
 	}
 	c.SetDeadline(time.Time{})
-	if g.Words != nil {
+	if g.StreamUpdates != nil {
 		var telling sync.WaitGroup
 		defer telling.Wait()
 		tell, stop := context.WithCancel(ctx)
 		defer stop()
-		telling.Go(func() { g.Words(tell, func(b []byte) error { return say(c, b) }) })
+		telling.Go(func() { g.StreamUpdates(tell, func(b []byte) error { return sendUpdate(c, b) }) })
 	}
-	if k, _, err = readFrame(c, nil); err != nil || k != takes {
+	if k, _, err = readFrame(c, nil); err != nil || k != kindServing {
 		return fmt.Errorf("handover: the new process ended before it took clients: %w", err)
 	}
 	old.Followed()
@@ -158,13 +158,13 @@
 	return nil
 }
 
-// say sends a word.
-func say(c *net.UnixConn, b []byte) error {
-	if len(b) > maxBody {
-		return fmt.Errorf("handover: a word of %d bytes, %d at most", len(b), maxBody)
+// sendUpdate sends a word.
+func sendUpdate(c *net.UnixConn, b []byte) error {
+	if len(b) > maxBodyBytes {
+		return fmt.Errorf("handover: a word of %d bytes, %d at most", len(b), maxBodyBytes)
 	}
-	c.SetWriteDeadline(time.Now().Add(Within))
-	if _, err := c.Write(appendFrame(nil, word, b)); err != nil {
+	c.SetWriteDeadline(time.Now().Add(ExchangeTimeout))
+	if _, err := c.Write(appendFrame(nil, kindUpdate, b)); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
@@ -176,14 +176,14 @@
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if len(body) > maxBody {
-		g.Learned = nil
+	if len(body) > maxBodyBytes {
+		g.LearnedState = nil
 		if body, err = json.Marshal(g); err != nil {
 			return fmt.Errorf("handover: %w", err)
 		}
 	}
 	return withFDs(sockets, nil, func(fds []int) error {
-		frame := appendFrame(nil, grant, body)
+		frame := appendFrame(nil, kindGrant, body)
 		n, _, err := c.WriteMsgUnix(frame, syscall.UnixRights(fds...), nil)
 		if err == nil && n < len(frame) {
 			_, err = c.Write(frame[n:])
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -18,24 +18,24 @@
 	"mossproxy.example/mossproxy/internal/standin/standintest"
 )
 
-// keeper is an old process as the test has it act.
-type keeper struct {
+// fakePredecessor is an old process as the test has it act.
+type fakePredecessor struct {
 	yield    func(ctx context.Context) (Grant, error)
 	followed chan struct{}
 	regained chan struct{}
 }
 
-func newKeeper() *keeper {
-	return &keeper{yield: func(context.Context) (Grant, error) { return Grant{Part: 0.5, Learned: []byte(`{"v":1}`)}, nil },
+func newFakePredecessor() *fakePredecessor {
+	return &fakePredecessor{yield: func(context.Context) (Grant, error) { return Grant{Share: 0.5, LearnedState: []byte(`{"v":1}`)}, nil },
 		followed: make(chan struct{}, 10), regained: make(chan struct{}, 10)}
 }
 
-func (k *keeper) Yield(ctx context.Context) (Grant, error) { return k.yield(ctx) }
-func (k *keeper) Followed()                                { k.followed <- struct{}{} }
-func (k *keeper) Regain()                                  { k.regained <- struct{}{} }
+func (k *fakePredecessor) Yield(ctx context.Context) (Grant, error) { return k.yield(ctx) }
+func (k *fakePredecessor) Followed()                                { k.followed <- struct{}{} }
+func (k *fakePredecessor) Regain()                                  { k.regained <- struct{}{} }
 
-// house is an old process that serves at a path until the test ends, or stop is called.
-func house(t *testing.T, path, listen string, ln net.Listener, k Old) (stop func()) {
+// servePredecessor is an old process that serves at a path until the test ends, or stop is called.
+func servePredecessor(t *testing.T, path, listen string, ln net.Listener, k Predecessor) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -51,21 +51,21 @@
 	return stop
 }
 
-func sockPath(t *testing.T) string {
+func testSocketPath(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "h") // the test's own folder may be too long a name for a socket
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	return Path(dir, "127.0.0.1:11211")
+	return SocketPath(dir, "127.0.0.1:11211")
 }
 
-// takeNext takes over once the exchange before is at its end.
-func takeNext(t *testing.T, path, listen string) (taken *Taken, err error) {
+// takeOverNext takes over once the exchange before is at its end.
+func takeOverNext(t *testing.T, path, listen string) (taken *Takeover, err error) {
 	t.Helper()
 	standintest.Until(t, "the end of the exchange before", func() bool {
-		taken, err = Take(path, listen, 1, time.Second)
+		taken, err = TakeOver(path, listen, 1, time.Second)
 		return err == nil || !strings.Contains(err.Error(), "another process is taking over")
 	})
 	return taken, err
@@ -73,8 +73,8 @@
 
 // What is queued at the listener while the old process closes it is served by the new one, and none of it is reset.
 func TestQueueOutlivesTheOldProcess(t *testing.T) {
-	path, k, ln := sockPath(t), newKeeper(), standintest.Listen(t)
-	house(t, path, "a", ln, k)
+	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
+	servePredecessor(t, path, "a", ln, k)
 	var waiting []net.Conn
 	for range 5 { // nobody accepts them
 		c, err := net.Dial("tcp", ln.Addr().String())
@@ -84,15 +84,15 @@
 		defer c.Close()
 		waiting = append(waiting, c)
 	}
-	taken, err := Take(path, "a", 1, time.Second)
+	taken, err := TakeOver(path, "a", 1, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	if taken.Part != 0.5 || string(taken.Learned) != `{"v":1}` {
-		t.Errorf("granted %v, learned %s", taken.Part, taken.Learned)
+	if taken.Share != 0.5 || string(taken.LearnedState) != `{"v":1}` {
+		t.Errorf("granted %v, learned %s", taken.Share, taken.LearnedState)
 	}
-	if err := taken.Takes(); err != nil {
+	if err := taken.ConfirmServing(); err != nil {
 		t.Fatal(err)
 	}
 	standintest.Next(t, k.followed, "news that clients are taken")
@@ -121,15 +121,15 @@
 func TestNewProcessDies(t *testing.T) {
 	for _, after := range []bool{false, true} {
 		t.Run(fmt.Sprint("takes clients: ", after), func(t *testing.T) {
-			path, k, ln := sockPath(t), newKeeper(), standintest.Listen(t)
-			house(t, path, "a", ln, k)
+			path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
+			servePredecessor(t, path, "a", ln, k)
 			for range 2 {
-				taken, err := takeNext(t, path, "a")
+				taken, err := takeOverNext(t, path, "a")
 				if err != nil {
 					t.Fatal(err)
 				}
 				if after {
-					if err := taken.Takes(); err != nil {
+					if err := taken.ConfirmServing(); err != nil {
 						t.Fatal(err)
 					}
 					standintest.Next(t, k.followed, "news that clients are taken")
@@ -144,9 +144,9 @@
 
 // The old process is killed after the new one has what it needs: the new one hears of it.
 func TestOldProcessDies(t *testing.T) {
-	path, ln := sockPath(t), standintest.Listen(t)
-	stop := house(t, path, "a", ln, newKeeper())
-	taken, err := Take(path, "a", 1, time.Second)
+	path, ln := testSocketPath(t), standintest.Listen(t)
+	stop := servePredecessor(t, path, "a", ln, newFakePredecessor())
+	taken, err := TakeOver(path, "a", 1, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,21 +157,21 @@
 
 // The next process is found where the one before was, which goes on until it ends, and takes nothing away at its end.
 func TestTwoReplacementsOneAfterTheOther(t *testing.T) {
-	path, ln, second := sockPath(t), standintest.Listen(t), newKeeper()
-	stop := house(t, path, "a", ln, newKeeper())
-	one, err := Take(path, "a", 1, time.Second)
+	path, ln, second := testSocketPath(t), standintest.Listen(t), newFakePredecessor()
+	stop := servePredecessor(t, path, "a", ln, newFakePredecessor())
+	one, err := TakeOver(path, "a", 1, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- Serve(ctx, path, "a", []syscall.Conn{one.Listeners[0].(syscall.Conn)}, second) }()
-	var two *Taken
+	var two *Takeover
 	standintest.Until(t, "the second process to be found", func() bool {
-		two, err = Take(path, "a", 1, time.Second)
+		two, err = TakeOver(path, "a", 1, time.Second)
 		return err == nil
 	})
-	if err := two.Takes(); err != nil {
+	if err := two.ConfirmServing(); err != nil {
 		t.Fatal(err)
 	}
 	standintest.Next(t, second.followed, "news that clients are taken")
@@ -189,15 +189,15 @@
 }
 
 func TestOneAtATime(t *testing.T) {
-	path, ln := sockPath(t), standintest.Listen(t)
-	house(t, path, "a", ln, newKeeper())
-	one, err := Take(path, "a", 1, time.Second)
+	path, ln := testSocketPath(t), standintest.Listen(t)
+	servePredecessor(t, path, "a", ln, newFakePredecessor())
+	one, err := TakeOver(path, "a", 1, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer one.Close()
 	defer one.Listeners[0].Close()
-	if _, err := Take(path, "a", 1, time.Second); err == nil || !strings.Contains(err.Error(), "another process is taking over") {
+	if _, err := TakeOver(path, "a", 1, time.Second); err == nil || !strings.Contains(err.Error(), "another process is taking over") {
 		t.Errorf("a second one at the same time: %v", err)
 	}
 }
@@ -214,20 +214,22 @@
 		"noise":         {func(c *net.UnixConn) { io.WriteString(c, strings.Repeat("noise ", 100)) }, "it begins with"}, //nolint:errcheck // as all here
 		"other version": {func(c *net.UnixConn) { c.Write([]byte("CYHO\x00\x02\x00\x02\x00\x00\x00\x00\x00\x00\x00\x00")) }, "version 2"},
 		"endless":       {func(c *net.UnixConn) { c.Write([]byte("CYHO\x00\x01\x00\x02\xff\xff\xff\xff\x00\x00\x00\x00")) }, "4294967295 bytes"},
-		"cut":           {func(c *net.UnixConn) { c.Write(appendFrame(nil, grant, []byte(ok))[:20]) }, "EOF"},
+		"cut":           {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindGrant, []byte(ok))[:20]) }, "EOF"},
 		"damaged": {func(c *net.UnixConn) {
-			c.Write(append(appendFrame(nil, grant, []byte(ok))[:headLen], `{"part":0.4}`...))
+			c.Write(append(appendFrame(nil, kindGrant, []byte(ok))[:headerBytes], `{"part":0.4}`...))
 		}, "check sum"},
-		"no sockets":     {func(c *net.UnixConn) { c.Write(appendFrame(nil, grant, []byte(ok))) }, "0 listeners and 0 sockets of datagrams, not 1 and 0"},
-		"no JSON":        {func(c *net.UnixConn) { c.Write(appendFrame(nil, grant, []byte("{"))) }, "not understood"},
-		"all room":       {func(c *net.UnixConn) { c.Write(appendFrame(nil, grant, []byte(`{"part":1}`))) }, "a part of 1"},
-		"refuses":        {func(c *net.UnixConn) { c.Write(appendFrame(nil, sorry, []byte("no"))) }, `refused: "no"`},
-		"no listener":    {func(c *net.UnixConn) { c.WriteMsgUnix(appendFrame(nil, grant, []byte(ok)), syscall.UnixRights(0), nil) }, "neither listens"},
-		"other listener": {func(c *net.UnixConn) { c.Write(appendFrame(nil, takes, nil)) }, "kind 3"},
+		"no sockets": {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindGrant, []byte(ok))) }, "0 listeners and 0 sockets of datagrams, not 1 and 0"},
+		"no JSON":    {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindGrant, []byte("{"))) }, "not understood"},
+		"all room":   {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindGrant, []byte(`{"part":1}`))) }, "a part of 1"},
+		"refuses":    {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindRefusal, []byte("no"))) }, `refused: "no"`},
+		"no listener": {func(c *net.UnixConn) {
+			c.WriteMsgUnix(appendFrame(nil, kindGrant, []byte(ok)), syscall.UnixRights(0), nil)
+		}, "neither listens"},
+		"other listener": {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindServing, nil)) }, "kind 3"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			path, does := sockPath(t), c.does
+			path, does := testSocketPath(t), c.does
 			ln, err := bind(path)
 			if err != nil {
 				t.Fatal(err)
@@ -241,13 +243,13 @@
 				}
 				defer c.Close()
 				k, _, err := readFrame(c, nil)
-				if k != hello || err != nil {
+				if k != kindHello || err != nil {
 					t.Errorf("greeted with kind %d, %v", k, err)
 				}
 				does(c)
 			}()
 			began := time.Now()
-			taken, err := Take(path, "a", 1, Within)
+			taken, err := TakeOver(path, "a", 1, ExchangeTimeout)
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, %v; want %q", taken, err, c.want)
 			}
@@ -261,8 +263,8 @@
 }
 
 func TestNobodyThere(t *testing.T) {
-	path := sockPath(t)
-	if _, err := Take(path, "a", 1, time.Second); !errors.Is(err, os.ErrNotExist) {
+	path := testSocketPath(t)
+	if _, err := TakeOver(path, "a", 1, time.Second); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no file: %v", err)
 	}
 	ln, err := bind(path)
@@ -270,21 +272,21 @@
 		t.Fatal(err)
 	}
 	ln.Close() // its name stays: the process was killed
-	if _, err := Take(path, "a", 1, time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := TakeOver(path, "a", 1, time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a stale name: %v", err)
 	}
-	house(t, path, "a", standintest.Listen(t), newKeeper()) // which is no hindrance to the next
+	servePredecessor(t, path, "a", standintest.Listen(t), newFakePredecessor()) // which is no hindrance to the next
 }
 
 // Who asks and is not understood, or of another router, gets nothing, and room that was given is taken back.
 func TestWhoMayNotTakeOver(t *testing.T) {
-	path, k, ln := sockPath(t), newKeeper(), standintest.Listen(t)
+	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
 	var asked atomic.Int32
 	k.yield = func(context.Context) (Grant, error) {
 		asked.Add(1)
 		return Grant{}, errors.New("this process is ending")
 	}
-	house(t, path, "a", ln, k)
+	servePredecessor(t, path, "a", ln, k)
 	c, err := net.Dial("unix", path)
 	if err != nil {
 		t.Fatal(err)
@@ -295,26 +297,26 @@
 		t.Errorf("noise is answered %q", b)
 	}
 	c.Close()
-	if _, err := takeNext(t, path, "b"); err == nil || !strings.Contains(err.Error(), "the router at a") {
+	if _, err := takeOverNext(t, path, "b"); err == nil || !strings.Contains(err.Error(), "the router at a") {
 		t.Errorf("another router: %v", err)
 	}
 	if asked.Load() != 0 {
 		t.Error("room was given back for nobody")
 	}
-	if _, err := takeNext(t, path, "a"); err == nil || !strings.Contains(err.Error(), "this process is ending") {
+	if _, err := takeOverNext(t, path, "a"); err == nil || !strings.Contains(err.Error(), "this process is ending") {
 		t.Errorf("one that ends: %v", err)
 	}
 	standintest.Next(t, k.regained, "room")
 }
 
 func TestPathIsThatOfTheAddress(t *testing.T) {
-	if a, b := Path("/x", "127.0.0.1:1"), Path("/x", "127.0.0.1:2"); a == b || filepath.Dir(a) != "/x" || len(a) > 60 {
+	if a, b := SocketPath("/x", "127.0.0.1:1"), SocketPath("/x", "127.0.0.1:2"); a == b || filepath.Dir(a) != "/x" || len(a) > 60 {
 		t.Errorf("%q and %q", a, b)
 	}
 }
 
 func FuzzReadFrame(f *testing.F) {
-	f.Add(appendFrame(nil, grant, []byte("{}")))
+	f.Add(appendFrame(nil, kindGrant, []byte("{}")))
 	f.Add([]byte("CYHO\x00\x01\x00\x02\xff\xff\xff\xff\x00\x00\x00\x00"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		k, body, err := readFrame(strings.NewReader(string(in)), nil)
@@ -329,19 +331,19 @@
 
 // The new process is killed while what it is to have is being put together: the old one has its room back.
 func TestNewProcessDiesWhileStateIsPassed(t *testing.T) {
-	path, k, ln := sockPath(t), newKeeper(), standintest.Listen(t)
+	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
 	asked, let := make(chan struct{}), make(chan struct{})
 	k.yield = func(context.Context) (Grant, error) {
 		close(asked)
 		<-let
-		return Grant{Part: 0.5, Learned: []byte(`"` + strings.Repeat("x", 1<<19) + `"`)}, nil // more than a socket holds
+		return Grant{Share: 0.5, LearnedState: []byte(`"` + strings.Repeat("x", 1<<19) + `"`)}, nil // more than a socket holds
 	}
-	house(t, path, "a", ln, k)
+	servePredecessor(t, path, "a", ln, k)
 	c, err := net.Dial("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Write(appendFrame(nil, hello, []byte(`{"listen":"a","pid":1}`))); err != nil {
+	if _, err := c.Write(appendFrame(nil, kindHello, []byte(`{"listen":"a","pid":1}`))); err != nil {
 		t.Fatal(err)
 	}
 	standintest.Next(t, asked, "call for room")
--- a/internal/handover/words_test.go
+++ b/internal/handover/words_test.go
@@ -15,14 +15,14 @@
 // Datagrams that wait at a socket as it is handed over are read by the new process, and what the old one tells comes in order, its last word
 // before its end.
 func TestDatagramsAndWordsGoOver(t *testing.T) {
-	path, k, ln := sockPath(t), newKeeper(), standintest.Listen(t)
+	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	next, over := make(chan string), make(chan struct{})
 	k.yield = func(context.Context) (Grant, error) {
-		return Grant{Part: 0.5, Words: func(ctx context.Context, say func([]byte) error) {
+		return Grant{Share: 0.5, StreamUpdates: func(ctx context.Context, say func([]byte) error) {
 			defer close(over)
 			for {
 				select {
@@ -40,17 +40,17 @@
 	done := make(chan error, 1)
 	go func() { done <- Serve(ctx, path, "a", []syscall.Conn{ln.(syscall.Conn), udp}, k) }()
 	defer stop()
-	var taken *Taken
+	var taken *Takeover
 	standintest.Until(t, "the exchange", func() bool {
-		taken, err = TakeAll(path, "a", 1, 1, time.Second)
+		taken, err = TakeOverAll(path, "a", 1, 1, time.Second)
 		return err == nil
 	})
 	defer taken.Close()
-	if len(taken.Listeners) != 1 || len(taken.Packets) != 1 {
-		t.Fatalf("%d listeners, %d sockets of datagrams", len(taken.Listeners), len(taken.Packets))
+	if len(taken.Listeners) != 1 || len(taken.PacketConns) != 1 {
+		t.Fatalf("%d listeners, %d sockets of datagrams", len(taken.Listeners), len(taken.PacketConns))
 	}
 	defer taken.Listeners[0].Close()
-	defer taken.Packets[0].Close()
+	defer taken.PacketConns[0].Close()
 	c, err := net.Dial("udp", udp.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -61,24 +61,24 @@
 	}
 	udp.Close() // as the old process ends
 	var b [16]byte
-	taken.Packets[0].SetReadDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // the read tells
-	if n, _, err := taken.Packets[0].ReadFrom(b[:]); err != nil || !bytes.Equal(b[:n], []byte("early")) {
+	taken.PacketConns[0].SetReadDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // the read tells
+	if n, _, err := taken.PacketConns[0].ReadFrom(b[:]); err != nil || !bytes.Equal(b[:n], []byte("early")) {
 		t.Errorf("%q, %v", b[:n], err)
 	}
 	next <- "one"
-	if w := <-taken.Words(); string(w) != "one" {
+	if w := <-taken.Updates(); string(w) != "one" {
 		t.Errorf("the first word is %q", w)
 	}
 	for _, w := range []string{"two", "three", "last"} {
 		next <- w
 	}
-	if err := taken.Takes(); err != nil {
+	if err := taken.ConfirmServing(); err != nil {
 		t.Fatal(err)
 	}
 	standintest.Until(t, "it is followed", func() bool { return len(k.followed) > 0 })
 	stop()
 	var heard []string
-	for w := range taken.Words() {
+	for w := range taken.Updates() {
 		heard = append(heard, string(w))
 	}
 	if text := strings.Join(heard, " "); !strings.HasSuffix(text, "last") || len(heard) > 3 {
@@ -93,9 +93,9 @@
 
 // A process that has other sockets than the next one expects is not taken over from.
 func TestOtherSocketsAreRefused(t *testing.T) {
-	path, k, ln := sockPath(t), newKeeper(), standintest.Listen(t)
-	house(t, path, "a", ln, k)
-	if taken, err := TakeAll(path, "a", 1, 1, time.Second); err == nil || !strings.Contains(err.Error(), "1 listeners and 0 sockets of datagrams, not 1 and 1") {
+	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
+	servePredecessor(t, path, "a", ln, k)
+	if taken, err := TakeOverAll(path, "a", 1, 1, time.Second); err == nil || !strings.Contains(err.Error(), "1 listeners and 0 sockets of datagrams, not 1 and 1") {
 		t.Errorf("%v, %v", taken, err)
 	}
 }
--- a/internal/service/fleet.go
+++ b/internal/service/fleet.go
@@ -23,14 +23,14 @@
 	}
 	s.tiers = router.NewTiers(f.Pools[0].Checked.Config.Routers)
 	cfg := fleet.Config{Name: f.Name, Site: f.Site, Listen: f.Fleet.Listen, Advertise: f.Fleet.Advertise, Join: f.Fleet.Join, Key: f.Fleet.Key,
-		Expected: f.Pools[0].Checked.Config.Routers, Tier: func(t fleet.Tier) { s.heardTier(router.Tier(t)) }, Work: s.work, Demands: s.demands,
-		Line: s.control.Line}
+		ExpectedRouters: f.Pools[0].Checked.Config.Routers, TierChanged: func(t fleet.Tier) { s.heardTier(router.Tier(t)) }, RequestCount: s.work, PoolDemands: s.demands,
+		ThresholdChanged: s.control.Line}
 	if slices.ContainsFunc(f.Pools, func(p *config.Config) bool { return p.RESP != nil && p.RESP.Fleet }) {
-		s.doors = router.NewDoors(func(card string) bool { return s.fleet.Say(card) }) // pools speak when they serve: the fleet is open by then
-		cfg.Members = func(ms []fleet.Member) {
+		s.doors = router.NewDoors(func(card string) bool { return s.fleet.SetMeta(card) }) // pools speak when they serve: the fleet is open by then
+		cfg.MembersChanged = func(ms []fleet.Member) {
 			out := make([]router.Member, 0, len(ms))
 			for _, m := range ms {
-				out = append(out, router.Member{Name: m.Name, Host: m.Host, Card: []byte(m.Card)})
+				out = append(out, router.Member{Name: m.Name, Host: m.Host, Card: []byte(m.Meta)})
 			}
 			s.heardMembers(out)
 		}
@@ -39,8 +39,8 @@
 		return err
 	}
 	if s.sockets.taken != nil {
-		s.heir = &heir{handed: make(chan *fleet.Handed, 1)}
-		cfg.Before = s.heir.before
+		s.heir = &heir{handed: make(chan *fleet.HandoverState, 1)}
+		cfg.AwaitPredecessor = s.heir.before
 	}
 	if s.fleet, err = fleet.Open(cfg); err != nil {
 		return err
@@ -63,9 +63,9 @@
 }
 
 // demands is what has come to each pool.
-func (s *Service) demands() (out []fleet.Demand) {
+func (s *Service) demands() (out []fleet.PoolDemand) {
 	for _, d := range s.control.Demands() {
-		out = append(out, fleet.Demand{Pool: d.Pool, Demand: d.Demand})
+		out = append(out, fleet.PoolDemand{Pool: d.Pool, Demand: d.Demand})
 	}
 	return out
 }
@@ -90,7 +90,7 @@
 	var wg sync.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
 	if s.heir != nil {
-		wg.Go(func() { s.heir.follow(s.sockets.taken.Words(), s.heardTier, s.heardMembers) })
+		wg.Go(func() { s.heir.follow(s.sockets.taken.Updates(), s.heardTier, s.heardMembers) })
 	}
 	if s.file.Handover != "" {
 		wg.Go(func() { s.succeed(ctx, stop) })
@@ -137,15 +137,15 @@
 // shown is a view in the form that operators get.
 func shown(v fleet.View) operator.Fleet {
 	out := operator.Fleet{Name: v.Name, Digest: fmt.Sprintf("%016x", v.Digest), SettledS: v.SettledS, Doubt: v.HealthScore, Members: []operator.Member{},
-		Figures: operator.Gossip(v.Figures),
-		Part:    operator.Part{LeftMS: -1, Share: v.Loans.Share, Borrowed: v.Loans.Borrowed, Lent: v.Loans.Lent, Rate: v.Loans.Rate}}
+		Figures: operator.Gossip(v.Counters),
+		Part:    operator.Part{LeftMS: -1, Share: v.Leases.Share, Borrowed: v.Leases.LeasedIn, Lent: v.Leases.LeasedOut, Rate: v.Leases.Rate}}
 	if v.Share.Routers < pure.NoShare {
 		out.Part.Of, out.Part.Then = v.Share.Routers, v.Share.RoutersAfter
 		if left := v.Share.Until - v.NowMS; left < 1e12 {
 			out.Part.LeftMS = int64(max(0, left))
 		}
 	}
-	for _, l := range v.Lines {
+	for _, l := range v.PoolAdmissions {
 		out.Lines = append(out.Lines, shownLine(l))
 	}
 	for _, m := range v.Members {
@@ -156,14 +156,14 @@
 }
 
 // shownLine is a line in the form that operators get.
-func shownLine(l fleet.Line) operator.Line {
-	out := operator.Line{Pool: l.Pool, Open: l.AdmittedShare, Asked: l.MeanRate, Room: l.MeanCapacity, Here: l.LocalRate, Cost: l.AttemptsPerRequest, Turned: l.Turned, Worths: []operator.Worth{}}
-	if l.Band < len(l.Asked) {
-		out.Worth, out.Share = fleet.WorthOf(l.Band), l.Share
+func shownLine(l fleet.PoolAdmission) operator.Line {
+	out := operator.Line{Pool: l.Pool, Open: l.AdmittedShare, Asked: l.MeanRate, Room: l.MeanCapacity, Here: l.LocalRate, Cost: l.AttemptsPerRequest, Turned: l.RejectedRate, Worths: []operator.Worth{}}
+	if l.Band < len(l.DemandRate) {
+		out.Worth, out.Share = fleet.MinWorth(l.Band), l.Share
 	}
-	for i, asked := range l.Asked {
+	for i, asked := range l.DemandRate {
 		if asked > 0 {
-			out.Worths = append(out.Worths, operator.Worth{Worth: fleet.WorthOf(i), Asked: asked, Shed: l.Shed[i]})
+			out.Worths = append(out.Worths, operator.Worth{Worth: fleet.MinWorth(i), Asked: asked, Shed: l.ShedRate[i]})
 		}
 	}
 	return out
@@ -174,7 +174,7 @@
 	if t.s.fleet == nil || slices.Equal(next.Fleet.Join, t.s.file.Fleet.Join) {
 		return nil
 	}
-	if err := t.s.fleet.Rejoin(t.ctx, next.Fleet.Join); err != nil {
+	if err := t.s.fleet.SetJoinAddrs(t.ctx, next.Fleet.Join); err != nil {
 		return fmt.Errorf("fleet.join: %w", err)
 	}
 	slog.Info("configuration: other addresses to join by", "join", next.Fleet.Join)
--- a/internal/service/platform.go
+++ b/internal/service/platform.go
@@ -38,13 +38,13 @@
 	setup.Control = router.NewControl(1)
 	cfg.Limits.Sockets -= config.OperatorReserve
 	defer operate(calls, setup.Control, nil)()
-	path := handover.Path(os.TempDir(), cfg.Listen)
+	path := handover.SocketPath(os.TempDir(), cfg.Listen)
 	ln, taken, err := takeOver(ctx, path, cfg.Listen)
 	if err != nil {
 		return err
 	}
 	if taken != nil {
-		setup.Part, setup.Elder, setup.Handed = taken.Part, taken.Gone(), learned(taken.Learned)
+		setup.Part, setup.Elder, setup.Handed = taken.Share, taken.Gone(), learned(taken.LearnedState)
 	}
 	life, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -55,10 +55,10 @@
 }
 
 // takeOver gets the clients' listener from the process that is there, or listens itself.
-func takeOver(ctx context.Context, path, listen string) (net.Listener, *handover.Taken, error) {
-	taken, err := handover.Take(path, listen, 1, handover.Within)
+func takeOver(ctx context.Context, path, listen string) (net.Listener, *handover.Takeover, error) {
+	taken, err := handover.TakeOver(path, listen, 1, handover.ExchangeTimeout)
 	if err == nil {
-		slog.Info("handover: the listener is taken over", "part", taken.Part)
+		slog.Info("handover: the listener is taken over", "part", taken.Share)
 		return taken.Listeners[0], taken, nil
 	}
 	if !errors.Is(err, os.ErrNotExist) {
@@ -96,7 +96,7 @@
 
 // succeed tells the old process, if there is one, that this one takes clients as soon as it does, has all room once that one is gone, and
 // gives way to the next one that comes, until ctx ends.
-func succeed(ctx context.Context, path, listen string, ln net.Listener, c *router.Control, taken *handover.Taken) {
+func succeed(ctx context.Context, path, listen string, ln net.Listener, c *router.Control, taken *handover.Takeover) {
 	if c.ServesWithin(ctx) != nil {
 		if taken != nil {
 			taken.Close()
@@ -122,8 +122,8 @@
 
 // outlive tells the old process that this one takes clients, and waits until that is gone and all room is this one's. It returns false where
 // ctx ends sooner.
-func outlive(ctx context.Context, c *router.Control, taken *handover.Taken) bool {
-	if err := taken.Takes(); err != nil {
+func outlive(ctx context.Context, c *router.Control, taken *handover.Takeover) bool {
+	if err := taken.ConfirmServing(); err != nil {
 		slog.Warn("handover", "why", err)
 	}
 	select {
@@ -139,14 +139,14 @@
 // elder is this process as one that may be taken over from.
 type elder struct{ *router.Control }
 
-// Yield is handover.Old's.
+// Yield is handover.Predecessor's.
 func (e elder) Yield(ctx context.Context) (g handover.Grant, err error) {
-	if g.Part, err = e.Control.Yield(ctx); err != nil {
+	if g.Share, err = e.Control.Yield(ctx); err != nil {
 		return g, err
 	}
-	if g.Learned, err = json.Marshal(e.Control.Hand(ctx)); err != nil { // the new process does without
+	if g.LearnedState, err = json.Marshal(e.Control.Hand(ctx)); err != nil { // the new process does without
 		slog.Warn("handover: what was learned can't be said", "err", err)
-		g.Learned = nil
+		g.LearnedState = nil
 	}
 	return g, nil
 }
--- a/internal/service/platform_test.go
+++ b/internal/service/platform_test.go
@@ -316,7 +316,7 @@
 func TestNewProcessStartsByItself(t *testing.T) {
 	s := newSite(t, standintest.Hit)
 	s.start()
-	path := handover.Path(os.TempDir(), s.listen)
+	path := handover.SocketPath(os.TempDir(), s.listen)
 	standintest.Until(t, "the socket", func() bool { _, err := os.Stat(path); return err == nil })
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -89,7 +89,7 @@
 		}
 		q.setup.Control = s.control
 		if s.sockets.taken != nil {
-			q.setup.Part, q.setup.Elder = s.sockets.taken.Part, s.sockets.taken.Gone()
+			q.setup.Part, q.setup.Elder = s.sockets.taken.Share, s.sockets.taken.Gone()
 		}
 		s.pools = append(s.pools, q)
 	}
@@ -268,7 +268,7 @@
 	wg.Wait()
 	leave()
 	if s.fleet != nil {
-		s.news.end(s.fleet.Handed())
+		s.news.end(s.fleet.HandoverState())
 	}
 	return errors.Join(ended...)
 }
--- a/internal/service/succession.go
+++ b/internal/service/succession.go
@@ -25,7 +25,7 @@
 // sockets are a router's, in the order in which its configuration names them: of the process before, as far as that has handed them over,
 // or opened here.
 type sockets struct {
-	taken  *handover.Taken // nil = no process was there
+	taken  *handover.Takeover // nil = no process was there
 	unused []net.Listener
 	all    []syscall.Conn // to hand on
 }
@@ -75,10 +75,10 @@
 		return s
 	}
 	listeners, packets := counted(f)
-	taken, err := handover.TakeAll(f.Handover, sameAs(f), listeners, packets, handover.Within)
+	taken, err := handover.TakeOverAll(f.Handover, sameAs(f), listeners, packets, handover.ExchangeTimeout)
 	switch {
 	case err == nil:
-		slog.Info("handover: the sockets are taken over", "part", taken.Part)
+		slog.Info("handover: the sockets are taken over", "part", taken.Share)
 		s.taken, s.unused = taken, taken.Listeners
 	case errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED): // nobody is there
 	default:
@@ -112,9 +112,9 @@
 		return nil, err
 	}
 	streams, ok := ln.(*net.TCPListener)
-	datagrams, too := s.taken.Packets[0].(*net.UDPConn)
+	datagrams, too := s.taken.PacketConns[0].(*net.UDPConn)
 	if !ok || !too {
-		return nil, fmt.Errorf("handover: the fleet's sockets are %T and %T", ln, s.taken.Packets[0])
+		return nil, fmt.Errorf("handover: the fleet's sockets are %T and %T", ln, s.taken.PacketConns[0])
 	}
 	return &fleet.Sockets{Datagrams: datagrams, Streams: streams}, nil
 }
@@ -127,7 +127,7 @@
 	for _, ln := range s.unused {
 		ln.Close()
 	}
-	for _, pc := range s.taken.Packets {
+	for _, pc := range s.taken.PacketConns {
 		pc.Close()
 	}
 	s.taken.Close()
@@ -136,10 +136,10 @@
 // tidings are what a process tells the one that takes over from it, for as long as it is the fleet's member: what follows of its view, and at
 // the end the view itself. Of a time only what is left goes over.
 type tidings struct {
-	Tier    *router.Tier    `json:"tier,omitempty"`
-	LeftMS  float64         `json:"left_ms"` // of Tier.Until; below 0 = for ever
-	Members []router.Member `json:"members"`
-	Last    *fleet.Handed   `json:"last,omitempty"`
+	Tier    *router.Tier         `json:"tier,omitempty"`
+	LeftMS  float64              `json:"left_ms"` // of Tier.Until; below 0 = for ever
+	Members []router.Member      `json:"members"`
+	Last    *fleet.HandoverState `json:"last,omitempty"`
 }
 
 // news keep the latest tidings. Its methods may be called from any goroutine.
@@ -192,7 +192,7 @@
 }
 
 // end tells the last word, and waits until it is out.
-func (n *news) end(h *fleet.Handed) {
+func (n *news) end(h *fleet.HandoverState) {
 	if h == nil {
 		return
 	}
@@ -206,12 +206,12 @@
 
 // heir is this process as one that takes over: it hears the tidings of the one before, until that has ended.
 type heir struct {
-	handed chan *fleet.Handed // its last word, nil = it had none
+	handed chan *fleet.HandoverState // its last word, nil = it had none
 }
 
 // follow passes on the tidings of the process before.
 func (h *heir) follow(words <-chan []byte, tier func(router.Tier), members func([]router.Member)) {
-	var last *fleet.Handed
+	var last *fleet.HandoverState
 	for b := range words {
 		var t tidings
 		if err := json.Unmarshal(b, &t); err != nil {
@@ -234,7 +234,7 @@
 }
 
 // before is fleet.Config's.
-func (h *heir) before(ctx context.Context) (*fleet.Handed, error) {
+func (h *heir) before(ctx context.Context) (*fleet.HandoverState, error) {
 	select {
 	case last := <-h.handed:
 		return last, nil
@@ -250,22 +250,22 @@
 	stop func()
 }
 
-// Yield is handover.Old's.
+// Yield is handover.Predecessor's.
 func (b bequeather) Yield(ctx context.Context) (g handover.Grant, err error) {
-	if g.Part, err = b.Control.Yield(ctx); err == nil && b.s.fleet != nil {
-		g.Words = b.s.news.tell
+	if g.Share, err = b.Control.Yield(ctx); err == nil && b.s.fleet != nil {
+		g.StreamUpdates = b.s.news.tell
 	}
 	return g, err
 }
 
-// Followed is handover.Old's.
+// Followed is handover.Predecessor's.
 func (b bequeather) Followed() {
 	b.handOn(true)
 	b.Control.Followed()
 	b.stop()
 }
 
-// Regain is handover.Old's.
+// Regain is handover.Predecessor's.
 func (b bequeather) Regain() {
 	b.Control.Regain()
 	b.handOn(false)
@@ -274,7 +274,7 @@
 func (b bequeather) handOn(yes bool) {
 	b.s.doors.Freeze(yes)
 	if b.s.fleet != nil {
-		b.s.fleet.HandOn(yes)
+		b.s.fleet.SetHandover(yes)
 	}
 }
 
