--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet carries the routers' view of their fleet: datagrams and streams between the machines of internal/pure/fleet, which
-// settle all. It decides nothing.
+// Package fleet is the network transport of the fleet protocols. It carries datagrams (UDP) and streams (TCP)
+// between the state machines of internal/pure/fleet, internal/pure/quota and internal/pure/admission, which
+// take all decisions, and reports the results to the rest of the router.
 package fleet
 
 import (
@@ -20,116 +21,123 @@
 	"mossproxy.example/mossproxy/internal/pure/quota"
 )
 
-// Times and bounds of the transport. What is over a bound is dropped, as a network may.
+// Timeouts and limits of the transport. Work beyond a limit is dropped: the protocols tolerate message loss.
 const (
 	tickInterval           = 50 * time.Millisecond
-	streamTimeout          = 400 * time.Millisecond // for a stream to a member: connecting, and each frame
-	inboxCapacity          = 512                    // messages and ends of streams that wait for the owner
-	maxStreams             = 32                     // streams to others, and as many from others
-	maxPushPulls           = 4                      // exchanges of views begun here, at once
-	maxExchangeFrames      = 4096                   // of one exchange
-	readBufferBytes        = 1 << 18                // of the socket: a burst of some hundred members
+	streamTimeout          = 400 * time.Millisecond // for connecting; an open stream has twice that
+	inboxCapacity          = 512                    // functions that wait for the owner goroutine
+	maxStreams             = 32                     // outgoing streams, and as many incoming ones
+	maxPushPulls           = 4                      // concurrent view exchanges that this router starts
+	maxExchangeFrames      = 4096                   // frames that are read in one exchange
+	readBufferBytes        = 1 << 18                // of the UDP socket: a burst of some hundred members
 	joinAddrLimit          = 64
-	maxChangeLogsPerSecond = 20 // lines a second that are logged of members' changes; what is over is counted
+	maxChangeLogsPerSecond = 20 // member changes logged per second; the rest is counted
 )
 
-// MaxDescriptors are those that a Fleet may hold: its sockets, and streams.
+// MaxDescriptors is the maximum number of file descriptors that a Fleet holds for its sockets and streams.
 const MaxDescriptors = 4 + 2*maxStreams + maxPushPulls
 
-// MaxJoinAddrs is how many addresses to join by a configuration may name.
+// MaxJoinAddrs is the maximum number of join addresses in a configuration.
 const MaxJoinAddrs = joinAddrLimit
 
-// Config is what a router's part in the fleet works by.
+// Config configures the fleet membership of a router.
 type Config struct {
 	Name, Site      string
-	Listen          string   // HOST:PORT, of datagrams and streams
-	Advertise       string   // by which the others reach it; "" = where it listens
-	Join            []string // HOST:PORT of some others
-	Key             []byte   // 32 bytes; nil = none, for loopback alone
-	ExpectedRouters int      // routers that there are where nobody is met
+	Listen          string   // HOST:PORT, for datagrams and streams
+	Advertise       string   // HOST:PORT at which other members reach it; "" = the listening address
+	Join            []string // HOST:PORT of some other members
+	Key             []byte   // MAC key of 32 bytes; nil = no key, allowed for loopback addresses only
+	ExpectedRouters int      // assumed number of routers if no other member is reached
 
-	// TierChanged is told of each change of this router's part, by the owner's goroutine; nil = nobody is.
+	// TierChanged is called on the owner goroutine after each change of this router's share; may be nil.
 	TierChanged func(Tier)
-	// MembersChanged is told who is there and is heard, this router among them, after changes, by the owner's goroutine; nil = nobody is.
+	// MembersChanged is called on the owner goroutine after changes with all members that are alive or
+	// suspect, this router included; may be nil.
 	MembersChanged func([]Member)
 
-	// RequestCount counts the requests that have come: by it routers lend each other their parts. It may not block; nil = nothing is lent. All routers
-	// of a fleet lend, or none does.
+	// RequestCount returns the total number of requests so far. Routers lease shares to each other by its
+	// rate. It must not block; nil disables leases. Either all routers of a fleet use leases or none does.
 	RequestCount func() uint64
 
-	// PoolDemands is what has come to each pool so far, and Line is told what a pool serves, until a time, while the fleet can't serve all, by the
-	// owner's goroutine. Neither may block; nil = the fleet settles no line. Both go with Work.
+	// PoolDemands returns the total demand of each pool so far. ThresholdChanged is called on the owner
+	// goroutine with the admission threshold of a pool, valid until a time, while the fleet lacks the
+	// capacity to serve all demand. Neither may block; nil PoolDemands disables admission thresholds. Both
+	// require RequestCount.
 	PoolDemands      func() []PoolDemand
 	ThresholdChanged func(pool string, l admission.Threshold, until time.Time)
 
-	// Sockets are those of the process that this one takes over from; nil = it listens by itself.
+	// Sockets are inherited from the previous process; nil = the Fleet opens its own.
 	Sockets *Sockets
-	// AwaitPredecessor waits until the process before this one takes part no longer, and gives what it handed on, nil where that is nothing. An error
-	// means that it never will. nil = there was no such process.
+	// AwaitPredecessor waits until the previous process has left the protocol, and returns the state that it
+	// handed over, or nil if there is none. An error means that this process never takes over. The function
+	// is nil if there was no previous process.
 	AwaitPredecessor func(ctx context.Context) (*HandoverState, error)
 }
 
-// PoolDemand is what has come to a pool.
+// PoolDemand is the demand of a pool so far.
 type PoolDemand struct {
 	Pool string
 	admission.Demand
 }
 
-// Member is a router that is heard.
+// Member is a router that is alive or suspect.
 type Member struct {
 	Name string
-	Host string // of the address by which the others reach it
-	Meta string // what it tells of itself; see Say
+	Host string // IP address at which other members reach it
+	Meta string // metadata that it announces; see Fleet.SetMeta
 }
 
-// TierChanged is what follows of the view for what all routers share.
+// Tier is this router's share of the resources that all routers of the tier have in common.
 type Tier struct {
-	Routers int // that are there, this one among them
-	Parts   float64
-	Until   time.Time // with its monotonic part; zero = for ever
-	Then    float64
+	Routers int       // number of present routers, this one included
+	Parts   float64   // the share is 1/Parts
+	Until   time.Time // expiry of the share, with a monotonic reading; zero = it does not expire
+	Then    float64   // value of Parts after Until
 }
 
-// Counters count what went over the network and what came of it.
+// Counters holds totals since the start: messages and bytes sent and received, messages rejected (Refused),
+// work dropped at a limit or by a failed exchange, and member state changes.
 type Counters struct {
 	Sent, SentBytes, Received, ReceivedBytes, Refused, Dropped, Changes uint64
 }
 
-// View is the view with figures, at one moment.
+// View is a snapshot of the membership view with counters and statistics.
 type View struct {
 	fleet.View
-	NowMS          float64 // on the clock of its times
+	NowMS          float64 // the moment of the snapshot, on the clock of its times
 	Counters       Counters
 	Leases         LeaseStats
 	PoolAdmissions []PoolAdmission
 }
 
-// Fleet is a router's part in the fleet.
+// Fleet runs the fleet protocols of this router. The goroutine that calls Run owns the state machines; others
+// reach them through inbox.
 type Fleet struct {
 	cfg              Config
 	udp              *net.UDPConn
 	tcp              *net.TCPListener
 	machine          *fleet.Machine
 	machineConfig    fleet.Config
-	leases           *leaseManager        // nil = there are none
-	admissions       *admissionController // nil = there are none
+	leases           *leaseManager        // nil = leases are disabled
+	admissions       *admissionController // nil = admission thresholds are disabled
 	startedAt        time.Time
-	inbox            chan func() // to the owner
+	inbox            chan func() // runs on the owner goroutine
 	ctx              context.Context
-	streamWG         sync.WaitGroup // of streams
-	outStreams       chan struct{}  // a place each
+	streamWG         sync.WaitGroup // stream goroutines
+	outStreams       chan struct{}  // semaphores, one slot for each stream or exchange
 	inStreams        chan struct{}
 	pushPulls        chan struct{}
 	changeLog        logLimiter
 	lastTier         Tier
-	handingOver      atomic.Bool    // another process goes on
-	handedOver       *HandoverState // to that one
-	started          atomic.Bool    // there is a machine
-	publishedVersion uint64         // changes that Members has been told of, and one more; 0 = none
+	handingOver      atomic.Bool    // a successor process continues the membership
+	handedOver       *HandoverState // state for the successor
+	started          atomic.Bool    // no predecessor holds the view any more
+	publishedVersion uint64         // ChangeCount at the last MembersChanged call, plus 1; 0 = never called
 	counters         struct{ sent, sentBytes, received, receivedBytes, rejected, dropped, changes atomic.Uint64 }
 }
 
-// Open listens. An error leaves nothing open.
+// Open opens the sockets, or takes inherited ones, and prepares the state machines. On error nothing stays
+// open.
 func Open(cfg Config) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, startedAt: time.Now(), inbox: make(chan func(), inboxCapacity), outStreams: make(chan struct{}, maxStreams), inStreams: make(chan struct{}, maxStreams),
 		pushPulls: make(chan struct{}, maxPushPulls)}
@@ -143,14 +151,14 @@
 	return f, nil
 }
 
-// listen opens datagrams and streams at one port.
+// listen opens a UDP and a TCP socket on the same port.
 func (f *Fleet) listen() error {
 	if s := f.cfg.Sockets; s != nil {
 		f.udp, f.tcp = s.Datagrams, s.Streams
 		return nil
 	}
 	var err error
-	for range 8 { // a port that the system chose for one may be another's for the other
+	for range 8 { // a port that the system chose for TCP may be in use for UDP
 		var tcp net.Listener
 		if tcp, err = net.Listen("tcp", f.cfg.Listen); err != nil {
 			return err
@@ -158,7 +166,7 @@
 		f.tcp = tcp.(*net.TCPListener)
 		addr := tcp.Addr().(*net.TCPAddr)
 		if f.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: addr.IP, Port: addr.Port}); err == nil {
-			f.udp.SetReadBuffer(readBufferBytes) //nolint:errcheck // with less, more is sent again
+			f.udp.SetReadBuffer(readBufferBytes) //nolint:errcheck // a smaller buffer means more retransmissions
 			return nil
 		}
 		tcp.Close()
@@ -166,7 +174,7 @@
 	return err
 }
 
-// startMachine makes the machine, where no other process is to hand on its own.
+// startMachine creates the membership machine and the lease and admission machines that depend on it.
 func (f *Fleet) startMachine() error {
 	own, err := resolve(f.advertisedAddr())
 	if err != nil {
@@ -179,7 +187,8 @@
 	if err != nil {
 		return err
 	}
-	// The start tells two processes of one name apart, and which is the later one: a time, and a draw for two of one millisecond.
+	// The start distinguishes two processes with the same name and orders them: wall-clock milliseconds in
+	// the high bits, and 16 random bits in case both start in the same millisecond.
 	start := uint64(time.Now().UnixMilli())<<16 | rand.Uint64N(1<<16)
 	f.machineConfig = fleet.Config{Name: f.cfg.Name, Site: f.cfg.Site, Addr: toMachineAddr(own), Start: start, Join: join, ExpectedRouters: max(1, f.cfg.ExpectedRouters),
 		Streams: true, Seed: rand.Uint64()}
@@ -206,7 +215,7 @@
 	return f.udp.LocalAddr().String()
 }
 
-// resolveJoinAddrs reads addresses to join by.
+// resolveJoinAddrs resolves and checks join addresses.
 func (f *Fleet) resolveJoinAddrs(texts []string) (out []fleet.Addr, err error) {
 	if len(texts) > joinAddrLimit {
 		return nil, fmt.Errorf("%d addresses to join by; %d are the most", len(texts), joinAddrLimit)
@@ -224,7 +233,7 @@
 	return out, nil
 }
 
-// resolve reads HOST:PORT; a name is looked up once.
+// resolve parses HOST:PORT. A host name is looked up once.
 func resolve(text string) (netip.AddrPort, error) {
 	if a, err := netip.ParseAddrPort(text); err == nil && a.Port() > 0 && !a.Addr().IsUnspecified() {
 		return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), nil
@@ -248,24 +257,25 @@
 	return netip.AddrPortFrom(netip.AddrFrom16(a.IP).Unmap(), a.Port)
 }
 
-// Addr is where the router listens for others.
+// Addr returns the address at which the router listens for other members.
 func (f *Fleet) Addr() string { return f.udp.LocalAddr().String() }
 
-// Close lets go of the sockets of a Fleet that does not run.
+// Close closes the sockets of a Fleet that is not running.
 func (f *Fleet) Close() {
 	f.udp.Close()
 	f.tcp.Close()
 }
 
-// now is the machine's time: it grows whatever the wall clock does. It does not begin at 0, which stands for never.
+// now returns the machines' time in ms. It is monotonic and does not start at 0, which stands for "never".
 func (f *Fleet) now() float64 { return 1e6 + float64(time.Since(f.startedAt).Microseconds())/1000 }
 
-// Run takes part until ctx ends, says goodbye, and closes the sockets. It returns an error where another process goes by this one's name.
+// Run runs the protocols until ctx ends, then leaves the fleet or hands over, and closes the sockets. It
+// returns an error if another process uses the same member name.
 func (f *Fleet) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(ctx)
 	f.ctx = work
 	var wg sync.WaitGroup
-	defer f.streamWG.Wait() // who may begin streams has ended by then
+	defer f.streamWG.Wait() // the goroutines that start streams have ended by then
 	defer wg.Wait()
 	defer f.Close()
 	defer stop()
@@ -302,7 +312,8 @@
 	}
 }
 
-// post has something done by the owner. Where too much waits it is dropped.
+// post queues a function for the owner goroutine. It returns false if the inbox is full: the function is
+// dropped.
 func (f *Fleet) post(do func()) bool {
 	select {
 	case f.inbox <- do:
@@ -313,7 +324,7 @@
 	}
 }
 
-// call has something done by the owner, and waits for it.
+// call runs a function on the owner goroutine and waits for its end or for that of ctx.
 func (f *Fleet) call(ctx context.Context, do func()) error {
 	done := make(chan struct{})
 	select {
@@ -329,7 +340,9 @@
 	}
 }
 
-// demandRate has the owner answer, and waits for that. What comes after ctx has ended is nobody's: the answer goes by a place of its own.
+// callResult runs a function on the owner goroutine and returns its result. The result travels through a
+// channel of its own, so that a function that runs after ctx has ended writes to nothing that the caller
+// reads.
 func callResult[T any](ctx context.Context, f *Fleet, do func() T) (out T, err error) {
 	got := make(chan T, 1)
 	if err := f.call(ctx, func() { got <- do() }); err != nil {
@@ -338,12 +351,12 @@
 	return <-got, nil
 }
 
-// View is what the router knows.
+// View returns a snapshot of the membership view. It fails while a predecessor process holds the view.
 func (f *Fleet) View(ctx context.Context) (v View, err error) {
 	if !f.started.Load() {
 		return v, errPredecessorActive
 	}
-	got := make(chan View, 1) // its own: ctx may end before the owner comes to it
+	got := make(chan View, 1) // own channel: ctx may end before the function runs
 	err = f.call(ctx, func() {
 		v := View{View: f.machine.View(f.now()), NowMS: f.now(), Counters: f.counterValues()}
 		if v.Leases.Share = shareForRouters(v.Share.Routers); f.leases != nil {
@@ -365,7 +378,7 @@
 	return Counters{c.sent.Load(), c.sentBytes.Load(), c.received.Load(), c.receivedBytes.Load(), c.rejected.Load(), c.dropped.Load(), c.changes.Load()}
 }
 
-// SetJoinAddrs takes other addresses to join by.
+// SetJoinAddrs replaces the join addresses.
 func (f *Fleet) SetJoinAddrs(ctx context.Context, join []string) error {
 	to, err := f.resolveJoinAddrs(join)
 	if err != nil {
@@ -377,18 +390,18 @@
 	return f.call(ctx, func() { f.machine.SetJoinAddrs(to) })
 }
 
-// host carries out what the machine wants; the owner calls it.
+// host implements fleet.Host. The machine calls it on the owner goroutine.
 type host struct{ *Fleet }
 
-// Send sends a datagram. What the system says of it is no proof of anything.
+// Send sends a datagram. Socket errors are ignored: they say nothing reliable about the receiver.
 func (h host) Send(to fleet.Addr, m []byte) {
 	b := fleet.AppendMAC(h.cfg.Key, m)
 	h.counters.sent.Add(1)
 	h.counters.sentBytes.Add(uint64(len(b)))
-	h.udp.WriteToUDPAddrPort(b, fromMachineAddr(to)) //nolint:errcheck // lost, as on the way
+	h.udp.WriteToUDPAddrPort(b, fromMachineAddr(to)) //nolint:errcheck // the same as a loss on the network
 }
 
-// Cargo passes on what another router's parts have to say.
+// DeliverPayload passes a payload from another router to the admission controller or the lease manager.
 func (h host) DeliverPayload(from fleet.Record, b []byte) {
 	pool, ours := admission.MessagePool(b)
 	switch {
@@ -399,7 +412,7 @@
 	}
 }
 
-// Changed logs what became of a member.
+// MemberChanged logs a state change of a member, up to maxChangeLogsPerSecond.
 func (h host) MemberChanged(c fleet.Change) {
 	h.counters.changes.Add(1)
 	if !h.changeLog.allow(maxChangeLogsPerSecond) {
@@ -419,7 +432,7 @@
 	slog.Log(h.ctx, level, "fleet: member", "name", c.Name, "addr", c.Addr.String(), "state", c.State.String(), "was", was, "start", c.Start, "word", by)
 }
 
-// logLimiter bounds the lines of a second. Its owner's goroutine alone uses it.
+// logLimiter limits the log lines per second. Only the owner goroutine uses it.
 type logLimiter struct {
 	used, suppressed int
 	windowStart      time.Time
@@ -433,21 +446,21 @@
 	return true
 }
 
-// nextWindow begins another second, and says what was left out of the one before.
+// nextWindow starts a new window once a second has passed, and logs how many lines the last one suppressed.
 func (b *logLimiter) nextWindow(now time.Time) {
 	if now.Sub(b.windowStart) < time.Second {
 		return
 	}
 	if b.suppressed > 0 {
-		slog.Warn("fleet: more changes of members than are logged", "left_out", b.suppressed)
+		slog.Warn("fleet: member changes were not logged: too many per second", "left_out", b.suppressed)
 	}
 	*b = logLimiter{windowStart: now}
 }
 
-// isClosed says whether an error only tells that a socket was closed here.
+// isClosed reports whether an error means that the socket was closed by this process.
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
 
-// read takes datagrams until the socket closes.
+// read receives datagrams until the socket closes.
 func (f *Fleet) read() {
 	buf := make([]byte, fleet.MaxMessage+1)
 	for {
@@ -456,7 +469,7 @@
 			return
 		}
 		if err != nil {
-			continue // of another datagram: nothing came
+			continue // an ICMP error of an earlier datagram: nothing was received
 		}
 		f.counters.received.Add(1)
 		f.counters.receivedBytes.Add(uint64(n))
@@ -470,10 +483,10 @@
 	}
 }
 
-// receive has the machine take a message. The owner calls it.
+// receive passes a message to the machine. It runs on the owner goroutine.
 func (f *Fleet) receive(m []byte) {
 	if err := f.machine.Receive(f.now(), m); err != nil {
 		f.counters.rejected.Add(1)
-		slog.Debug("fleet: a message is refused", "why", err)
+		slog.Debug("fleet: message rejected", "why", err)
 	}
 }
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -15,41 +15,44 @@
 	"mossproxy.example/mossproxy/internal/pure/quota"
 )
 
-// Sockets are those by which the others reach a router.
+// Sockets holds the sockets at which other members reach a router.
 type Sockets struct {
 	Datagrams *net.UDPConn
 	Streams   *net.TCPListener
 }
 
-// Sockets are a Fleet's own, for a process that takes over from this one.
+// Sockets returns the sockets of the Fleet, for a process that takes over from this one.
 func (f *Fleet) Sockets() (streams, datagrams syscall.Conn) { return f.tcp, f.udp }
 
-// HandoverState is what a process hands on to the next of the same router.
+// HandoverState is the state that a process hands over to the next process of the same router.
 type HandoverState struct {
 	fleet.Snapshot
-	AtMS   float64             `json:"at_ms"` // on the clock of the machine that runs since its start
+	AtMS   float64             `json:"at_ms"` // time of the snapshot, in ms since boot
 	Leases quota.HandoverState `json:"loans"`
 }
 
-// errPredecessorActive is said where another process of this router still keeps the view.
+// errPredecessorActive is returned while the previous process of this router still holds the view.
 var errPredecessorActive = errors.New("fleet: the process before this one keeps the view until it has ended")
 
-// bootTimeMS is a clock that all processes of the machine share and that nobody sets.
+// bootTimeMS returns the time since boot in ms. All processes of the host share this clock and nobody can set
+// it.
 func bootTimeMS() (float64, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return 0, fmt.Errorf("the clock of the machine: %w", err)
+		return 0, fmt.Errorf("read CLOCK_BOOTTIME: %w", err)
 	}
 	return float64(t.Nano()) / float64(time.Millisecond), nil
 }
 
-// SetHandover has the view go on in another process of this router, to which Handed goes once Run has ended; or not any more.
+// SetHandover sets whether Run, when it ends, hands the view over to a successor process (see HandoverState)
+// instead of leaving the fleet.
 func (f *Fleet) SetHandover(yes bool) { f.handingOver.Store(yes) }
 
-// HandoverState is what there is to hand on after Run, nil where that is nothing.
+// HandoverState returns the state for the successor after Run has ended, or nil if there is none.
 func (f *Fleet) HandoverState() *HandoverState { return f.handedOver }
 
-// leaveOrHandOver ends this process's part: the router leaves, or goes on in another process.
+// leaveOrHandOver ends the membership of this process: it saves the state for a successor, or leaves the
+// fleet.
 func (f *Fleet) leaveOrHandOver() {
 	if f.handingOver.Load() {
 		s, err := f.machine.Snapshot(f.now())
@@ -61,12 +64,13 @@
 			}
 			return
 		}
-		slog.Error("fleet: the view is not handed on", "why", err)
+		slog.Error("fleet: view not handed over; leaving the fleet", "why", err)
 	}
 	f.machine.Leave(f.now())
 }
 
-// takeOver takes the place of the process before, if there was one. It returns false where ctx ends sooner.
+// takeOver waits for the predecessor, if there is one, and resumes from its state. It returns false if this
+// process never takes over, e.g. as ctx has ended.
 func (f *Fleet) takeOver(ctx context.Context) bool {
 	if f.cfg.AwaitPredecessor == nil {
 		return true
@@ -76,15 +80,15 @@
 		return false
 	}
 	if h == nil {
-		slog.Warn("fleet: the process before has handed nothing on: the router joins anew")
+		slog.Warn("fleet: the previous process handed over no state; joining as a new member")
 	} else if err := f.resume(h); err != nil {
-		slog.Warn("fleet: the view is not taken over: the router joins anew", "why", err)
+		slog.Warn("fleet: handed-over state is unusable; joining as a new member", "why", err)
 	}
 	f.started.Store(true)
 	return true
 }
 
-// resume goes on with what the process before knew.
+// resume restores the state of the predecessor, advanced by the time that has passed since its snapshot.
 func (f *Fleet) resume(h *HandoverState) error {
 	at, err := bootTimeMS()
 	if err != nil {
--- a/internal/fleet/loans.go
+++ b/internal/fleet/loans.go
@@ -10,27 +10,29 @@
 	"mossproxy.example/mossproxy/internal/pure/quota"
 )
 
-// The only good is what all routers share as one: cold servers' budgets and fetches.
+// Resources that routers lease to each other. There is one: the capacity that all routers share, which is the
+// budgets of cold servers and the fetches.
 const (
 	sharedResource = 0
 	numResources   = 1
 )
 
-// rateWindow is the time over which work is counted as a rate.
+// rateWindow is the time constant of the moving average of the request rate.
 const rateWindow = time.Second
 
-// leaseManager are how this router lends its part of what all share, and borrows of the others'. The owner's goroutine alone uses it.
+// leaseManager leases this router's share of the common resource to other routers, and leases of theirs. Only
+// the owner goroutine uses it.
 type leaseManager struct {
 	f            *Fleet
 	machine      *quota.Machine
 	peers        []quota.Peer
-	peersVersion uint64 // of the view that peers are of, and one more
-	lastCount    uint64 // of work, at lastCountAt
+	peersVersion uint64 // ChangeCount at which peers was built, plus 1
+	lastCount    uint64 // RequestCount at lastCountAt
 	lastCountAt  time.Time
-	rate         float64
+	rate         float64 // requests per second
 }
 
-// newLeaseManager is nil where nothing is lent.
+// newLeaseManager returns nil if leases are disabled.
 func newLeaseManager(f *Fleet) (*leaseManager, error) {
 	if f.cfg.RequestCount == nil {
 		return nil, nil
@@ -41,29 +43,30 @@
 	return l, err
 }
 
-// Send is quota.Host's.
+// Send implements quota.Host.
 func (l *leaseManager) Send(to quota.Peer, m []byte) {
 	l.f.machine.SendPayload(l.f.now(), to.Name, to.Start, m)
 }
 
-// deliver takes what another router has to say of loans, once the machine that brought it has returned.
+// deliver queues a lease message from another router: the membership machine that delivers it must return
+// first.
 func (l *leaseManager) deliver(from fleet.Record, b []byte) {
 	l.f.post(func() {
 		l.machine.UpdateShare(l.f.now(), l.baseShare())
 		if err := l.machine.Receive(l.f.now(), quota.Peer{Name: from.Name, Start: from.Start}, b); err != nil {
 			l.f.counters.rejected.Add(1)
-			slog.Debug("fleet: a word of loans is refused", "from", from.Name, "why", err)
+			slog.Debug("fleet: lease message rejected", "from", from.Name, "why", err)
 		}
 	})
 }
 
-// baseShare is what the view gives this router.
+// baseShare returns the share that follows from the membership view, without leases.
 func (l *leaseManager) baseShare() quota.BaseShare {
 	p := l.f.machine.Share()
 	return quota.BaseShare{Share: shareForRouters(p.Routers), Until: p.Until, After: shareForRouters(p.RoutersAfter)}
 }
 
-// shareForRouters is one of so many parts; holding is none.
+// shareForRouters returns the equal share among a number of routers; it is 0 from fleet.NoShare on.
 func shareForRouters(parts float64) float64 {
 	if parts >= fleet.NoShare {
 		return 0
@@ -71,7 +74,7 @@
 	return 1 / parts
 }
 
-// routersForShare is how many parts a share is one of.
+// routersForShare is the inverse of shareForRouters.
 func routersForShare(share float64) float64 {
 	if share <= 1.0/fleet.NoShare {
 		return fleet.NoShare
@@ -79,7 +82,7 @@
 	return 1 / share
 }
 
-// tickInterval counts work, and asks and lends.
+// tick updates the request rate and the list of peers, and runs the lease machine.
 func (l *leaseManager) tick() {
 	if at := time.Now(); l.lastCountAt.IsZero() {
 		l.lastCount, l.lastCountAt = l.f.cfg.RequestCount(), at
@@ -100,7 +103,8 @@
 	l.machine.Tick(l.f.now(), l.baseShare(), []float64{l.rate}, l.peers)
 }
 
-// usableShare is what this router may use with loans, until a time, and from there on without them.
+// usableShare returns the share that this router may use with its leases until they expire, and the share
+// after that.
 func (l *leaseManager) usableShare() fleet.Share {
 	now := l.f.now()
 	l.machine.UpdateShare(now, l.baseShare())
@@ -108,8 +112,8 @@
 	return fleet.Share{Routers: routersForShare(l.machine.UsableShare(now, sharedResource)), Until: until, RoutersAfter: routersForShare(then)}
 }
 
-// Leases are what a router may use, of that what it has borrowed, and what of its own it has lent, as shares of the whole; and the work that
-// it has.
+// LeaseStats holds the share that a router may use, the part of it that is leased from others, and what is
+// leased to others of its own share, all as fractions of the whole; and its rate in requests per second.
 type LeaseStats struct{ Share, LeasedIn, LeasedOut, Rate float64 }
 
 func (l *leaseManager) stats() LeaseStats {
--- a/internal/fleet/tell.go
+++ b/internal/fleet/tell.go
@@ -7,13 +7,14 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// minExtension is by how much a right has to be longer before the news of that are worth an event.
+// minExtension is how much later a share has to expire for the extension alone to be announced.
 const minExtension = 5 * time.Second
 
-// noticeableRatio is the number of parts, as a part of that before, below which the news of a larger one are worth an event.
+// noticeableRatio is the ratio of the new to the previous Tier.Parts below which a larger share is announced.
 const noticeableRatio = 0.98
 
-// announce says what the router's part is, where that has changed: at once where it is less, and where it is noticeably more or lasts longer.
+// publishTier announces the router's share after a change: always if it has become smaller or expires sooner,
+// and otherwise if it is noticeably larger or lasts longer, or the number of routers has changed.
 func (f *Fleet) publishTier() {
 	if f.cfg.TierChanged == nil {
 		return
@@ -33,19 +34,20 @@
 	f.cfg.TierChanged(t)
 }
 
-// reducedFrom says whether a part is smaller than the one before, or ends sooner.
+// reducedFrom reports whether a share is smaller than the previous one, or expires sooner.
 func (t Tier) reducedFrom(was Tier) bool {
 	sooner := !t.Until.IsZero() && (was.Until.IsZero() || t.Until.Before(was.Until.Add(-tickInterval)))
 	return t.Parts > was.Parts || t.Then > was.Then || sooner
 }
 
-// increasedFrom says whether it is noticeably larger, or lasts longer by so much.
+// increasedFrom reports whether a share is noticeably larger than the previous one, or expires later by at
+// least the given time.
 func (t Tier) increasedFrom(was Tier, longer time.Duration) bool {
 	lasts := !was.Until.IsZero() && (t.Until.IsZero() || t.Until.Sub(was.Until) >= longer)
 	return t.Parts < noticeableRatio*was.Parts || t.Then < noticeableRatio*was.Then || lasts
 }
 
-// publishMembers says who is there, once after all changes of a tick.
+// publishMembers announces the members, at most once per tick.
 func (f *Fleet) publishMembers() {
 	if f.cfg.MembersChanged == nil || f.publishedVersion == f.machine.ChangeCount()+1 {
 		return
@@ -61,12 +63,12 @@
 	f.cfg.MembersChanged(all)
 }
 
-// SetMeta has the router tell the others something of itself, up to fleet.MaxMeta bytes. It may be called before Run, and drops what finds no
-// room: then it returns false.
+// SetMeta sets the metadata that the router announces to the other members, up to fleet.MaxMeta bytes. It may
+// be called before Run. It returns false if the inbox is full: the call has no effect then.
 func (f *Fleet) SetMeta(card string) bool {
 	return f.post(func() {
 		if err := f.machine.SetMeta(f.now(), card); err != nil {
-			slog.Error("fleet: what the router has to tell is not told", "why", err)
+			slog.Error("fleet: metadata not announced", "why", err)
 		}
 	})
 }
