--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -166,7 +166,7 @@
 		f.tcp = tcp.(*net.TCPListener)
 		addr := tcp.Addr().(*net.TCPAddr)
 		if f.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: addr.IP, Port: addr.Port}); err == nil {
-			f.udp.SetReadBuffer(readBufferBytes) //nolint:errcheck // a smaller buffer means more retransmissions
+			f.udp.SetReadBuffer(readBufferBytes) //nolint:errcheck // a smaller one means more retransmissions
 			return nil
 		}
 		tcp.Close()
--- a/internal/fleet/lines.go
+++ b/internal/fleet/lines.go
@@ -14,54 +14,54 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// Bounds of lines.
+// Limits and intervals of the admission thresholds.
 const (
-	maxPools           = 16 // that have one
-	minShareChange     = 0.01
-	reannounceInterval = 250 * time.Millisecond // where it has moved less than that
-	logInterval        = time.Second            // between two lines of the log about one pool
+	maxPools           = 16                     // pools with an admission threshold; further ones have none
+	minShareChange     = 0.01                   // smallest change of Threshold.Share that is announced at once
+	reannounceInterval = 250 * time.Millisecond // for announcements without such a change
+	logInterval        = time.Second            // minimum time between two log lines about one pool
 )
 
-// admissionController are what the pools of this router serve while the fleet can't serve all. The owner's goroutine alone uses it.
+// admissionController runs the admission thresholds of this router's pools. Only the owner goroutine uses it.
 type admissionController struct {
 	f            *Fleet
 	pools        map[uint32]*poolController
-	peers        []admission.Peer // all that are heard: one that has no part yet is asked for as much as others
-	peersVersion uint64           // of the view that peers are of, and one more
+	peers        []admission.Peer // alive and suspect: a router without a share yet has as much demand as others
+	peersVersion uint64           // ChangeCount at which peers was built, plus 1
 }
 
-// poolController is that of one pool.
+// poolController runs the admission threshold of one pool.
 type poolController struct {
 	f            *Fleet
 	name         string
 	machine      *admission.Machine
 	announced    admission.Threshold
-	announcedAt  time.Time // when
-	loggedBand   int       // the band that the log knows of
+	announcedAt  time.Time // time of the last announcement
+	loggedBand   int       // Threshold.Band in the last log line
 	loggedAt     time.Time
-	lastDemand   admission.Demand // as it was a second before
+	lastDemand   admission.Demand // totals at lastDemandAt, a second ago
 	lastDemandAt time.Time
-	shedRate     [decide.NumBands]float64 // work a second that is refused as it is under the line, and
-	demandRate   [decide.NumBands]float64 // that is asked for
-	rejectedRate float64                  // and that is refused though it is over the line
+	shedRate     [decide.NumBands]float64 // work per second that is shed below the threshold
+	demandRate   [decide.NumBands]float64 // work per second that has arrived
+	rejectedRate float64                  // work per second that is rejected though it is above the threshold
 }
 
-// poolID is by what all routers know a pool of a name.
+// poolID returns the number by which all routers identify the pool of a name.
 func poolID(name string) uint32 {
 	h := fnv.New32a()
-	h.Write([]byte(name)) //nolint:errcheck // it never fails
+	h.Write([]byte(name)) //nolint:errcheck // a hash never fails
 	return h.Sum32()
 }
 
-// Send is admission.Host's.
+// Send implements admission.Host.
 func (p *poolController) Send(to admission.Peer, m []byte) {
 	p.f.machine.SendPayload(p.f.now(), to.Name, to.Start, m)
 }
 
-// tickInterval has each pool's machine take what has come, and tells what follows.
+// tick passes the demand of each pool to its machine and announces the resulting threshold.
 func (l *admissionController) tick() {
 	share := l.f.leases.baseShare().Share
-	if present := l.f.machine.Present(); share == 0 { // who has no part yet uses half of an equal one
+	if present := l.f.machine.Present(); share == 0 { // without a share yet: assume half of an equal one
 		share = 0.5 / float64(max(1, present))
 	}
 	if l.peersVersion != l.f.machine.ChangeCount()+1 {
@@ -89,7 +89,7 @@
 	}
 }
 
-// updateRates keeps figures of what is refused, over a second.
+// updateRates computes the rates of arrived, shed and rejected work, once per second.
 func (p *poolController) updateRates(d admission.Demand) {
 	now := time.Now()
 	if gone := now.Sub(p.lastDemandAt); gone >= time.Second {
@@ -106,7 +106,7 @@
 	}
 }
 
-// announce says what the pool serves, where that has changed or is about to lapse.
+// announce reports the threshold of the pool after a change or before the last report expires, and logs it.
 func (p *poolController) announce() {
 	now, at := p.f.now(), time.Now()
 	l := p.machine.Threshold(now)
@@ -125,37 +125,39 @@
 	p.loggedBand, p.loggedAt = l.Band, at
 	f := p.machine.Stats()
 	if none {
-		slog.Info("fleet: all is served again", "pool", p.name, "asked", f.MeanRate, "room", f.MeanCapacity)
+		slog.Info("fleet: load shedding ended", "pool", p.name, "asked", f.MeanRate, "room", f.MeanCapacity)
 		return
 	}
-	slog.Warn("fleet: more is asked than servers can do; what is under the line is refused at all routers alike", "pool", p.name,
+	slog.Warn("fleet: demand exceeds server capacity; all routers shed requests below the admission threshold", "pool", p.name,
 		"worth", MinWorth(l.Band), "share", l.Share, "asked", f.MeanRate, "room", f.MeanCapacity)
 }
 
-// MinWorth is the least worth in a band, as a share of the highest.
+// MinWorth returns the lowest worth in a band, as a fraction of the highest worth.
 func MinWorth(band int) float64 { return math.Exp2(-float64(band+1) / 2) }
 
-// deliver takes what another router has to say of a pool, once the machine that brought it has returned.
+// deliver queues an admission message from another router: the membership machine that delivers it must
+// return first.
 func (l *admissionController) deliver(from fleet.Record, pool uint32, b []byte) {
 	l.f.post(func() {
 		p := l.pools[pool]
 		if p == nil {
-			return // it has no such pool, or has not begun
+			return // this router has no such pool, or has not ticked yet
 		}
 		if err := p.machine.Receive(l.f.now(), admission.Peer{Name: from.Name, Start: from.Start}, b); err != nil {
 			l.f.counters.rejected.Add(1)
-			slog.Debug("fleet: a word of the line is refused", "from", from.Name, "why", err)
+			slog.Debug("fleet: admission message rejected", "from", from.Name, "why", err)
 		}
 	})
 }
 
-// PoolAdmission is what a pool serves while the fleet can't serve all, with what it follows from: work a second, in the mean over the routers.
+// PoolAdmission holds the admission threshold of a pool and the estimates behind it: Stats is in work per
+// second, as the mean over the routers, and the rates are in work per second at this router.
 type PoolAdmission struct {
 	Pool string
 	admission.Threshold
 	admission.Stats
-	DemandRate, ShedRate [decide.NumBands]float64 // here
-	RejectedRate         float64
+	DemandRate, ShedRate [decide.NumBands]float64 // arrived, and shed below the threshold, by band
+	RejectedRate         float64                  // rejected though above the threshold
 }
 
 func (l *admissionController) stats() (out []PoolAdmission) {
--- a/internal/fleet/stream.go
+++ b/internal/fleet/stream.go
@@ -14,16 +14,18 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// A stream carries frames: a length of two bytes and a sealed message. The one who connects sends one question, which the other one
-// answers; or the sums of its view, which the other one answers with its own, and then the pages that differ and a frame of length 0,
-// which the other one answers with its own pages and such a frame. Neither writes what the other does not wait to read.
+// A stream carries frames: a length of two bytes and a message with a MAC. The connecting side either sends
+// one request and reads one answer, or exchanges views: each side sends the bucket digests of its view, the
+// connecting side first, and then the pages of the buckets that differ, ended by a frame of length 0. No side
+// writes before the other one waits to read.
 
+// writeFrame writes a message with its length.
 func writeFrame(w io.Writer, b []byte) error {
 	_, err := w.Write(append(binary.BigEndian.AppendUint16(make([]byte, 0, 2+len(b)), uint16(len(b))), b...))
 	return err
 }
 
-// readFrame reads a message, nil at the mark of the end.
+// readFrame reads a message and verifies its MAC. It returns nil for the end marker, a frame of length 0.
 func (f *Fleet) readFrame(r io.Reader) ([]byte, error) {
 	var head [2]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -34,7 +36,7 @@
 		return nil, nil
 	}
 	if n > fleet.MaxMessage {
-		return nil, fmt.Errorf("a frame of %d bytes; %d are the most", n, fleet.MaxMessage)
+		return nil, fmt.Errorf("frame of %d bytes exceeds the maximum of %d", n, fleet.MaxMessage)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -43,7 +45,8 @@
 	return fleet.VerifyMAC(f.cfg.Key, b)
 }
 
-// accept takes streams of others until the listener closes. Each has its goroutine; there are so many places.
+// accept serves incoming streams until the listener closes, each on a goroutine of its own and up to
+// maxStreams at once. A connection beyond that is closed.
 func (f *Fleet) accept() {
 	for {
 		c, err := f.tcp.Accept()
@@ -51,7 +54,7 @@
 			return
 		}
 		if err != nil {
-			select { // descriptors are short: that passes
+			select { // e.g. out of file descriptors, which is temporary
 			case <-time.After(tickInterval):
 				continue
 			case <-f.ctx.Done():
@@ -73,12 +76,12 @@
 
 // limitConn has a connection end with the fleet, and its reads and writes end in time.
 func (f *Fleet) limitConn(c net.Conn) (end func()) {
-	c.SetDeadline(time.Now().Add(2 * streamTimeout)) //nolint:errcheck // reads tell
+	c.SetDeadline(time.Now().Add(2 * streamTimeout)) //nolint:errcheck // reads report it
 	stop := context.AfterFunc(f.ctx, func() { c.Close() })
 	return func() { stop(); c.Close() }
 }
 
-// serve answers on a stream.
+// serve answers a request or a view exchange on an incoming stream.
 func (f *Fleet) serve(c net.Conn) {
 	defer f.limitConn(c)()
 	r, w := bufio.NewReader(c), bufio.NewWriter(c)
@@ -110,18 +113,19 @@
 			f.counters.rejected.Add(1)
 			return
 		}
-		if got.message != nil { // one question, one answer
+		if got.message != nil { // a stream has one request and one answer
 			f.sendFrame(w, got.message)
-			w.Flush() //nolint:errcheck // the other asks again
+			w.Flush() //nolint:errcheck // the peer retries
 			return
 		}
 	}
 	if all, err := callResult(f.ctx, f, func() [][]byte { return f.machine.Pages(differ) }); err == nil {
-		f.writePages(w, all) //nolint:errcheck // the other asks again
+		f.writePages(w, all) //nolint:errcheck // the peer retries
 	}
 }
 
-// compareDigests answers the sums of another's view with those of this one, and says where they differ.
+// compareDigests answers the bucket digests of a peer's view with those of this router's view, and returns
+// the buckets that differ.
 func (f *Fleet) compareDigests(theirs []byte, w *bufio.Writer) (differ fleet.Buckets, err error) {
 	type compared struct {
 		own    []byte
@@ -144,37 +148,39 @@
 	return got.differ, w.Flush()
 }
 
-// reply is an answer, or why there is none.
+// reply is an answer, or the error that prevented it.
 type reply struct {
 	message []byte
 	err     error
 }
 
+// sendFrame writes a message with its MAC.
 func (f *Fleet) sendFrame(w io.Writer, m []byte) {
 	b := fleet.AppendMAC(f.cfg.Key, m)
 	f.counters.sentBytes.Add(uint64(len(b)))
-	writeFrame(w, b) //nolint:errcheck // Flush tells, or the other end
+	writeFrame(w, b) //nolint:errcheck // Flush reports it
 }
 
+// writePages writes pages of the view and the end marker.
 func (f *Fleet) writePages(w *bufio.Writer, all [][]byte) error {
 	for _, p := range all {
 		f.sendFrame(w, p)
 	}
-	w.Write([]byte{0, 0}) //nolint:errcheck // Flush tells
+	w.Write([]byte{0, 0}) //nolint:errcheck // Flush reports it
 	return w.Flush()
 }
 
-// dial connects to a member.
+// dial connects to a member, from the address at which this router listens.
 func (f *Fleet) dial(to fleet.Addr) (net.Conn, error) {
 	d := net.Dialer{Timeout: streamTimeout}
 	if own := f.udp.LocalAddr().(*net.UDPAddr).IP; !own.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: own} // the others know this router by it
+		d.LocalAddr = &net.TCPAddr{IP: own} // the other members know this router by this address
 	}
 	return d.DialContext(f.ctx, "tcp", fromMachineAddr(to).String())
 }
 
-// Check asks a member by a stream. A connection that is refused proves that no process listens there; one that ends without an answer
-// proves nothing.
+// StreamPing probes a member over a stream. A refused connection proves that no process listens there. A
+// connection that ends without an answer proves nothing.
 func (h host) StreamPing(to fleet.Addr, m []byte) {
 	f := h.Fleet
 	select {
@@ -187,7 +193,7 @@
 		defer func() { <-f.outStreams }()
 		answer, err := f.requestOverStream(to, m)
 		refused := errors.Is(err, syscall.ECONNREFUSED)
-		f.call(f.ctx, func() { //nolint:errcheck // it ends
+		f.call(f.ctx, func() { //nolint:errcheck // it fails only when the Fleet stops
 			if answer != nil {
 				f.receive(answer)
 			}
@@ -196,6 +202,7 @@
 	})
 }
 
+// requestOverStream sends a request to a member over a new stream and returns the answer.
 func (f *Fleet) requestOverStream(to fleet.Addr, m []byte) ([]byte, error) {
 	c, err := f.dial(to)
 	if err != nil {
@@ -205,16 +212,16 @@
 	w := bufio.NewWriter(c)
 	f.sendFrame(w, m)
 	if err := w.Flush(); err != nil {
-		return nil, fmt.Errorf("a question: %v", err) // not wrapped: a refusal after connecting is none
+		return nil, fmt.Errorf("write request: %v", err) // not wrapped: ECONNREFUSED counts only from connecting
 	}
 	answer, err := f.readFrame(bufio.NewReader(c))
 	if err != nil {
-		return nil, fmt.Errorf("an answer: %v", err)
+		return nil, fmt.Errorf("read answer: %v", err)
 	}
 	return answer, nil
 }
 
-// Sync exchanges views with a member.
+// PushPull starts an exchange of views with a member, unless maxPushPulls are in flight.
 func (h host) PushPull(to fleet.Addr) {
 	f := h.Fleet
 	select {
@@ -231,6 +238,7 @@
 	})
 }
 
+// pushPull exchanges views with a member; own holds the digests of this router's view.
 func (f *Fleet) pushPull(to fleet.Addr, own []byte) error {
 	c, err := f.dial(to)
 	if err != nil {
@@ -244,7 +252,7 @@
 	}
 	theirs, err := f.readFrame(r)
 	if err != nil {
-		return fmt.Errorf("sums of %v's view: %w", to, err)
+		return fmt.Errorf("read digests of %v: %w", to, err)
 	}
 	type difference struct {
 		ours [][]byte
@@ -261,7 +269,7 @@
 		return stopped
 	}
 	if got.err != nil {
-		return fmt.Errorf("sums of %v's view: %w", to, got.err)
+		return fmt.Errorf("compare digests of %v: %w", to, got.err)
 	}
 	if err := f.writePages(w, got.ours); err != nil {
 		return err
@@ -276,5 +284,5 @@
 			return err
 		}
 	}
-	return fmt.Errorf("more than %d pages", maxExchangeFrames)
+	return fmt.Errorf("view exchange exceeds %d frames", maxExchangeFrames)
 }
