--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -56,9 +56,9 @@
 func (f *Fleet) leaveOrHandOver() {
 	if f.handingOver.Load() {
 		s, err := f.machine.Snapshot(f.now())
-		at, clock := bootTimeMS()
-		if err = errors.Join(err, clock); err == nil {
-			f.handedOver = &HandoverState{Snapshot: s, AtMS: at}
+		bootMS, clockErr := bootTimeMS()
+		if err = errors.Join(err, clockErr); err == nil {
+			f.handedOver = &HandoverState{Snapshot: s, AtMS: bootMS}
 			if f.leases != nil {
 				f.handedOver.Leases = f.leases.machine.Handover(f.now())
 			}
--- a/internal/fleet/lines.go
+++ b/internal/fleet/lines.go
@@ -17,7 +17,7 @@
 // Limits and intervals of the admission thresholds.
 const (
 	maxPools           = 16                     // pools with an admission threshold; further ones have none
-	minShareChange     = 0.01                   // smallest change of Threshold.Share that is announced at once
+	minShareChange     = 0.01                   // smallest change of Share that is announced at once
 	reannounceInterval = 250 * time.Millisecond // for announcements without such a change
 	logInterval        = time.Second            // minimum time between two log lines about one pool
 )
@@ -26,7 +26,7 @@
 type admissionController struct {
 	f            *Fleet
 	pools        map[uint32]*poolController
-	peers        []admission.Peer // alive and suspect: a router without a share yet has as much demand as others
+	peers        []admission.Peer // alive or suspect; those without a share yet have demand too
 	peersVersion uint64           // ChangeCount at which peers was built, plus 1
 }
 
@@ -92,15 +92,15 @@
 // updateRates computes the rates of arrived, shed and rejected work, once per second.
 func (p *poolController) updateRates(d admission.Demand) {
 	now := time.Now()
-	if gone := now.Sub(p.lastDemandAt); gone >= time.Second {
+	if elapsed := now.Sub(p.lastDemandAt); elapsed >= time.Second {
 		for i := range d.Arrived {
 			if !p.lastDemandAt.IsZero() {
-				p.demandRate[i] = max(0, d.Arrived[i]-p.lastDemand.Arrived[i]) / gone.Seconds()
-				p.shedRate[i] = max(0, d.Shed[i]-p.lastDemand.Shed[i]) / gone.Seconds()
+				p.demandRate[i] = max(0, d.Arrived[i]-p.lastDemand.Arrived[i]) / elapsed.Seconds()
+				p.shedRate[i] = max(0, d.Shed[i]-p.lastDemand.Shed[i]) / elapsed.Seconds()
 			}
 		}
 		if !p.lastDemandAt.IsZero() {
-			p.rejectedRate = max(0, d.Rejected-p.lastDemand.Rejected) / gone.Seconds()
+			p.rejectedRate = max(0, d.Rejected-p.lastDemand.Rejected) / elapsed.Seconds()
 		}
 		p.lastDemand, p.lastDemandAt = d, now
 	}
@@ -108,28 +108,28 @@
 
 // announce reports the threshold of the pool after a change or before the last report expires, and logs it.
 func (p *poolController) announce() {
-	now, at := p.f.now(), time.Now()
-	l := p.machine.Threshold(now)
-	none := l.Band == decide.NumBands
-	if none && p.announced.Band == decide.NumBands {
+	now, wallTime := p.f.now(), time.Now()
+	threshold := p.machine.Threshold(now)
+	admitsAll := threshold.Band == decide.NumBands
+	if admitsAll && p.announced.Band == decide.NumBands {
 		return
 	}
-	if l.Band == p.announced.Band && math.Abs(l.Share-p.announced.Share) < minShareChange && at.Sub(p.announcedAt) < reannounceInterval {
+	if threshold.Band == p.announced.Band && math.Abs(threshold.Share-p.announced.Share) < minShareChange && wallTime.Sub(p.announcedAt) < reannounceInterval {
 		return
 	}
-	p.announced, p.announcedAt = l, at
-	p.f.cfg.ThresholdChanged(p.name, l, at.Add(time.Duration(max(0, l.Until-now)*float64(time.Millisecond))))
-	if l.Band == p.loggedBand || at.Sub(p.loggedAt) < logInterval && !none {
+	p.announced, p.announcedAt = threshold, wallTime
+	p.f.cfg.ThresholdChanged(p.name, threshold, wallTime.Add(time.Duration(max(0, threshold.Until-now)*float64(time.Millisecond))))
+	if threshold.Band == p.loggedBand || wallTime.Sub(p.loggedAt) < logInterval && !admitsAll {
 		return
 	}
-	p.loggedBand, p.loggedAt = l.Band, at
-	f := p.machine.Stats()
-	if none {
-		slog.Info("fleet: load shedding ended", "pool", p.name, "asked", f.MeanRate, "room", f.MeanCapacity)
+	p.loggedBand, p.loggedAt = threshold.Band, wallTime
+	stats := p.machine.Stats()
+	if admitsAll {
+		slog.Info("fleet: load shedding ended", "pool", p.name, "asked", stats.MeanRate, "room", stats.MeanCapacity)
 		return
 	}
 	slog.Warn("fleet: demand exceeds server capacity; all routers shed requests below the admission threshold", "pool", p.name,
-		"worth", MinWorth(l.Band), "share", l.Share, "asked", f.MeanRate, "room", f.MeanCapacity)
+		"worth", MinWorth(threshold.Band), "share", threshold.Share, "asked", stats.MeanRate, "room", stats.MeanCapacity)
 }
 
 // MinWorth returns the lowest worth in a band, as a fraction of the highest worth.
--- a/internal/fleet/loans.go
+++ b/internal/fleet/loans.go
@@ -86,10 +86,10 @@
 func (l *leaseManager) tick() {
 	if at := time.Now(); l.lastCountAt.IsZero() {
 		l.lastCount, l.lastCountAt = l.f.cfg.RequestCount(), at
-	} else if gone := at.Sub(l.lastCountAt); gone >= 2*tickInterval {
+	} else if elapsed := at.Sub(l.lastCountAt); elapsed >= 2*tickInterval {
 		n := l.f.cfg.RequestCount()
-		weight := 1 - math.Exp(-float64(gone)/float64(rateWindow))
-		l.rate += weight * (float64(n-min(n, l.lastCount))/gone.Seconds() - l.rate)
+		weight := 1 - math.Exp(-float64(elapsed)/float64(rateWindow))
+		l.rate += weight * (float64(n-min(n, l.lastCount))/elapsed.Seconds() - l.rate)
 		l.lastCount, l.lastCountAt = n, at
 	}
 	if l.peersVersion != l.f.machine.ChangeCount()+1 {
@@ -108,8 +108,8 @@
 func (l *leaseManager) usableShare() fleet.Share {
 	now := l.f.now()
 	l.machine.UpdateShare(now, l.baseShare())
-	until, then := l.machine.Expiry(now, sharedResource)
-	return fleet.Share{Routers: routersForShare(l.machine.UsableShare(now, sharedResource)), Until: until, RoutersAfter: routersForShare(then)}
+	until, after := l.machine.Expiry(now, sharedResource)
+	return fleet.Share{Routers: routersForShare(l.machine.UsableShare(now, sharedResource)), Until: until, RoutersAfter: routersForShare(after)}
 }
 
 // LeaseStats holds the share that a router may use, the part of it that is leased from others, and what is
--- a/internal/fleet/tell.go
+++ b/internal/fleet/tell.go
@@ -19,15 +19,15 @@
 	if f.cfg.TierChanged == nil {
 		return
 	}
-	p, longer := f.machine.Share(), minExtension
+	share, extension := f.machine.Share(), minExtension
 	if f.leases != nil {
-		p, longer = f.leases.usableShare(), tickInterval
+		share, extension = f.leases.usableShare(), tickInterval
 	}
-	t := Tier{Routers: f.machine.Present(), Parts: p.Routers, Then: p.RoutersAfter}
-	if left := p.Until - f.now(); left < 1e9 {
-		t.Until = time.Now().Add(time.Duration(left * float64(time.Millisecond)))
+	t := Tier{Routers: f.machine.Present(), Parts: share.Routers, Then: share.RoutersAfter}
+	if leftMS := share.Until - f.now(); leftMS < 1e9 {
+		t.Until = time.Now().Add(time.Duration(leftMS * float64(time.Millisecond)))
 	}
-	if t.Routers == f.lastTier.Routers && !t.reducedFrom(f.lastTier) && !t.increasedFrom(f.lastTier, longer) {
+	if t.Routers == f.lastTier.Routers && !t.reducedFrom(f.lastTier) && !t.increasedFrom(f.lastTier, extension) {
 		return
 	}
 	f.lastTier = t
@@ -35,16 +35,16 @@
 }
 
 // reducedFrom reports whether a share is smaller than the previous one, or expires sooner.
-func (t Tier) reducedFrom(was Tier) bool {
-	sooner := !t.Until.IsZero() && (was.Until.IsZero() || t.Until.Before(was.Until.Add(-tickInterval)))
-	return t.Parts > was.Parts || t.Then > was.Then || sooner
+func (t Tier) reducedFrom(previous Tier) bool {
+	expiresSooner := !t.Until.IsZero() && (previous.Until.IsZero() || t.Until.Before(previous.Until.Add(-tickInterval)))
+	return t.Parts > previous.Parts || t.Then > previous.Then || expiresSooner
 }
 
 // increasedFrom reports whether a share is noticeably larger than the previous one, or expires later by at
 // least the given time.
-func (t Tier) increasedFrom(was Tier, longer time.Duration) bool {
-	lasts := !was.Until.IsZero() && (t.Until.IsZero() || t.Until.Sub(was.Until) >= longer)
-	return t.Parts < noticeableRatio*was.Parts || t.Then < noticeableRatio*was.Then || lasts
+func (t Tier) increasedFrom(previous Tier, extension time.Duration) bool {
+	expiresLater := !previous.Until.IsZero() && (t.Until.IsZero() || t.Until.Sub(previous.Until) >= extension)
+	return t.Parts < noticeableRatio*previous.Parts || t.Then < noticeableRatio*previous.Then || expiresLater
 }
 
 // publishMembers announces the members, at most once per tick.
@@ -54,13 +54,13 @@
 	}
 	f.publishedVersion = f.machine.ChangeCount() + 1
 	member := func(r fleet.Record) Member { return Member{r.Name, fromMachineAddr(r.Addr).Addr().String(), r.Meta} }
-	all := []Member{member(f.machine.Self())}
+	members := []Member{member(f.machine.Self())}
 	f.machine.ForEach(func(r fleet.Record) {
 		if r.State <= fleet.Suspect {
-			all = append(all, member(r))
+			members = append(members, member(r))
 		}
 	})
-	f.cfg.MembersChanged(all)
+	f.cfg.MembersChanged(members)
 }
 
 // SetMeta sets the metadata that the router announces to the other members, up to fleet.MaxMeta bytes. It may
