--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -18,16 +18,16 @@
 
 const testTimeout = 10 * time.Second
 
-// testFleet is a Fleet that runs until the test ends.
+// testFleet is a Fleet that runs until the test ends, and records the tiers that it announces.
 type testFleet struct {
 	*Fleet
 	mu    sync.Mutex
 	tiers []Tier
-	end   context.CancelFunc
+	stop  context.CancelFunc
 	ended chan error
 }
 
-func (r *testFleet) last() (t Tier) {
+func (r *testFleet) lastTier() (t Tier) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.tiers) > 0 {
@@ -36,7 +36,7 @@
 	return t
 }
 
-func run(t *testing.T, cfg Config) *testFleet {
+func startFleet(t *testing.T, cfg Config) *testFleet {
 	t.Helper()
 	r := &testFleet{ended: make(chan error, 1)}
 	if cfg.Listen == "" {
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(context.Background())
-	r.end = end
+	r.stop = end
 	go func() { r.ended <- r.Run(ctx) }()
 	t.Cleanup(func() {
 		end()
@@ -62,18 +62,18 @@
 				t.Error(err)
 			}
 		case <-time.After(testTimeout):
-			t.Error("it does not end")
+			t.Error("the Fleet does not stop")
 		}
 	})
 	return r
 }
 
-// until looks again and again.
-func until(t *testing.T, what string, is func() bool) {
+// waitUntil polls a condition until it holds, and fails the test after testTimeout.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timeout waiting for: %s", what)
 		}
 	}
 }
@@ -91,36 +91,39 @@
 	return strings.Join(out, ", ")
 }
 
-func TestThreeMeetAndOneLeaves(t *testing.T) {
+// Members find each other through one join address and share equally; the shares grow when a member leaves.
+func TestThreeMembersJoinAndOneLeaves(t *testing.T) {
 	key := make([]byte, 32)
-	rand.Read(key) //nolint:errcheck // it does not fail
-	a := run(t, Config{Name: "a", Key: key})
-	b := run(t, Config{Name: "b", Key: key, Join: []string{a.Addr()}})
-	c := run(t, Config{Name: "c", Key: key, Join: []string{a.Addr()}})
+	rand.Read(key) //nolint:errcheck // it never fails
+	a := startFleet(t, Config{Name: "a", Key: key})
+	b := startFleet(t, Config{Name: "b", Key: key, Join: []string{a.Addr()}})
+	c := startFleet(t, Config{Name: "c", Key: key, Join: []string{a.Addr()}})
 	for _, r := range []*testFleet{a, b, c} {
-		until(t, "all know all", func() bool { return r.states(t) == "a alive, b alive, c alive" })
-		until(t, "a third each", func() bool { return r.last().Parts == 3 && r.last().Routers == 3 && !r.last().Until.IsZero() })
+		waitUntil(t, "all members know each other", func() bool { return r.states(t) == "a alive, b alive, c alive" })
+		waitUntil(t, "a share of 1/3 each", func() bool {
+			return r.lastTier().Parts == 3 && r.lastTier().Routers == 3 && !r.lastTier().Until.IsZero()
+		})
 	}
-	c.end()
+	c.stop()
 	if err := <-c.ended; err != nil {
 		t.Error(err)
 	}
 	c.ended <- nil
 	for _, r := range []*testFleet{a, b} {
-		until(t, "it has left", func() bool { return r.states(t) == "a alive, b alive, c left" })
-		until(t, "a half each", func() bool { return r.last().Parts == 2 })
+		waitUntil(t, "the member has left", func() bool { return r.states(t) == "a alive, b alive, c left" })
+		waitUntil(t, "a share of 1/2 each", func() bool { return r.lastTier().Parts == 2 })
 	}
 }
 
-// Whoever has another key, or none, is nobody.
-func TestStrangersAreNotHeard(t *testing.T) {
+// Guards against accepting messages from processes with another key or without one.
+func TestMessagesWithAnotherKeyAreRejected(t *testing.T) {
 	key, other := bytes.Repeat([]byte{1}, 32), bytes.Repeat([]byte{2}, 32)
-	a := run(t, Config{Name: "a", Key: key})
-	b := run(t, Config{Name: "b", Key: key, Join: []string{a.Addr()}})
-	wrong := run(t, Config{Name: "wrong", Key: other, Join: []string{a.Addr()}})
-	none := run(t, Config{Name: "none", Join: []string{a.Addr()}})
-	until(t, "two know each other", func() bool { return a.states(t) == "a alive, b alive" })
-	until(t, "messages of strangers are refused", func() bool {
+	a := startFleet(t, Config{Name: "a", Key: key})
+	b := startFleet(t, Config{Name: "b", Key: key, Join: []string{a.Addr()}})
+	wrong := startFleet(t, Config{Name: "wrong", Key: other, Join: []string{a.Addr()}})
+	none := startFleet(t, Config{Name: "none", Join: []string{a.Addr()}})
+	waitUntil(t, "two know each other", func() bool { return a.states(t) == "a alive, b alive" })
+	waitUntil(t, "messages with another MAC key are rejected", func() bool {
 		v, err := a.View(t.Context())
 		return err == nil && v.Counters.Refused >= 10
 	})
@@ -131,9 +134,10 @@
 	}
 }
 
-// Rubbish by datagrams and streams, and streams that say nothing, change nothing and take nothing away from those who belong.
+// Guards against invalid datagrams and streams, and idle streams, that change the view or use up capacity
+// that members need.
 func TestHostileInput(t *testing.T) {
-	a := run(t, Config{Name: "a"})
+	a := startFleet(t, Config{Name: "a"})
 	u, err := net.Dial("udp", a.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -141,7 +145,7 @@
 	defer u.Close()
 	good := fleet.AppendMAC(nil, []byte{1, 1, 0, 0, 0, 0})
 	for _, b := range [][]byte{{}, {0}, bytes.Repeat([]byte{0xff}, 1400), good, good[:len(good)-1], bytes.Repeat([]byte{1}, 256)} {
-		u.Write(b) //nolint:errcheck // it may be lost
+		u.Write(b) //nolint:errcheck // a datagram may be lost
 	}
 	for _, b := range [][]byte{{}, {0}, {0xff, 0xff}, {0, 3, 1, 2, 3}, append(binary.BigEndian.AppendUint16(nil, uint16(len(good))), good...), {0, 200, 1}} {
 		for range 2 * maxStreams {
@@ -150,42 +154,44 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.Write(b) //nolint:errcheck // it may have been turned away
+			c.Write(b) //nolint:errcheck // the Fleet may have closed it for lack of capacity
 		}
 	}
-	b := run(t, Config{Name: "b", Join: []string{a.Addr()}})
-	until(t, "two know each other", func() bool { return a.states(t) == "a alive, b alive" && b.states(t) == "a alive, b alive" })
+	b := startFleet(t, Config{Name: "b", Join: []string{a.Addr()}})
+	waitUntil(t, "two know each other", func() bool { return a.states(t) == "a alive, b alive" && b.states(t) == "a alive, b alive" })
 }
 
-func TestDoubleEndsTheLaterOne(t *testing.T) {
-	a := run(t, Config{Name: "a"})
-	b := run(t, Config{Name: "b", Join: []string{a.Addr()}})
-	until(t, "two know each other", func() bool { return a.states(t) == "a alive, b alive" })
-	double, err := Open(Config{Name: "b", Listen: "127.0.0.1:0", Join: []string{a.Addr()}})
+// Guards against two processes that run under one name: the one that started later stops with an error.
+func TestDuplicateNameStopsTheLaterProcess(t *testing.T) {
+	a := startFleet(t, Config{Name: "a"})
+	b := startFleet(t, Config{Name: "b", Join: []string{a.Addr()}})
+	waitUntil(t, "two know each other", func() bool { return a.states(t) == "a alive, b alive" })
+	duplicate, err := Open(Config{Name: "b", Listen: "127.0.0.1:0", Join: []string{a.Addr()}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = double.Run(t.Context())
-	if !errors.Is(err, fleet.ErrDuplicateName) || !strings.Contains(fmt.Sprint(err), b.Addr()) || !strings.Contains(fmt.Sprint(err), double.Addr()) {
-		t.Errorf("the later one is told %v", err)
+	err = duplicate.Run(t.Context())
+	if !errors.Is(err, fleet.ErrDuplicateName) || !strings.Contains(fmt.Sprint(err), b.Addr()) || !strings.Contains(fmt.Sprint(err), duplicate.Addr()) {
+		t.Errorf("the later process got %v", err)
 	}
-	until(t, "the older goes on", func() bool { return b.states(t) == "a alive, b alive" && b.last().Parts == 2 })
+	waitUntil(t, "the older process continues", func() bool { return b.states(t) == "a alive, b alive" && b.lastTier().Parts == 2 })
 }
 
-// A process alone with no address to join by has what it was told to expect, after a while; other addresses to join by count at once.
-func TestAloneAndThenNot(t *testing.T) {
-	a := run(t, Config{Name: "a", ExpectedRouters: 6})
-	if got := a.last(); got.Parts != 0 && got.Parts != fleet.NoShare {
-		t.Errorf("at first it has one of %v parts", got.Parts)
-	}
-	until(t, "a sixth", func() bool { return a.last().Parts == 6 && a.last().Until.IsZero() })
-	b := run(t, Config{Name: "b"})
+// A router without join addresses uses the share for its expected number of routers after a while. New join
+// addresses take effect at once.
+func TestLoneRouterThenJoins(t *testing.T) {
+	a := startFleet(t, Config{Name: "a", ExpectedRouters: 6})
+	if got := a.lastTier(); got.Parts != 0 && got.Parts != fleet.NoShare {
+		t.Errorf("the first share is 1/%v", got.Parts)
+	}
+	waitUntil(t, "a share of 1/6", func() bool { return a.lastTier().Parts == 6 && a.lastTier().Until.IsZero() })
+	b := startFleet(t, Config{Name: "b"})
 	if err := b.SetJoinAddrs(t.Context(), []string{a.Addr()}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "half each", func() bool { return a.last().Parts == 2 && b.last().Parts == 2 })
+	waitUntil(t, "a share of 1/2 each, joined", func() bool { return a.lastTier().Parts == 2 && b.lastTier().Parts == 2 })
 	if err := b.SetJoinAddrs(t.Context(), []string{"nowhere"}); err == nil {
-		t.Error("an address that is none is taken")
+		t.Error("an invalid join address is accepted")
 	}
 }
 
@@ -198,7 +204,7 @@
 		"65 addresses to join by": {Name: "a", Listen: "127.0.0.1:0", Join: make([]string, 65)},
 	} {
 		if f, err := Open(cfg); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
+			t.Errorf("got %v, want %q", err, want)
 			if f != nil {
 				f.Close()
 			}
@@ -217,9 +223,9 @@
 		}
 	}
 	if n != maxChangeLogsPerSecond || b.suppressed != 80 {
-		t.Errorf("%d lines, %d left out", n, b.suppressed)
+		t.Errorf("%d lines allowed, %d suppressed", n, b.suppressed)
 	}
 	if b.nextWindow(now.Add(2 * time.Second)); !b.allow(maxChangeLogsPerSecond) {
-		t.Error("another second has no line")
+		t.Error("the next window allows no line")
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -18,7 +18,8 @@
 	"mossproxy.example/mossproxy/internal/standin/standintest"
 )
 
-// fakePredecessor is an old process as the test has it act.
+// fakePredecessor is a Predecessor whose Yield the test provides, and that reports the other calls on
+// channels.
 type fakePredecessor struct {
 	yield    func(ctx context.Context) (Grant, error)
 	followed chan struct{}
@@ -34,7 +35,7 @@
 func (k *fakePredecessor) Followed()                                { k.followed <- struct{}{} }
 func (k *fakePredecessor) Regain()                                  { k.regained <- struct{}{} }
 
-// servePredecessor is an old process that serves at a path until the test ends, or stop is called.
+// servePredecessor runs Serve at a path until the test ends or stop is called.
 func servePredecessor(t *testing.T, path, listen string, ln net.Listener, k Predecessor) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -53,7 +54,7 @@
 
 func testSocketPath(t *testing.T) string {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "h") // the test's own folder may be too long a name for a socket
+	dir, err := os.MkdirTemp("", "h") // the path of t.TempDir may be too long for a socket
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +62,7 @@
 	return SocketPath(dir, "127.0.0.1:11211")
 }
 
-// takeOverNext takes over once the exchange before is at its end.
+// takeOverNext takes over as soon as the previous exchange has ended.
 func takeOverNext(t *testing.T, path, listen string) (taken *Takeover, err error) {
 	t.Helper()
 	standintest.Until(t, "the end of the exchange before", func() bool {
@@ -71,12 +72,13 @@
 	return taken, err
 }
 
-// What is queued at the listener while the old process closes it is served by the new one, and none of it is reset.
-func TestQueueOutlivesTheOldProcess(t *testing.T) {
+// Guards against resets of connections in the listen queue when the old process closes its listener: the new
+// process serves them.
+func TestListenQueueSurvivesTheOldProcess(t *testing.T) {
 	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
 	servePredecessor(t, path, "a", ln, k)
 	var waiting []net.Conn
-	for range 5 { // nobody accepts them
+	for range 5 { // not accepted by the old process
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -95,7 +97,7 @@
 	if err := taken.ConfirmServing(); err != nil {
 		t.Fatal(err)
 	}
-	standintest.Next(t, k.followed, "news that clients are taken")
+	standintest.Next(t, k.followed, "call of Followed")
 	ln.Close()
 	for i, c := range waiting {
 		got, err := taken.Listeners[0].Accept()
@@ -110,17 +112,18 @@
 		}
 	}
 	if c, err := net.Dial("tcp", ln.Addr().String()); err != nil {
-		t.Errorf("the address refuses: %v", err)
+		t.Errorf("connecting after the takeover: %v", err)
 	} else {
 		c.Close()
 	}
 	taken.Listeners[0].Close()
 }
 
-// The new process is killed: before it takes clients, and after. Either way the old one has its room back, and can be taken over from again.
+// The new process dies before or after it serves clients. In both cases the old one reclaims its resources
+// and can be taken over from again.
 func TestNewProcessDies(t *testing.T) {
-	for _, after := range []bool{false, true} {
-		t.Run(fmt.Sprint("takes clients: ", after), func(t *testing.T) {
+	for _, afterServing := range []bool{false, true} {
+		t.Run(fmt.Sprint("after serving clients: ", afterServing), func(t *testing.T) {
 			path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
 			servePredecessor(t, path, "a", ln, k)
 			for range 2 {
@@ -128,21 +131,21 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if after {
+				if afterServing {
 					if err := taken.ConfirmServing(); err != nil {
 						t.Fatal(err)
 					}
-					standintest.Next(t, k.followed, "news that clients are taken")
+					standintest.Next(t, k.followed, "call of Followed")
 				}
 				taken.Listeners[0].Close()
 				taken.Close()
-				standintest.Next(t, k.regained, "room")
+				standintest.Next(t, k.regained, "call of Regain")
 			}
 		})
 	}
 }
 
-// The old process is killed after the new one has what it needs: the new one hears of it.
+// The old process dies after the grant: the new one is notified.
 func TestOldProcessDies(t *testing.T) {
 	path, ln := testSocketPath(t), standintest.Listen(t)
 	stop := servePredecessor(t, path, "a", ln, newFakePredecessor())
@@ -155,7 +158,8 @@
 	standintest.Next(t, taken.Gone(), "end of the old process")
 }
 
-// The next process is found where the one before was, which goes on until it ends, and takes nothing away at its end.
+// A second process listens at the path of the first one. The first one continues until it ends, and must not
+// remove the second one's socket then.
 func TestTwoReplacementsOneAfterTheOther(t *testing.T) {
 	path, ln, second := testSocketPath(t), standintest.Listen(t), newFakePredecessor()
 	stop := servePredecessor(t, path, "a", ln, newFakePredecessor())
@@ -174,10 +178,10 @@
 	if err := two.ConfirmServing(); err != nil {
 		t.Fatal(err)
 	}
-	standintest.Next(t, second.followed, "news that clients are taken")
-	stop() // the first one, late
+	standintest.Next(t, second.followed, "call of Followed")
+	stop() // the first process ends after the second has been taken over from
 	if _, err := os.Stat(path); err != nil {
-		t.Errorf("the first process took the socket away: %v", err)
+		t.Errorf("the first process removed the socket: %v", err)
 	}
 	two.Listeners[0].Close()
 	two.Close()
@@ -198,20 +202,21 @@
 	defer one.Close()
 	defer one.Listeners[0].Close()
 	if _, err := TakeOver(path, "a", 1, time.Second); err == nil || !strings.Contains(err.Error(), "another process is taking over") {
-		t.Errorf("a second one at the same time: %v", err)
+		t.Errorf("a second concurrent takeover: %v", err)
 	}
 }
 
-// Whatever is at the socket, the new process is on its own within a second, and nothing stays open.
-func TestWhatIsNoRouterIsNotTakenOverFrom(t *testing.T) {
+// Guards against a process at the socket that answers with invalid frames or not at all: the takeover fails
+// with an error within a second.
+func TestInvalidPredecessorIsRejected(t *testing.T) {
 	ok := `{"part":0.5}`
 	for name, c := range map[string]struct {
 		does func(c *net.UnixConn)
 		want string
 	}{
-		"half dead":     {func(c *net.UnixConn) { io.Copy(io.Discard, c) }, "timeout"}, //nolint:errcheck // until the other side ends it
+		"half dead":     {func(c *net.UnixConn) { io.Copy(io.Discard, c) }, "timeout"}, //nolint:errcheck // until the new process closes it
 		"closes":        {func(*net.UnixConn) {}, "EOF"},
-		"noise":         {func(c *net.UnixConn) { io.WriteString(c, strings.Repeat("noise ", 100)) }, "wrong magic"}, //nolint:errcheck // as all here
+		"noise":         {func(c *net.UnixConn) { io.WriteString(c, strings.Repeat("noise ", 100)) }, "wrong magic"}, //nolint:errcheck // TakeOver reports it
 		"other version": {func(c *net.UnixConn) { c.Write([]byte("CYHO\x00\x02\x00\x02\x00\x00\x00\x00\x00\x00\x00\x00")) }, "version 2"},
 		"endless":       {func(c *net.UnixConn) { c.Write([]byte("CYHO\x00\x01\x00\x02\xff\xff\xff\xff\x00\x00\x00\x00")) }, "4294967295 bytes"},
 		"cut":           {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindGrant, []byte(ok))[:20]) }, "EOF"},
@@ -220,7 +225,7 @@
 		}, "checksum mismatch"},
 		"no sockets": {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindGrant, []byte(ok))) }, "0 listeners and 0 datagram sockets, want 1 and 0"},
 		"no JSON":    {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindGrant, []byte("{"))) }, "invalid message"},
-		"all room":   {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindGrant, []byte(`{"part":1}`))) }, "share 1 is not within"},
+		"share of 1": {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindGrant, []byte(`{"part":1}`))) }, "share 1 is not within"},
 		"refuses":    {func(c *net.UnixConn) { c.Write(appendFrame(nil, kindRefusal, []byte("no"))) }, `refused: "no"`},
 		"no listener": {func(c *net.UnixConn) {
 			c.WriteMsgUnix(appendFrame(nil, kindGrant, []byte(ok)), syscall.UnixRights(0), nil)
@@ -229,7 +234,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			path, does := testSocketPath(t), c.does
+			path, behavior := testSocketPath(t), c.does
 			ln, err := bind(path)
 			if err != nil {
 				t.Fatal(err)
@@ -244,9 +249,9 @@
 				defer c.Close()
 				k, _, err := readFrame(c, nil)
 				if k != kindHello || err != nil {
-					t.Errorf("greeted with kind %d, %v", k, err)
+					t.Errorf("the first frame has kind %d, %v", k, err)
 				}
-				does(c)
+				behavior(c)
 			}()
 			began := time.Now()
 			taken, err := TakeOver(path, "a", 1, ExchangeTimeout)
@@ -254,7 +259,7 @@
 				t.Errorf("got %v, %v; want %q", taken, err, c.want)
 			}
 			if took := time.Since(began); took > time.Second {
-				t.Errorf("after %v", took)
+				t.Errorf("the takeover failed only after %v", took)
 			}
 			ln.Close()
 			<-done
@@ -262,7 +267,7 @@
 	}
 }
 
-func TestNobodyThere(t *testing.T) {
+func TestNoRunningProcess(t *testing.T) {
 	path := testSocketPath(t)
 	if _, err := TakeOver(path, "a", 1, time.Second); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no file: %v", err)
@@ -271,15 +276,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close() // its name stays: the process was killed
+	ln.Close() // the path remains, as after a crash
 	if _, err := TakeOver(path, "a", 1, time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a stale name: %v", err)
 	}
-	servePredecessor(t, path, "a", standintest.Listen(t), newFakePredecessor()) // which is no hindrance to the next
+	// The stale socket does not prevent listening.
+	servePredecessor(t, path, "a", standintest.Listen(t), newFakePredecessor())
 }
 
-// Who asks and is not understood, or of another router, gets nothing, and room that was given is taken back.
-func TestWhoMayNotTakeOver(t *testing.T) {
+// Invalid requests and those of another router are refused without a call of Yield. If Yield fails, the old
+// process reclaims its resources.
+func TestTakeoverRequestsAreRefused(t *testing.T) {
 	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
 	var asked atomic.Int32
 	k.yield = func(context.Context) (Grant, error) {
@@ -294,22 +301,22 @@
 	fmt.Fprint(c, "GET / HTTP/1.1\r\n\r\n")
 	c.SetDeadline(time.Now().Add(standintest.Wait))
 	if b, _ := io.ReadAll(c); len(b) > 0 {
-		t.Errorf("noise is answered %q", b)
+		t.Errorf("an invalid request is answered with %q", b)
 	}
 	c.Close()
 	if _, err := takeOverNext(t, path, "b"); err == nil || !strings.Contains(err.Error(), "the router at a") {
-		t.Errorf("another router: %v", err)
+		t.Errorf("request of another router: %v", err)
 	}
 	if asked.Load() != 0 {
-		t.Error("room was given back for nobody")
+		t.Error("Yield was called without a valid request")
 	}
 	if _, err := takeOverNext(t, path, "a"); err == nil || !strings.Contains(err.Error(), "this process is ending") {
-		t.Errorf("one that ends: %v", err)
+		t.Errorf("request to a process that is ending: %v", err)
 	}
-	standintest.Next(t, k.regained, "room")
+	standintest.Next(t, k.regained, "call of Regain")
 }
 
-func TestPathIsThatOfTheAddress(t *testing.T) {
+func TestSocketPathDependsOnTheAddress(t *testing.T) {
 	if a, b := SocketPath("/x", "127.0.0.1:1"), SocketPath("/x", "127.0.0.1:2"); a == b || filepath.Dir(a) != "/x" || len(a) > 60 {
 		t.Errorf("%q and %q", a, b)
 	}
@@ -329,14 +336,15 @@
 	})
 }
 
-// The new process is killed while what it is to have is being put together: the old one has its room back.
+// The new process dies while the old one prepares the grant: the old one reclaims its resources.
 func TestNewProcessDiesWhileStateIsPassed(t *testing.T) {
 	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
-	asked, let := make(chan struct{}), make(chan struct{})
+	asked, release := make(chan struct{}), make(chan struct{})
 	k.yield = func(context.Context) (Grant, error) {
 		close(asked)
-		<-let
-		return Grant{Share: 0.5, LearnedState: []byte(`"` + strings.Repeat("x", 1<<19) + `"`)}, nil // more than a socket holds
+		<-release
+		// More than the socket buffer holds.
+		return Grant{Share: 0.5, LearnedState: []byte(`"` + strings.Repeat("x", 1<<19) + `"`)}, nil
 	}
 	servePredecessor(t, path, "a", ln, k)
 	c, err := net.Dial("unix", path)
@@ -346,11 +354,11 @@
 	if _, err := c.Write(appendFrame(nil, kindHello, []byte(`{"listen":"a","pid":1}`))); err != nil {
 		t.Fatal(err)
 	}
-	standintest.Next(t, asked, "call for room")
+	standintest.Next(t, asked, "call of Yield")
 	c.Close()
-	close(let)
-	standintest.Next(t, k.regained, "room")
+	close(release)
+	standintest.Next(t, k.regained, "call of Regain")
 	if len(k.followed) > 0 {
-		t.Error("nobody takes clients, and the old process was told that somebody does")
+		t.Error("Followed was called although the new process never served clients")
 	}
 }
--- a/internal/handover/words_test.go
+++ b/internal/handover/words_test.go
@@ -12,22 +12,22 @@
 	"mossproxy.example/mossproxy/internal/standin/standintest"
 )
 
-// Datagrams that wait at a socket as it is handed over are read by the new process, and what the old one tells comes in order, its last word
-// before its end.
-func TestDatagramsAndWordsGoOver(t *testing.T) {
+// Guards against losing datagrams that are queued at a socket during a handover, and against losing or
+// reordering updates: the last update of the old process arrives before its end is reported.
+func TestDatagramsAndUpdatesAreHandedOver(t *testing.T) {
 	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, over := make(chan string), make(chan struct{})
+	next, finished := make(chan string), make(chan struct{})
 	k.yield = func(context.Context) (Grant, error) {
-		return Grant{Share: 0.5, StreamUpdates: func(ctx context.Context, say func([]byte) error) {
-			defer close(over)
+		return Grant{Share: 0.5, StreamUpdates: func(ctx context.Context, send func([]byte) error) {
+			defer close(finished)
 			for {
 				select {
-				case w := <-next:
-					if err := say([]byte(w)); err != nil {
+				case update := <-next:
+					if err := send([]byte(update)); err != nil {
 						t.Error(err)
 					}
 				case <-ctx.Done():
@@ -47,7 +47,7 @@
 	})
 	defer taken.Close()
 	if len(taken.Listeners) != 1 || len(taken.PacketConns) != 1 {
-		t.Fatalf("%d listeners, %d sockets of datagrams", len(taken.Listeners), len(taken.PacketConns))
+		t.Fatalf("%d listeners, %d datagram sockets", len(taken.Listeners), len(taken.PacketConns))
 	}
 	defer taken.Listeners[0].Close()
 	defer taken.PacketConns[0].Close()
@@ -61,37 +61,37 @@
 	}
 	udp.Close() // as the old process ends
 	var b [16]byte
-	taken.PacketConns[0].SetReadDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // the read tells
+	taken.PacketConns[0].SetReadDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // the read reports it
 	if n, _, err := taken.PacketConns[0].ReadFrom(b[:]); err != nil || !bytes.Equal(b[:n], []byte("early")) {
 		t.Errorf("%q, %v", b[:n], err)
 	}
 	next <- "one"
-	if w := <-taken.Updates(); string(w) != "one" {
-		t.Errorf("the first word is %q", w)
+	if update := <-taken.Updates(); string(update) != "one" {
+		t.Errorf("the first update is %q", update)
 	}
-	for _, w := range []string{"two", "three", "last"} {
-		next <- w
+	for _, update := range []string{"two", "three", "last"} {
+		next <- update
 	}
 	if err := taken.ConfirmServing(); err != nil {
 		t.Fatal(err)
 	}
-	standintest.Until(t, "it is followed", func() bool { return len(k.followed) > 0 })
+	standintest.Until(t, "a call of Followed", func() bool { return len(k.followed) > 0 })
 	stop()
-	var heard []string
-	for w := range taken.Updates() {
-		heard = append(heard, string(w))
+	var received []string
+	for update := range taken.Updates() {
+		received = append(received, string(update))
 	}
-	if text := strings.Join(heard, " "); !strings.HasSuffix(text, "last") || len(heard) > 3 {
-		t.Errorf("heard %q", text)
+	if text := strings.Join(received, " "); !strings.HasSuffix(text, "last") || len(received) > 3 {
+		t.Errorf("received %q", text)
 	}
 	<-taken.Gone()
-	<-over
+	<-finished
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// A process that has other sockets than the next one expects is not taken over from.
+// A takeover fails if the old process has other sockets than the new one expects.
 func TestOtherSocketsAreRefused(t *testing.T) {
 	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
 	servePredecessor(t, path, "a", ln, k)
