--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -160,6 +160,7 @@
 	RejectedRate         float64                  // rejected though above the threshold
 }
 
+// stats returns the admission state of all pools, sorted by pool name.
 func (l *admissionController) stats() (out []PoolAdmission) {
 	for _, p := range l.pools {
 		out = append(out, PoolAdmission{Pool: p.name, Threshold: p.announced, Stats: p.machine.Stats(), DemandRate: p.demandRate, ShedRate: p.shedRate, RejectedRate: p.rejectedRate})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -208,6 +208,7 @@
 	return nil
 }
 
+// advertisedAddr returns the address at which other members reach this router.
 func (f *Fleet) advertisedAddr() string {
 	if f.cfg.Advertise != "" {
 		return f.cfg.Advertise
@@ -216,11 +217,11 @@
 }
 
 // resolveJoinAddrs resolves and checks join addresses.
-func (f *Fleet) resolveJoinAddrs(texts []string) (out []fleet.Addr, err error) {
-	if len(texts) > joinAddrLimit {
-		return nil, fmt.Errorf("%d addresses to join by; %d are the most", len(texts), joinAddrLimit)
+func (f *Fleet) resolveJoinAddrs(hostPorts []string) (out []fleet.Addr, err error) {
+	if len(hostPorts) > joinAddrLimit {
+		return nil, fmt.Errorf("%d addresses to join by; %d are the most", len(hostPorts), joinAddrLimit)
 	}
-	for _, t := range texts {
+	for _, t := range hostPorts {
 		a, err := resolve(t)
 		if err != nil {
 			return nil, err
@@ -249,10 +250,12 @@
 	return a, nil
 }
 
+// toMachineAddr converts an address to that of the state machine.
 func toMachineAddr(a netip.AddrPort) fleet.Addr {
 	return fleet.Addr{IP: a.Addr().As16(), Port: a.Port()}
 }
 
+// fromMachineAddr is the inverse of toMachineAddr.
 func fromMachineAddr(a fleet.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom16(a.IP).Unmap(), a.Port)
 }
@@ -373,6 +376,7 @@
 	return <-result, nil
 }
 
+// counterValues reads the counters. It may be called from any goroutine.
 func (f *Fleet) counterValues() Counters {
 	c := &f.counters
 	return Counters{c.sent.Load(), c.sentBytes.Load(), c.received.Load(), c.receivedBytes.Load(), c.rejected.Load(), c.dropped.Load(), c.changes.Load()}
@@ -438,6 +442,8 @@
 	windowStart      time.Time
 }
 
+// allow reports whether another line may be logged in this window, up to the limit, and counts those that may
+// not.
 func (b *logLimiter) allow(limit int) bool {
 	if b.used++; b.used > limit {
 		b.suppressed++
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -116,8 +116,9 @@
 // leased to others of its own share, all as fractions of the whole; and its rate in requests per second.
 type LeaseStats struct{ Share, LeasedIn, LeasedOut, Rate float64 }
 
+// stats returns the current shares, leases and request rate.
 func (l *leaseManager) stats() LeaseStats {
 	now := l.f.now()
-	lent, borrowed := l.machine.Leases(now, sharedResource)
-	return LeaseStats{Share: l.machine.UsableShare(now, sharedResource), LeasedIn: borrowed, LeasedOut: lent, Rate: l.rate}
+	leasedOut, leasedIn := l.machine.Leases(now, sharedResource)
+	return LeaseStats{Share: l.machine.UsableShare(now, sharedResource), LeasedIn: leasedIn, LeasedOut: leasedOut, Rate: l.rate}
 }
--- a/internal/fleet/publish.go
+++ b/internal/fleet/publish.go
@@ -7,7 +7,8 @@
 	"mossproxy.example/mossproxy/internal/pure/fleet"
 )
 
-// minExtension is how much later a share has to expire for the extension alone to be announced.
+// minExtension is how much later a share has to expire for the extension alone to be announced if leases are
+// disabled.
 const minExtension = 5 * time.Second
 
 // noticeableRatio is the ratio of the new to the previous Tier.Parts below which a larger share is announced.
@@ -65,9 +66,9 @@
 
 // SetMeta sets the metadata that the router announces to the other members, up to fleet.MaxMeta bytes. It may
 // be called before Run. It returns false if the inbox is full: the call has no effect then.
-func (f *Fleet) SetMeta(card string) bool {
+func (f *Fleet) SetMeta(meta string) bool {
 	return f.post(func() {
-		if err := f.machine.SetMeta(f.now(), card); err != nil {
+		if err := f.machine.SetMeta(f.now(), meta); err != nil {
 			slog.Error("fleet: metadata not announced", "why", err)
 		}
 	})
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -80,8 +80,8 @@
 			// The request is read first: closing with unread input resets the connection, which looks like a
 			// crash.
 			c.SetDeadline(time.Now().Add(refusalTimeout))
-			readFrame(c, nil)                                                                //nolint:errcheck // it is refused anyway
-			c.Write(appendFrame(nil, kindRefusal, []byte("another process is taking over"))) //nolint:errcheck // it starts without
+			readFrame(c, nil)                                                                //nolint:errcheck // best effort
+			c.Write(appendFrame(nil, kindRefusal, []byte("another process is taking over"))) //nolint:errcheck // best effort
 			c.Close()
 			continue
 		}
@@ -132,7 +132,7 @@
 		return fmt.Errorf("%w: no hello", errInvalidFrame)
 	}
 	if request.Listen != listen {
-		c.Write(appendFrame(nil, kindRefusal, []byte("this is the router at "+listen))) //nolint:errcheck // it starts without
+		c.Write(appendFrame(nil, kindRefusal, []byte("this is the router at "+listen))) //nolint:errcheck // best effort
 		return fmt.Errorf("handover: requested by the router at %.60q", request.Listen)
 	}
 	defer old.Regain()
@@ -140,7 +140,7 @@
 	g, err := old.Yield(yieldCtx)
 	cancel()
 	if err != nil {
-		c.Write(appendFrame(nil, kindRefusal, []byte(err.Error()))) //nolint:errcheck // it starts without
+		c.Write(appendFrame(nil, kindRefusal, []byte(err.Error()))) //nolint:errcheck // best effort
 		return err
 	}
 	if err := sendGrant(c, g, sockets); err != nil {
