--- a/cmd/cottonyoke/callers.go
+++ b/cmd/cottonyoke/callers.go
@@ -98,9 +98,9 @@
 	switch name {
 	case "create":
 		t.Pepper = c.Create.Pepper
-		return t.CreateSecret(c.Create.ID, c.Create.Caller, caller.Life{Active: float64(c.Create.time().UnixMilli())})
+		return t.CreateSecret(c.Create.ID, c.Create.Caller, caller.Lifecycle{Active: float64(c.Create.time().UnixMilli())})
 	case "import":
-		life := caller.Life{}
+		life := caller.Lifecycle{}
 		if c.Import.Active {
 			life.Active = float64(time.Now().UnixMilli())
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -369,7 +369,7 @@
 	out.Body.Minutes = []Usage{}
 	for _, m := range a.o.Usage(in.Name, t.Generation) {
 		c := m.Counts
-		out.Body.Minutes = append(out.Body.Minutes, Usage{time.Unix(60*m.At, 0).UTC(), c[tenant.Within], c[tenant.Borrowed], c[tenant.Over], c[tenant.Beyond], c[tenant.Suspended]})
+		out.Body.Minutes = append(out.Body.Minutes, Usage{time.Unix(60*m.At, 0).UTC(), c[tenant.Guaranteed], c[tenant.Leased], c[tenant.Exceeded], c[tenant.HardLimited], c[tenant.Suspended]})
 	}
 	return out, nil
 }
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -12,18 +12,18 @@
 	"mossproxy.example/mossproxy/internal/engine"
 )
 
-// peer is the server's side of a connection that a test drives byte by byte.
-type peer struct {
+// fakeServer is the server's side of a connection that a test drives byte by byte.
+type fakeServer struct {
 	*net.TCPConn
 	t *testing.T
 }
 
-// peers is a target whose server is the test itself, and its next connections.
-func peers(t *testing.T, isOrigin bool) (u *Pool, at *target, accept func() peer) {
+// newFakeServer is a target whose server is the test itself, and its next connections.
+func newFakeServer(t *testing.T, isOrigin bool) (u *Pool, at *target, accept func() fakeServer) {
 	t.Helper()
 	ln := listenLocal(t)
 	u = testPool(t, 10*time.Second, 10)
-	return u, u.add(ln.Addr().String(), speaks(isOrigin)), func() peer {
+	return u, u.add(ln.Addr().String(), protocolFor(isOrigin)), func() fakeServer {
 		t.Helper()
 		ln.(*net.TCPListener).SetDeadline(time.Now().Add(wait))
 		c, err := ln.Accept()
@@ -32,12 +32,12 @@
 		}
 		t.Cleanup(func() { c.Close() })
 		c.SetDeadline(time.Now().Add(wait))
-		return peer{c.(*net.TCPConn), t}
+		return fakeServer{c.(*net.TCPConn), t}
 	}
 }
 
-// asked reads up to the end of a command's line.
-func (p peer) asked() string {
+// readCommand reads up to the end of a command's line.
+func (p fakeServer) readCommand() string {
 	p.t.Helper()
 	var line []byte
 	for b := make([]byte, 1); !bytes.HasSuffix(line, []byte("\r\n")); {
@@ -49,41 +49,41 @@
 	return string(line)
 }
 
-// say writes to the router.
-func (p peer) say(text string) {
+// send writes to the router.
+func (p fakeServer) send(text string) {
 	p.t.Helper()
 	if _, err := io.WriteString(p, text); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// ask begins an attempt, which must not be over at once.
-func ask(t *testing.T, at *target, stop *engine.Canceler, r *engine.Request) <-chan engine.Reply {
+// startAttempt begins an attempt, which must not be over at once.
+func startAttempt(t *testing.T, at *target, stop *engine.Canceler, r *engine.Request) <-chan engine.Reply {
 	t.Helper()
-	a := asker{prober{make(chan engine.Reply, 1)}, always}
+	a := attemptHandler{probeHandler{make(chan engine.Reply, 1)}, always}
 	if got, known := at.Attempt(stop, r, a); known {
 		t.Fatalf("over at once: %v", got.Status)
 	}
-	return a.came
+	return a.result
 }
 
 const value = "VA 5 Oa1 h1\r\nhello\r\n"
 
-// keep has one kept connection there.
-func keep(t *testing.T, at *target, accept func() peer) peer {
+// keepConn has one kept connection there.
+func keepConn(t *testing.T, at *target, accept func() fakeServer) fakeServer {
 	t.Helper()
-	came := ask(t, at, &engine.Canceler{}, getCommand())
+	came := startAttempt(t, at, &engine.Canceler{}, getCommand())
 	p := accept()
-	p.asked()
-	p.say(value)
+	p.readCommand()
+	p.send(value)
 	if got := next(t, came, "answer"); got.Status != decide.OK {
 		t.Fatalf("got %v", got.Status)
 	}
 	return p
 }
 
-// until waits for something that a socket brings about.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil waits for something that a socket brings about.
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(wait); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -94,10 +94,10 @@
 
 // The end of a kept connection shows at once, with nobody looking.
 func TestEndOfAKeptConnectionIsSeenAtOnce(t *testing.T) {
-	u, at, accept := peers(t, false)
-	p := keep(t, at, accept)
+	u, at, accept := newFakeServer(t, false)
+	p := keepConn(t, at, accept)
 	p.Close()
-	until(t, "a connection that has ended is counted", func() bool {
+	waitUntil(t, "a connection that has ended is counted", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return u.open == 0 && len(at.idle) == 0
@@ -107,21 +107,21 @@
 // What comes while nothing is asked is nobody's answer, even if it reads like that of the next request.
 func TestAnswerAheadOfItsRequestIsNobodys(t *testing.T) {
 	for range 50 { // the next request is begun before, while and after the reader sees it
-		_, at, accept := peers(t, false)
-		p := keep(t, at, accept)
-		p.say("VA 5 Oa1 h1\r\nstale\r\n") // over loopback it is there once this returns
-		came := ask(t, at, &engine.Canceler{}, getCommand())
+		_, at, accept := newFakeServer(t, false)
+		p := keepConn(t, at, accept)
+		p.send("VA 5 Oa1 h1\r\nstale\r\n") // over loopback it is there once this returns
+		came := startAttempt(t, at, &engine.Canceler{}, getCommand())
 		other := accept() // the old one is of no use
-		other.asked()
-		other.say(value)
+		other.readCommand()
+		other.send(value)
 		if got := next(t, came, "answer"); string(got.Body) != "hello" {
 			t.Fatalf("got %v, %q", got.Status, got.Body)
 		}
 	}
 }
 
-// bigPut is a write that no socket takes at once from a server that reads nothing.
-func bigPut() *engine.Request {
+// largePut is a write that no socket takes at once from a server that reads nothing.
+func largePut() *engine.Request {
 	r := putCommand()
 	r.Value = bytes.Repeat([]byte("x"), 16<<20)
 	return r
@@ -130,14 +130,14 @@
 // A command that does not fit into the socket is finished without holding up who began it, and its answer counts once all of it
 // is written.
 func TestLongCommandIsFinishedBehind(t *testing.T) {
-	_, at, accept := peers(t, false)
-	p := keep(t, at, accept)
-	came := ask(t, at, &engine.Canceler{}, bigPut()) // returns though nothing is read
-	p.asked()
+	_, at, accept := newFakeServer(t, false)
+	p := keepConn(t, at, accept)
+	came := startAttempt(t, at, &engine.Canceler{}, largePut()) // returns though nothing is read
+	p.readCommand()
 	if n, err := io.CopyN(io.Discard, p, 16<<20+2); err != nil {
 		t.Fatalf("after %d bytes: %v", n, err)
 	}
-	p.say("HD Oa1 c77\r\n")
+	p.send("HD Oa1 c77\r\n")
 	if got := next(t, came, "receipt"); got.Status != decide.OK || string(got.Body) != "77" {
 		t.Errorf("got %v, %q", got.Status, got.Body)
 	}
@@ -145,11 +145,11 @@
 
 // A server that answers before it has all of a command, and reads no further, has not got it: nothing has run.
 func TestAnswerToHalfACommandIsNone(t *testing.T) {
-	u, at, accept := peers(t, false)
-	p := keep(t, at, accept)
-	came := ask(t, at, &engine.Canceler{}, bigPut())
-	p.asked()
-	p.say("HD Oa1 c77\r\n")
+	u, at, accept := newFakeServer(t, false)
+	p := keepConn(t, at, accept)
+	came := startAttempt(t, at, &engine.Canceler{}, largePut())
+	p.readCommand()
+	p.send("HD Oa1 c77\r\n")
 	p.SetLinger(0)
 	p.Close() // with input unread
 	if got := next(t, came, "end"); got.Status != decide.ConnectError {
@@ -162,37 +162,37 @@
 	}
 }
 
-// hurried is who an attempt is made for whose last byte has to be out within a time.
-type hurried struct {
-	prober
+// writeByHandler is who an attempt is made for whose last byte has to be out within a time.
+type writeByHandler struct {
+	probeHandler
 	within time.Duration
 }
 
-func (h hurried) Begin() (engine.Try, bool) {
+func (h writeByHandler) Begin() (engine.Try, bool) {
 	return engine.Try{DeadlineMS: 400, WriteBy: time.Now().Add(h.within)}, true
 }
 
 // Guards against a server that is passed more time than is left, as a long value went out long after the deadline ahead of it.
 func TestCommandWhoseLastByteComesTooLateNeverRan(t *testing.T) {
-	_, at, accept := peers(t, false)
-	p := keep(t, at, accept)
-	h := hurried{prober{make(chan engine.Reply, 1)}, 100 * time.Millisecond}
-	if got, known := at.Attempt(&engine.Canceler{}, bigPut(), h); known {
+	_, at, accept := newFakeServer(t, false)
+	p := keepConn(t, at, accept)
+	h := writeByHandler{probeHandler{make(chan engine.Reply, 1)}, 100 * time.Millisecond}
+	if got, known := at.Attempt(&engine.Canceler{}, largePut(), h); known {
 		t.Fatalf("over at once: %v", got.Status)
 	}
-	p.asked() // and reads no further
-	if got := next(t, h.came, "end"); got.Status != decide.ConnectError {
+	p.readCommand() // and reads no further
+	if got := next(t, h.result, "end"); got.Status != decide.ConnectError {
 		t.Errorf("got %v", got.Status)
 	}
 }
 
 // Giving up an attempt whose command is not all out ends it.
 func TestGivingUpALongCommand(t *testing.T) {
-	_, at, accept := peers(t, false)
-	p := keep(t, at, accept)
+	_, at, accept := newFakeServer(t, false)
+	p := keepConn(t, at, accept)
 	var stop engine.Canceler
-	came := ask(t, at, &stop, bigPut())
-	p.asked()
+	came := startAttempt(t, at, &stop, largePut())
+	p.readCommand()
 	stop.Cancel()
 	if got := next(t, came, "end"); got.Status != decide.ConnectError {
 		t.Errorf("got %v", got.Status)
@@ -204,17 +204,17 @@
 
 // An attempt that was given up must not close the connection of the one that has it now.
 func TestLateStopClosesNobodyElses(t *testing.T) {
-	_, at, accept := peers(t, false)
-	p := keep(t, at, accept)
+	_, at, accept := newFakeServer(t, false)
+	p := keepConn(t, at, accept)
 	var first engine.Canceler
-	came := ask(t, at, &first, getCommand())
-	p.asked()
-	p.say(value)
+	came := startAttempt(t, at, &first, getCommand())
+	p.readCommand()
+	p.send(value)
 	next(t, came, "first answer")
-	came = ask(t, at, &engine.Canceler{}, getCommand())
+	came = startAttempt(t, at, &engine.Canceler{}, getCommand())
 	first.Cancel()
-	p.asked()
-	p.say(value)
+	p.readCommand()
+	p.send(value)
 	if got := next(t, came, "second answer"); got.Status != decide.OK {
 		t.Errorf("got %v", got.Status)
 	}
@@ -236,7 +236,7 @@
 		}
 		return own
 	})
-	at := u.add(f.Addr, speaks(false))
+	at := u.add(f.Addr, protocolFor(false))
 	const each, askers = 200, 6
 	ended := make(chan int, askers)
 	for a := range askers {
@@ -263,7 +263,7 @@
 			t.Errorf("%d ends", n)
 		}
 	}
-	until(t, "connections are booked that are neither kept nor at work", func() bool {
+	waitUntil(t, "connections are booked that are neither kept nor at work", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return u.open == len(at.idle) && at.open == u.open
--- a/internal/backend/origin/origin.go
+++ b/internal/backend/origin/origin.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	maxHead        = 16 << 10 // bytes of a status line and headers
-	maxProvisional = 8        // 1xx answers ahead of the answer
+	maxHeaderBytes   = 16 << 10 // bytes of a status line and headers
+	maxInformational = 8        // 1xx answers ahead of the answer
 )
 
-// rest is how long a connection rests after an answer: see backend.Protocol.
-const rest = 20 * time.Millisecond
+// reuseDelay is how long a connection rests after an answer: see backend.Protocol.
+const reuseDelay = 20 * time.Millisecond
 
 // Protocol is a backend.Protocol.
 type Protocol struct {
-	Long   bool // values that are long are left to the caller
-	Absent bool // status 404 to a read says that there is no value, and is an answer; else it is a failure
+	StreamLongValues bool // values that are long are left to the caller
+	NotFoundAsAbsent bool // status 404 to a read says that there is no value, and is an answer; else it is a failure
 }
 
-// noValue is the note of such an answer.
-const noValue = 4
+// cacheResultNoValue is the note of such an answer.
+const cacheResultNoValue = 4
 
 // Command is the request in the origin's HTTP. The deadline among its facts is what the client has left.
 func (Protocol) Command(addr string, q *engine.Request, try engine.Try) ([]byte, error) {
@@ -52,23 +52,23 @@
 }
 
 // Open writes nothing: a connection is used as it is.
-func (Protocol) Open() []byte { return nil }
+func (Protocol) Preamble() []byte { return nil }
 
 // Opened reads nothing.
-func (Protocol) Opened(*bufio.Reader) error { return nil }
+func (Protocol) ReadPreambleReply(*bufio.Reader) error { return nil }
 
 // Probe asks for the load.
 func (Protocol) Probe(addr string) string { return "GET /load HTTP/1.1\r\nHost: " + addr + "\r\n\r\n" }
 
 // Rest is long enough for a second copy of an answer to show.
-func (Protocol) Rest() time.Duration { return rest }
+func (Protocol) ReuseDelay() time.Duration { return reuseDelay }
 
 // readHead reads a status line and headers, up to a bound, which the library sets nowhere.
 func readHead(r *bufio.Reader) ([]byte, error) {
 	var head []byte
 	for {
 		line, err := r.ReadSlice('\n')
-		if err == bufio.ErrBufferFull || len(head)+len(line) > maxHead {
+		if err == bufio.ErrBufferFull || len(head)+len(line) > maxHeaderBytes {
 			return nil, meta.Malformed("origin head too long")
 		}
 		if err != nil {
@@ -92,7 +92,7 @@
 // readResponse reads an answer of the origin with its body. The body is read here, as the library's Close would read
 // an unwanted one to its end, however long that is.
 func readResponse(r *bufio.Reader, method string, long bool) (*http.Response, []byte, error) {
-	for range maxProvisional {
+	for range maxInformational {
 		head, err := readHead(r)
 		if err != nil {
 			return nil, nil, err
@@ -102,7 +102,7 @@
 		case err != nil:
 			return nil, nil, meta.Malformed("origin answer: %v", err)
 		case resp.StatusCode >= 200:
-			if n := resp.ContentLength; long && resp.StatusCode == http.StatusOK && n > meta.MaxValue && n <= meta.MaxLong {
+			if n := resp.ContentLength; long && resp.StatusCode == http.StatusOK && n > meta.MaxValue && n <= meta.MaxLongValue {
 				return resp, nil, nil
 			}
 			body, err := readBody(r, resp)
@@ -111,7 +111,7 @@
 			return nil, nil, meta.Malformed("origin answer: status %d", resp.StatusCode)
 		}
 	}
-	return nil, nil, meta.Malformed("over %d provisional answers", maxProvisional)
+	return nil, nil, meta.Malformed("over %d provisional answers", maxInformational)
 }
 
 // readBody reads the body that an answer announces. One without a length ends with the connection: a reset there is no end.
@@ -156,13 +156,13 @@
 }
 
 // Answer reads the origin's answer to a request.
-func (p Protocol) Answer(in *bufio.Reader, _ string, q *engine.Request, _ engine.Try) (a engine.Reply, last bool, err error) {
+func (p Protocol) ReadAnswer(in *bufio.Reader, _ string, q *engine.Request, _ engine.Try) (a engine.Reply, last bool, err error) {
 	a.Load = decide.NoLoad
 	method := http.MethodGet
 	if q.Write {
 		method = http.MethodPut
 	}
-	resp, body, err := readResponse(in, method, p.Long && !q.Write)
+	resp, body, err := readResponse(in, method, p.StreamLongValues && !q.Write)
 	if err != nil {
 		return a, true, err
 	}
@@ -175,8 +175,8 @@
 		if q.Write && !isReceipt(a.Body) {
 			return a, true, meta.Malformed("receipt %.40q", a.Body)
 		}
-	case code == http.StatusNotFound && p.Absent && !q.Write:
-		a.Status, a.Body, a.Absent, a.CacheResult = decide.OK, nil, true, noValue
+	case code == http.StatusNotFound && p.NotFoundAsAbsent && !q.Write:
+		a.Status, a.Body, a.Absent, a.CacheResult = decide.OK, nil, true, cacheResultNoValue
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Unprocessed") == "1":
 		a.Status = decide.QueueFull
@@ -192,7 +192,7 @@
 }
 
 // Load reads the load.
-func (Protocol) Load(r *bufio.Reader) (decide.Load, error) {
+func (Protocol) ReadLoad(r *bufio.Reader) (decide.Load, error) {
 	resp, _, err := readResponse(r, http.MethodGet, false)
 	if err != nil {
 		return decide.NoLoad, err
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -22,28 +22,28 @@
 	// Command is what an attempt writes, made when its connection is up. An error says that the request can't be said in the
 	// protocol; it comes before anything is written.
 	Command(addr string, r *engine.Request, try engine.Try) ([]byte, error)
-	// Answer reads the answer to it. With last the connection carries no further request; an error leaves it without use.
-	Answer(in *bufio.Reader, addr string, r *engine.Request, try engine.Try) (a engine.Reply, last bool, err error)
-	// Open is what is written ahead of the first command of a connection, and Opened reads the answer to it.
-	Open() []byte
-	Opened(in *bufio.Reader) error
+	// ReadAnswer reads the answer to it. With last the connection carries no further request; an error leaves it without use.
+	ReadAnswer(in *bufio.Reader, addr string, r *engine.Request, try engine.Try) (a engine.Reply, last bool, err error)
+	// Preamble is what is written ahead of the first command of a connection, and Opened reads the answer to it.
+	Preamble() []byte
+	ReadPreambleReply(in *bufio.Reader) error
 	// Probe is what asks for the load; "" = it can't be asked.
 	Probe(addr string) string
-	// Load reads the answer to that.
-	Load(in *bufio.Reader) (decide.Load, error)
-	// Rest is how long a connection rests after an answer: where answers carry no id, a second copy of the last one that
+	// ReadLoad reads the answer to that.
+	ReadLoad(in *bufio.Reader) (decide.Load, error)
+	// ReuseDelay is how long a connection rests after an answer: where answers carry no id, a second copy of the last one that
 	// comes a moment later must be there before the next request is, and not be taken for its answer.
-	Rest() time.Duration
+	ReuseDelay() time.Duration
 }
 
 // target is a server at one address.
 type target struct {
-	pool  *Pool
-	proto Protocol
-	addr  string
-	idle  []*conn // longest idle first; guarded by pool.mu, as is what follows
-	open  int     // its part of the pool's
-	gone  bool    // no connection to it is kept any more
+	pool    *Pool
+	proto   Protocol
+	addr    string
+	idle    []*conn // longest idle first; guarded by pool.mu, as is what follows
+	open    int     // its part of the pool's
+	removed bool    // no connection to it is kept any more
 }
 
 // Pool keeps the connections to cache servers and origin.
@@ -56,14 +56,14 @@
 	mu      sync.Mutex
 	open    int // connections open or being opened
 	targets map[*target]struct{}
-	ended   bool               // nothing is kept any more
-	longs   map[*long]struct{} // values that are passing
+	closed  bool                        // nothing is kept any more
+	streams map[*streamedValue]struct{} // values that are passing
 }
 
 // NewPool keeps at most limit connections to all servers together. Servers close connections that stand idle for
 // connIdle; one that is not up within connectTimeout has failed.
 func NewPool(connIdle, connectTimeout time.Duration, limit int) *Pool {
-	u := &Pool{limit: limit, targets: map[*target]struct{}{}, longs: map[*long]struct{}{}}
+	u := &Pool{limit: limit, targets: map[*target]struct{}{}, streams: map[*streamedValue]struct{}{}}
 	u.dialer.Timeout = connectTimeout
 	u.dialer.KeepAlive = -1
 	// A request written to a connection that the server has just closed ends as a reset: be well ahead of it.
@@ -71,8 +71,8 @@
 	return u
 }
 
-// Secure has links to servers carry TLS. It is called before the first Link.
-func (u *Pool) Secure(t TLS) { u.tls = t }
+// SetTLS has links to servers carry TLS. It is called before the first Link.
+func (u *Pool) SetTLS(t TLS) { u.tls = t }
 
 // SetLimit changes how many connections there may be at most. Idle ones are closed where there are more; those with an attempt out end
 // by themselves, and no new one is opened until then.
@@ -91,16 +91,16 @@
 	return u.limit
 }
 
-// serial is that of the material of new connections.
-func (u *Pool) serial() int {
+// tlsSerial is that of the material of new connections.
+func (u *Pool) tlsSerial() int {
 	if u.tls == nil {
 		return 0
 	}
 	return u.tls.Serial()
 }
 
-// Link is the way to the server at an address that speaks a protocol.
-func (u *Pool) Link(addr string, p Protocol) engine.Endpoint { return u.add(addr, p) }
+// Endpoint is the way to the server at an address that speaks a protocol.
+func (u *Pool) Endpoint(addr string, p Protocol) engine.Endpoint { return u.add(addr, p) }
 
 func (u *Pool) add(addr string, p Protocol) *target {
 	t := &target{pool: u, proto: p, addr: addr}
@@ -114,7 +114,7 @@
 func (t *target) Remove() {
 	u := t.pool
 	u.mu.Lock()
-	t.gone = true
+	t.removed = true
 	delete(u.targets, t)
 	u.mu.Unlock()
 	t.CloseIdle()
@@ -126,13 +126,13 @@
 	u.mu.Lock()
 	old := t.idle
 	t.idle = nil
-	t.count(-len(old))
+	t.addOpen(-len(old))
 	u.mu.Unlock()
 	closeAll(old)
 }
 
-// count books connections that are opened, or with n below 0 closed. The caller holds mu.
-func (t *target) count(n int) {
+// addOpen books connections that are opened, or with n below 0 closed. The caller holds mu.
+func (t *target) addOpen(n int) {
 	t.pool.open += n
 	t.open += n
 }
@@ -152,63 +152,63 @@
 		case <-ctx.Done():
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			u.ended = true
+			u.closed = true
 			for t := range u.targets {
 				closeAll(t.idle)
-				t.count(-len(t.idle))
+				t.addOpen(-len(t.idle))
 				t.idle = nil
 			}
-			for l := range u.longs {
+			for l := range u.streams {
 				l.Discard()
 			}
 			return
 		case <-tick.C:
 		}
 		var old []*conn
-		serial := u.serial()
+		serial := u.tlsSerial()
 		u.mu.Lock()
 		for t := range u.targets {
 			before := len(t.idle)
 			t.idle = slices.DeleteFunc(t.idle, func(c *conn) bool {
-				dead := time.Since(c.since) >= u.maxIdle || c.made != serial
+				dead := time.Since(c.idleSince) >= u.maxIdle || c.tlsSerial != serial
 				if dead {
 					old = append(old, c)
 				}
 				return dead
 			})
-			t.count(len(t.idle) - before)
+			t.addOpen(len(t.idle) - before)
 		}
 		u.mu.Unlock()
 		closeAll(old)
 	}
 }
 
-// take takes a kept connection to t for an attempt, nil where there is none. The one that has been idle for longest, so that a
+// takeIdle takes a kept connection to t for an attempt, nil where there is none. The one that has been idle for longest, so that a
 // peak's connections stay in use: taking the latest let the others run out, and twice as many handshakes, each work for the
 // server, had to be made.
-func (u *Pool) take(t *target) *conn {
+func (u *Pool) takeIdle(t *target) *conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for len(t.idle) > 0 && time.Since(t.idle[0].since) >= t.proto.Rest() {
+	for len(t.idle) > 0 && time.Since(t.idle[0].idleSince) >= t.proto.ReuseDelay() {
 		c := t.idle[0]
 		t.idle = slices.Delete(t.idle, 0, 1)
-		if time.Since(c.since) < u.maxIdle {
+		if time.Since(c.idleSince) < u.maxIdle {
 			return c
 		}
-		t.count(-1)
+		t.addOpen(-1)
 		c.Close()
 	}
 	return nil
 }
 
-// room takes a place for one more connection to t, if there is any.
-func (u *Pool) room(t *target) bool {
+// reserve takes a place for one more connection to t, if there is any.
+func (u *Pool) reserve(t *target) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if t.open >= u.most() || u.open >= u.limit && !u.evict() {
+	if t.open >= u.maxPerTarget() || u.open >= u.limit && !u.evict() {
 		return false
 	}
-	t.count(1)
+	t.addOpen(1)
 	return true
 }
 
@@ -218,7 +218,7 @@
 	defer cancel()
 	stop.OnCancel(cancel)
 	defer stop.Detach()
-	serial := u.serial() // ahead of the material: what changes meanwhile makes the connection an old one
+	serial := u.tlsSerial() // ahead of the material: what changes meanwhile makes the connection an old one
 	opened, err := u.dialer.DialContext(ctx, "tcp", t.addr)
 	if err != nil {
 		return nil, fmt.Errorf("connecting: %w", err)
@@ -227,8 +227,8 @@
 	if err != nil || u.tls == nil {
 		return c, err
 	}
-	c.made = serial
-	if err := c.shake(ctx, u.tls.Client(), u.dialer.Timeout); err != nil {
+	c.tlsSerial = serial
+	if err := c.handshake(ctx, u.tls.Client(), u.dialer.Timeout); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
@@ -239,7 +239,7 @@
 func (u *Pool) evict() bool {
 	var from *target
 	for t := range u.targets {
-		if len(t.idle) > 0 && (from == nil || t.idle[0].since.Before(from.idle[0].since)) {
+		if len(t.idle) > 0 && (from == nil || t.idle[0].idleSince.Before(from.idle[0].idleSince)) {
 			from = t
 		}
 	}
@@ -248,14 +248,14 @@
 	}
 	from.idle[0].Close()
 	from.idle = slices.Delete(from.idle, 0, 1)
-	from.count(-1)
+	from.addOpen(-1)
 	return true
 }
 
-// most is how many connections one server may have: where there are others, three quarters of all, or one that hangs would
+// maxPerTarget is how many connections one server may have: where there are others, three quarters of all, or one that hangs would
 // take the sockets that requests to the others need. That leaves the origin more than the module's bound on fetches (64) where
 // descriptors are fewest. The caller holds mu.
-func (u *Pool) most() int {
+func (u *Pool) maxPerTarget() int {
 	if len(u.targets) < 2 {
 		return u.limit
 	}
@@ -264,28 +264,28 @@
 
 // put keeps a connection for the next attempt, or closes it. It tells whether it is kept.
 func (u *Pool) put(c *conn, reuse bool) bool {
-	t := c.t
-	reuse = reuse && c.made == u.serial()
+	t := c.target
+	reuse = reuse && c.tlsSerial == u.tlsSerial()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if reuse = reuse && !t.gone && !u.ended; reuse {
-		c.since = time.Now()
+	if reuse = reuse && !t.removed && !u.closed; reuse {
+		c.idleSince = time.Now()
 		t.idle = append(t.idle, c)
 		return true
 	}
-	t.count(-1)
+	t.addOpen(-1)
 	c.Close()
 	return false
 }
 
-// drop lets a connection go that has ended, or brought what nobody asked for, while it was kept.
-func (u *Pool) drop(c *conn) {
-	t := c.t
+// discard lets a connection go that has ended, or brought what nobody asked for, while it was kept.
+func (u *Pool) discard(c *conn) {
+	t := c.target
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if i := slices.Index(t.idle, c); i >= 0 { // else who took it out has counted it
 		t.idle = slices.Delete(t.idle, i, i+1)
-		t.count(-1)
+		t.addOpen(-1)
 	}
 	c.Close()
 }
@@ -293,22 +293,22 @@
 // Attempt is engine.Endpoint's. On a kept connection the command is written here, as far as that needs no waiting; where there is
 // none, another is opened by a goroutine that reads from it from then on.
 func (t *target) Attempt(stop *engine.Canceler, r *engine.Request, caller engine.AttemptHandler) (engine.Reply, bool) {
-	return t.begin(work{stop: stop, r: r, caller: caller})
+	return t.startTask(task{canceler: stop, request: r, handler: caller})
 }
 
-// begin has some work done. It tells how that ended if it is known at once.
-func (t *target) begin(w work) (engine.Reply, bool) {
+// startTask has some work done. It tells how that ended if it is known at once.
+func (t *target) startTask(w task) (engine.Reply, bool) {
 	u := t.pool
-	for c := u.take(t); c != nil; c = u.take(t) {
+	for c := u.takeIdle(t); c != nil; c = u.takeIdle(t) {
 		got := c.start(w)
 		if got == started {
 			return engine.Reply{}, false
 		}
-		if u.put(c, got.leavesConnection()); got != unfit {
-			return engine.Reply{Status: notBegun[got], Load: decide.NoLoad}, true
+		if u.put(c, got.connReusable()); got != unusable {
+			return engine.Reply{Status: startFailureStatus[got], Load: decide.NoLoad}, true
 		}
 	}
-	if !u.room(t) {
+	if !u.reserve(t) {
 		return engine.Reply{Status: decide.Ignored, Load: decide.NoLoad}, true
 	}
 	go t.connect(w)
@@ -316,19 +316,19 @@
 }
 
 // connect opens a connection for some work, whose place is taken, and reads from it until it ends.
-func (t *target) connect(w work) {
+func (t *target) connect(w task) {
 	u := t.pool
-	c, err := u.dial(w.stop, t)
+	c, err := u.dial(w.canceler, t)
 	if err != nil {
 		u.mu.Lock()
-		t.count(-1)
+		t.addOpen(-1)
 		u.mu.Unlock()
-		w.caller.Done(engine.Reply{Status: decide.ConnectError, Load: decide.NoLoad, ConnRefused: errors.Is(err, syscall.ECONNREFUSED)})
+		w.handler.Done(engine.Reply{Status: decide.ConnectError, Load: decide.NoLoad, ConnRefused: errors.Is(err, syscall.ECONNREFUSED)})
 		return
 	}
 	if got := c.start(w); got != started {
-		kept := u.put(c, got.leavesConnection())
-		w.caller.Done(engine.Reply{Status: notBegun[got], Load: decide.NoLoad})
+		kept := u.put(c, got.connReusable())
+		w.handler.Done(engine.Reply{Status: startFailureStatus[got], Load: decide.NoLoad})
 		if !kept {
 			return
 		}
@@ -336,25 +336,25 @@
 	c.serve()
 }
 
-// notBegun are the statuses of work that a connection did not begin.
-var notBegun = map[startResult]decide.Status{unfit: decide.ConnectError, calledOff: decide.Ignored, unsayable: decide.Ignored, notWritten: decide.ConnectError}
+// startFailureStatus are the statuses of work that a connection did not begin.
+var startFailureStatus = map[startResult]decide.Status{unusable: decide.ConnectError, canceled: decide.Ignored, unsupported: decide.Ignored, writeFailed: decide.ConnectError}
 
-// prober is who a probe is made for.
-type prober struct{ came chan engine.Reply } // of capacity 1
+// probeHandler is who a probe is made for.
+type probeHandler struct{ result chan engine.Reply } // of capacity 1
 
 // Begin says that the probe is wanted.
-func (prober) Begin() (engine.Try, bool) {
-	return engine.Try{WriteBy: time.Now().Add(probeWriting)}, true
+func (probeHandler) Begin() (engine.Try, bool) {
+	return engine.Try{WriteBy: time.Now().Add(probeWriteTimeout)}, true
 }
 
-// probeWriting is for a probe to be written, which is one line.
-const probeWriting = 100 * time.Millisecond
+// probeWriteTimeout is for a probe to be written, which is one line.
+const probeWriteTimeout = 100 * time.Millisecond
 
 // Written needs not be told: probes are no attempts.
-func (prober) Written() {}
+func (probeHandler) Written() {}
 
 // Done takes how the probe ended.
-func (p prober) Done(r engine.Reply) { p.came <- r }
+func (p probeHandler) Done(r engine.Reply) { p.result <- r }
 
 // Probe is engine.Endpoint's.
 func (t *target) Probe(ctx context.Context) (decide.Status, decide.Load) {
@@ -364,10 +364,10 @@
 	}
 	var stop engine.Canceler
 	defer context.AfterFunc(ctx, stop.Cancel)()
-	p := prober{came: make(chan engine.Reply, 1)}
-	got, known := t.begin(work{stop: &stop, caller: p, probe: text})
+	p := probeHandler{result: make(chan engine.Reply, 1)}
+	got, known := t.startTask(task{canceler: &stop, handler: p, probe: text})
 	if !known {
-		got = <-p.came
+		got = <-p.result
 	}
 	if got.Status == decide.Ignored { // no socket is left
 		got.Status = decide.ConnectError
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -37,8 +37,8 @@
 	return standintest.Next(t, ch, what)
 }
 
-// speaks is the protocol of a cache server or of the origin.
-func speaks(isOrigin bool) Protocol {
+// protocolFor is the protocol of a cache server or of the origin.
+func protocolFor(isOrigin bool) Protocol {
 	if isOrigin {
 		return origin.Protocol{}
 	}
@@ -55,22 +55,22 @@
 
 func always() bool { return true }
 
-// asker is who an attempt of a test is made for.
-type asker struct {
-	prober
+// attemptHandler is who an attempt of a test is made for.
+type attemptHandler struct {
+	probeHandler
 	begin func() bool
 }
 
-func (a asker) Begin() (engine.Try, bool) {
+func (a attemptHandler) Begin() (engine.Try, bool) {
 	return engine.Try{DeadlineMS: 400, WriteBy: time.Now().Add(wait)}, a.begin()
 }
 
 // attempt makes an attempt and waits for its end.
 func attempt(t *target, stop *engine.Canceler, r *engine.Request, begin func() bool) engine.Reply {
-	a := asker{prober{make(chan engine.Reply, 1)}, begin}
+	a := attemptHandler{probeHandler{make(chan engine.Reply, 1)}, begin}
 	got, known := t.Attempt(stop, r, a)
 	if !known {
-		got = <-a.came
+		got = <-a.result
 	}
 	return got
 }
@@ -88,7 +88,7 @@
 	return u
 }
 
-func idle(u *Pool, t *target) []*conn {
+func idleConns(u *Pool, t *target) []*conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.Clone(t.idle)
@@ -168,7 +168,7 @@
 			t.Parallel()
 			f := startFake(t, func(string) string { return c.answer })
 			u := testPool(t, 10*time.Second, 10)
-			target, cmd := u.add(f.Addr, speaks(c.origin)), getCommand()
+			target, cmd := u.add(f.Addr, protocolFor(c.origin)), getCommand()
 			if c.write {
 				cmd = putCommand()
 			}
@@ -180,7 +180,7 @@
 			if len(f.Seen) > 0 {
 				t.Error("sent twice")
 			}
-			if kept := len(idle(u, target)) == 1; kept != c.reused {
+			if kept := len(idleConns(u, target)) == 1; kept != c.reused {
 				t.Errorf("connection kept: %v", kept)
 			}
 		})
@@ -190,7 +190,7 @@
 func TestNoConnectionIsNeverRan(t *testing.T) {
 	u := testPool(t, 10*time.Second, 10)
 	ln := listenLocal(t)
-	refusing := u.add(ln.Addr().String(), speaks(false))
+	refusing := u.add(ln.Addr().String(), protocolFor(false))
 	ln.Close()
 	if got := attempt(refusing, &engine.Canceler{}, getCommand(), always); got.Status != decide.ConnectError {
 		t.Errorf("refused: got %v", got.Status)
@@ -207,12 +207,12 @@
 		}
 		return httpAnswer("200 OK", "fresh")
 	})
-	target := u.add(f.Addr, speaks(true))
+	target := u.add(f.Addr, protocolFor(true))
 	for n := range 3 {
 		if got := attempt(target, &engine.Canceler{}, putCommand(), always); got.Status != decide.OK {
 			t.Fatalf("request %d: got %v", n, got.Status)
 		}
-		for kept := idle(u, target); len(kept) > 0 && sock.Quiet(kept[0].Conn); {
+		for kept := idleConns(u, target); len(kept) > 0 && sock.IsIdle(kept[0].Conn); {
 			time.Sleep(time.Millisecond) // until the end has come over the socket
 		}
 	}
@@ -224,7 +224,7 @@
 func TestIdleConnectionsAreClosedAheadOfTheServer(t *testing.T) {
 	f := startFake(t, hit)
 	u := testPool(t, 400*time.Millisecond, 10)
-	target, began := u.add(f.Addr, speaks(false)), time.Now()
+	target, began := u.add(f.Addr, protocolFor(false)), time.Now()
 	attempt(target, &engine.Canceler{}, getCommand(), always)
 	next(t, f.Ended, "end of the idle connection")
 	if took := time.Since(began); took < 200*time.Millisecond || took > 3*time.Second {
@@ -240,7 +240,7 @@
 func TestSocketLimit(t *testing.T) {
 	u := testPool(t, 10*time.Second, 1)
 	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
-	a, b := u.add(f.Addr, speaks(false)), u.add(silent.Addr, speaks(false))
+	a, b := u.add(f.Addr, protocolFor(false)), u.add(silent.Addr, protocolFor(false))
 	if got := attempt(a, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Fatalf("got %v", got.Status)
 	}
@@ -263,7 +263,7 @@
 func TestHangingServerLeavesSocketsToOthers(t *testing.T) {
 	u := testPool(t, 10*time.Second, 8)
 	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
-	a, b := u.add(f.Addr, speaks(false)), u.add(silent.Addr, speaks(false))
+	a, b := u.add(f.Addr, protocolFor(false)), u.add(silent.Addr, protocolFor(false))
 	var stops [8]engine.Canceler
 	done := make(chan engine.Reply, len(stops))
 	for i := range stops {
@@ -299,7 +299,7 @@
 func TestCalledOffAttemptIsNotWritten(t *testing.T) {
 	f := startFake(t, hit)
 	u := testPool(t, 10*time.Second, 10)
-	target := u.add(f.Addr, speaks(false))
+	target := u.add(f.Addr, protocolFor(false))
 	attempt(target, &engine.Canceler{}, getCommand(), func() bool { return false })
 	if got := attempt(target, &engine.Canceler{}, getCommand(), always); got.Status != decide.OK {
 		t.Errorf("got %v", got.Status)
@@ -314,12 +314,12 @@
 	u := testPool(t, 10*time.Second, 10)
 	f := startFake(t, func(string) string { return "STAT qps 12\r\nSTAT util 0.5\r\nEND\r\n" })
 	o := startFake(t, func(string) string { return httpAnswer("200 OK", "", "X-Backend-Load: qps=12,util=0.5") })
-	for _, target := range []*target{u.add(f.Addr, speaks(false)), u.add(o.Addr, speaks(true))} {
+	for _, target := range []*target{u.add(f.Addr, protocolFor(false)), u.add(o.Addr, protocolFor(true))} {
 		if st, l := target.Probe(t.Context()); st != decide.OK || l.QPS != 12 || l.Util != 0.5 {
 			t.Errorf("origin %v: got %v, %+v", target.proto, st, l)
 		}
 	}
-	if st, _ := u.add(startFake(t, func(string) string { return "ERROR\r\n" }).Addr, speaks(false)).Probe(t.Context()); st == decide.OK {
+	if st, _ := u.add(startFake(t, func(string) string { return "ERROR\r\n" }).Addr, protocolFor(false)).Probe(t.Context()); st == decide.OK {
 		t.Error("an error passed for a report")
 	}
 }
@@ -328,10 +328,10 @@
 func TestKeptConnectionsTakeTurns(t *testing.T) {
 	f := startFake(t, hit)
 	u := testPool(t, 10*time.Second, 10)
-	target := u.add(f.Addr, speaks(false))
+	target := u.add(f.Addr, protocolFor(false))
 	var opened [2]*conn
 	for i := range opened {
-		if !u.room(target) {
+		if !u.reserve(target) {
 			t.Fatal("no room")
 		}
 		c, err := u.dial(&engine.Canceler{}, target)
@@ -344,7 +344,7 @@
 		u.put(c, true)
 	}
 	for n, want := range []int{0, 1, 0} {
-		got := u.take(target)
+		got := u.takeIdle(target)
 		if got != opened[want] {
 			t.Errorf("turn %d went to another connection", n)
 		}
@@ -377,7 +377,7 @@
 		}
 	}()
 	u := testPool(t, 10*time.Second, 10)
-	target := u.add(ln.Addr().String(), speaks(true))
+	target := u.add(ln.Addr().String(), protocolFor(true))
 	for n := range 5 {
 		cmd := getCommand()
 		cmd.ID = fmt.Sprint("a", n)
@@ -385,7 +385,7 @@
 			t.Errorf("request %s: got status %v, %q", cmd.ID, got.Status, got.Body)
 		}
 		if n == 2 { // the copies are there now
-			for kept := idle(u, target); len(kept) > 0 && (sock.Quiet(kept[0].Conn) || time.Since(kept[0].since) < (20*time.Millisecond)); kept = idle(u, target) {
+			for kept := idleConns(u, target); len(kept) > 0 && (sock.IsIdle(kept[0].Conn) || time.Since(kept[0].idleSince) < (20*time.Millisecond)); kept = idleConns(u, target) {
 				time.Sleep(time.Millisecond)
 			}
 		}
--- a/internal/backend/resp/cluster.go
+++ b/internal/backend/resp/cluster.go
@@ -30,41 +30,41 @@
 }
 
 const (
-	epochEvery = 250 * time.Millisecond // between two looks at the epoch: who drains must be known within 500 ms
-	mapEvery   = time.Second            // between two maps, where the epoch stays
-	mapSoon    = 25 * time.Millisecond  // between two, where something does
-	mapTimeout = 500 * time.Millisecond
-	mapCost    = 10 // times what the last map took is between it and one that is called for: a large one costs milliseconds
+	epochInterval      = 250 * time.Millisecond // between two looks at the epoch: who drains must be known within 500 ms
+	mapInterval        = time.Second            // between two maps, where the epoch stays
+	minRefreshDelay    = 25 * time.Millisecond  // between two, where something does
+	mapTimeout         = 500 * time.Millisecond
+	refreshDelayFactor = 10 // times what the last map took is between it and one that is called for: a large one costs milliseconds
 	// maxNodes bounds the servers of a cluster; what maps and redirections name beyond that is passed over.
 	maxNodes = 1000
 )
 
 // Cluster is where the servers of a cluster come from: it asks them for their map, and knows the owners of slots.
 type Cluster struct {
-	cfg  Config
-	want chan struct{}                      // of capacity 1: a map is asked for soon
-	view [slots.Count]atomic.Pointer[owner] // what requests read
+	cfg              Config
+	refreshRequested chan struct{}                           // of capacity 1: a map is asked for soon
+	ownersBySlot     [slots.Count]atomic.Pointer[slotOwners] // what requests read
 
-	mu      sync.Mutex
-	table   *slots.Table
-	nodes   map[string]float64 // address to when it was first seen; 0 = with the first map
-	extra   map[string]float64 // addresses that redirections named and no map yet, and when
-	version int64
-	turn    int
-	full    float64 // when a whole map is due; Run's alone
-	tell    func(member.List)
-	said    string // the last trouble that was logged
+	mu              sync.Mutex
+	table           *slots.Table
+	nodes           map[string]float64 // address to when it was first seen; 0 = with the first map
+	redirectTargets map[string]float64 // addresses that redirections named and no map yet, and when
+	version         int64
+	rotation        int
+	mapDue          float64 // when a whole map is due; Run's alone
+	onUpdate        func(member.List)
+	lastError       string // the last trouble that was logged
 }
 
-// owner is who owns a slot, as the module's numbers. It never changes.
-type owner struct {
+// resolveOwners is who owns a slot, as the module's numbers. It never changes.
+type slotOwners struct {
 	write []uint32
 	read  []uint32
 }
 
 // NewCluster is a cluster that nothing is known of yet.
 func NewCluster(cfg Config) *Cluster {
-	c := &Cluster{cfg: cfg, want: make(chan struct{}, 1), table: slots.New(), nodes: map[string]float64{}, extra: map[string]float64{}}
+	c := &Cluster{cfg: cfg, refreshRequested: make(chan struct{}, 1), table: slots.New(), nodes: map[string]float64{}, redirectTargets: map[string]float64{}}
 	c.cfg.Protocol.Cluster = c
 	return c
 }
@@ -72,94 +72,94 @@
 // Protocol is what its servers speak.
 func (c *Cluster) Protocol() Protocol { return c.cfg.Protocol }
 
-// none are the owners of a slot that nobody owns.
-var none = []uint32{}
+// noOwners are the owners of a slot that nobody owns.
+var noOwners = []uint32{}
 
 // Owners are the servers that may serve a command on a slot, the primary first. It may be called from any goroutine; the
 // slice is shared and must not be changed. It is empty where nobody is known.
 func (c *Cluster) Owners(slot int, write bool) []uint32 {
 	if slot < 0 || slot >= slots.Count {
-		return none
+		return noOwners
 	}
-	o := c.view[slot].Load()
+	o := c.ownersBySlot[slot].Load()
 	switch {
 	case o == nil:
-		c.Doubt()
-		return none
+		c.RequestRefresh()
+		return noOwners
 	case write:
 		return o.write
 	}
 	return o.read
 }
 
-// Doubt asks for a new map soon.
-func (c *Cluster) Doubt() {
+// RequestRefresh asks for a new map soon.
+func (c *Cluster) RequestRefresh() {
 	select {
-	case c.want <- struct{}{}:
+	case c.refreshRequested <- struct{}{}:
 	default:
 	}
 }
 
-// idOf is the module's number of the server at an address.
-func idOf(addr string) uint32 { return member.ServerID(addr) }
+// serverID is the module's number of the server at an address.
+func serverID(addr string) uint32 { return member.ServerID(addr) }
 
-// Moved is Sent's.
-func (c *Cluster) Moved(slot int, addr string) ([]uint32, bool) {
+// HandleMoved is Sent's.
+func (c *Cluster) HandleMoved(slot int, addr string) ([]uint32, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.Doubt()
-	if !c.known(addr) || !c.table.Moved(c.cfg.Now(), slot, addr) {
+	defer c.RequestRefresh()
+	if !c.ensureListed(addr) || !c.table.ApplyRedirect(c.cfg.Now(), slot, addr) {
 		return nil, false
 	}
 	o, _ := c.table.Owner(slot)
-	c.view[slot].Store(c.owner(&o)) // that one alone: in a migration redirections come by thousands
-	return []uint32{idOf(addr)}, true
+	c.ownersBySlot[slot].Store(c.resolveOwners(&o)) // that one alone: in a migration redirections come by thousands
+	return []uint32{serverID(addr)}, true
 }
 
-// Asked is Sent's.
-func (c *Cluster) Asked(addr string) ([]uint32, bool) {
+// HandleAsk is Sent's.
+func (c *Cluster) HandleAsk(addr string) ([]uint32, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.known(addr) {
+	if !c.ensureListed(addr) {
 		return nil, false
 	}
-	return []uint32{idOf(addr)}, true
+	return []uint32{serverID(addr)}, true
 }
 
-// known makes sure that the server at an address is on the list, so that the module can send there. The news of it is
+// ensureListed makes sure that the server at an address is on the list, so that the module can send there. The news of it is
 // told before the outcome that needs it. The caller holds mu.
-func (c *Cluster) known(addr string) bool {
+func (c *Cluster) ensureListed(addr string) bool {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return false
 	}
 	if _, ok := c.nodes[addr]; ok {
 		return true
 	}
-	if _, ok := c.extra[addr]; ok {
+	if _, ok := c.redirectTargets[addr]; ok {
 		return true
 	}
-	if len(c.nodes)+len(c.extra) >= maxNodes {
+	if len(c.nodes)+len(c.redirectTargets) >= maxNodes {
 		return false
 	}
-	c.extra[addr] = c.cfg.Now()
-	c.list()
+	c.redirectTargets[addr] = c.cfg.Now()
+	c.publishServers()
 	return true
 }
 
 // Run asks for maps until ctx ends, and hands each change of servers to tell.
 func (c *Cluster) Run(ctx context.Context, tell func(member.List)) {
 	c.mu.Lock()
-	c.tell = tell
+	c.onUpdate = tell
 	c.mu.Unlock()
-	pause, soon := time.NewTimer(0), mapSoon
+	pause, soon := time.NewTimer(0), minRefreshDelay
 	defer pause.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-pause.C:
-		case <-c.want:
-			c.full = 0
+		case <-c.refreshRequested:
+			c.mapDue = 0
 			select {
 			case <-time.After(soon):
 			case <-ctx.Done():
@@ -168,8 +168,8 @@
 		}
 		began := time.Now()
 		c.refresh(ctx)
-		soon = min(max(mapSoon, mapCost*time.Since(began)), epochEvery)
-		pause.Reset(epochEvery)
+		soon = min(max(minRefreshDelay, refreshDelayFactor*time.Since(began)), epochInterval)
+		pause.Reset(epochInterval)
 	}
 }
 
@@ -177,38 +177,38 @@
 func (c *Cluster) refresh(ctx context.Context) {
 	var trouble []error
 	for _, addr := range c.candidates() {
-		m, err := c.ask(ctx, addr)
-		if ctx.Err() != nil || errors.Is(err, errSame) {
+		m, err := c.fetchMap(ctx, addr)
+		if ctx.Err() != nil || errors.Is(err, errMapUnchanged) {
 			return
 		}
 		if err == nil {
-			err = c.take(m)
+			err = c.applyMap(m)
 		}
 		if err == nil {
-			c.full = c.cfg.Now() + float64(mapEvery.Milliseconds())
-			c.trouble("")
+			c.mapDue = c.cfg.Now() + float64(mapInterval.Milliseconds())
+			c.logError("")
 			return
 		}
 		trouble = append(trouble, fmt.Errorf("%s: %w", addr, err))
 	}
 	if err := errors.Join(trouble...); err != nil {
-		c.trouble(strings.ReplaceAll(err.Error(), "\n", "; "))
+		c.logError(strings.ReplaceAll(err.Error(), "\n", "; "))
 	}
 }
 
-// trouble logs what is wrong with the maps, once for each text.
-func (c *Cluster) trouble(text string) {
+// logError logs what is wrong with the maps, once for each text.
+func (c *Cluster) logError(text string) {
 	c.mu.Lock()
-	new := text != c.said
-	c.said = text
+	new := text != c.lastError
+	c.lastError = text
 	c.mu.Unlock()
 	if new && text != "" {
 		c.cfg.Log("cluster: no new map, the one in use stays: %s", text)
 	}
 }
 
-// maxAsked bounds the servers that one refresh asks.
-const maxAsked = 8
+// maxServersAsked bounds the servers that one refresh asks.
+const maxServersAsked = 8
 
 // candidates are the servers to ask for a map, each time another one first.
 func (c *Cluster) candidates() []string {
@@ -220,9 +220,9 @@
 	}
 	slices.Sort(out)
 	if len(out) > 0 {
-		c.turn = (c.turn + 1) % len(out)
-		out = append(out[c.turn:], out[:c.turn]...)
-		out = out[:min(len(out), maxAsked)]
+		c.rotation = (c.rotation + 1) % len(out)
+		out = append(out[c.rotation:], out[:c.rotation]...)
+		out = out[:min(len(out), maxServersAsked)]
 	}
 	for _, s := range c.cfg.Seeds {
 		if !slices.Contains(out, s) {
@@ -232,8 +232,8 @@
 	return out
 }
 
-// ask gets the map of one server.
-func (c *Cluster) ask(ctx context.Context, addr string) (m slots.Map, err error) {
+// fetchMap gets the map of one server.
+func (c *Cluster) fetchMap(ctx context.Context, addr string) (m slots.Map, err error) {
 	ctx, stop := context.WithTimeout(ctx, mapTimeout)
 	defer stop()
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
@@ -242,16 +242,16 @@
 	}
 	defer raw.Close()
 	defer context.AfterFunc(ctx, func() { raw.Close() })()
-	conn, err := backend.Over(ctx, raw, c.cfg.TLS, addr)
+	conn, err := backend.WrapTLS(ctx, raw, c.cfg.TLS, addr)
 	if err != nil {
 		return m, err
 	}
 	p := c.cfg.Protocol
-	if _, err := conn.Write(resp.AppendCommand(p.Open(), []byte("CLUSTER"), []byte("INFO"))); err != nil {
+	if _, err := conn.Write(resp.AppendCommand(p.Preamble(), []byte("CLUSTER"), []byte("INFO"))); err != nil {
 		return m, err
 	}
 	in := bufio.NewReaderSize(conn, resp.MaxLine)
-	if err := p.Opened(in); err != nil {
+	if err := p.ReadPreambleReply(in); err != nil {
 		return m, err
 	}
 	r := resp.NewReader(in)
@@ -262,8 +262,8 @@
 	if m.Epoch, err = readEpoch(&info); err != nil {
 		return m, err
 	}
-	if c.same(m.Epoch) {
-		return m, errSame
+	if c.mapCurrent(m.Epoch) {
+		return m, errMapUnchanged
 	}
 	if _, err := conn.Write(resp.AppendCommand(nil, []byte("CLUSTER"), []byte("SLOTS"))); err != nil {
 		return m, err
@@ -272,13 +272,13 @@
 	return m, err
 }
 
-// errSame tells that the epoch is that of the map in use, and none is due.
-var errSame = errors.New("the same epoch")
+// errMapUnchanged tells that the epoch is that of the map in use, and none is due.
+var errMapUnchanged = errors.New("the same epoch")
 
-func (c *Cluster) same(epoch uint64) bool {
+func (c *Cluster) mapCurrent(epoch uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.nodes) > 0 && epoch == c.table.Epoch() && c.cfg.Now() < c.full
+	return len(c.nodes) > 0 && epoch == c.table.Epoch() && c.cfg.Now() < c.mapDue
 }
 
 // readEpoch reads the current epoch from CLUSTER INFO; 0 where it is not told.
@@ -345,13 +345,13 @@
 	return r, nil
 }
 
-// take uses a map. Servers that are new with it count as started now: nobody tells when they did.
-func (c *Cluster) take(m slots.Map) error {
+// applyMap uses a map. Servers that are new with it count as started now: nobody tells when they did.
+func (c *Cluster) applyMap(m slots.Map) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ch := c.table.Full(c.cfg.Now(), m)
-	if ch.Refused != "" {
-		return errors.New(ch.Refused)
+	ch := c.table.ApplyMap(c.cfg.Now(), m)
+	if ch.RejectReason != "" {
+		return errors.New(ch.RejectReason)
 	}
 	seen := map[string]bool{}
 	for _, r := range m.Ranges {
@@ -369,12 +369,12 @@
 			if first {
 				started = 0
 			}
-			if at, ok := c.extra[addr]; ok {
+			if at, ok := c.redirectTargets[addr]; ok {
 				started = at
 			}
 			c.nodes[addr], changed = started, true
 		}
-		delete(c.extra, addr)
+		delete(c.redirectTargets, addr)
 	}
 	for addr := range c.nodes {
 		if !seen[addr] {
@@ -383,54 +383,54 @@
 		}
 	}
 	now := c.cfg.Now()
-	for addr, at := range c.extra { // named by a redirection, and by no map since
+	for addr, at := range c.redirectTargets { // named by a redirection, and by no map since
 		if now-at > 10000 {
-			delete(c.extra, addr)
+			delete(c.redirectTargets, addr)
 			changed = true
 		}
 	}
-	if ch.Slots > 0 || ch.Clashes > 0 || ch.Gaps > 0 && first {
-		c.cfg.Log("cluster: map of epoch %d: %d slots changed hands, %d without an owner, %d claimed by two", m.Epoch, ch.Slots, ch.Gaps, ch.Clashes)
+	if ch.ChangedSlots > 0 || ch.Conflicts > 0 || ch.Gaps > 0 && first {
+		c.cfg.Log("cluster: map of epoch %d: %d slots changed hands, %d without an owner, %d claimed by two", m.Epoch, ch.ChangedSlots, ch.Gaps, ch.Conflicts)
 	}
-	c.publish() // before the list, which makes the router ready
+	c.publishOwners() // before the list, which makes the router ready
 	if changed {
-		c.list()
+		c.publishServers()
 	}
 	return nil
 }
 
-// list tells which servers there are. The caller holds mu.
-func (c *Cluster) list() {
+// publishServers tells which servers there are. The caller holds mu.
+func (c *Cluster) publishServers() {
 	c.version++
 	l := member.List{Version: c.version, Full: true}
-	for _, from := range []map[string]float64{c.nodes, c.extra} {
+	for _, from := range []map[string]float64{c.nodes, c.redirectTargets} {
 		for addr, started := range from {
 			l.Servers = append(l.Servers, member.Entry{ID: addr, Addr: addr, Zone: c.cfg.Site, Kind: "cache", State: "active", Weight: 1, Started: started})
 		}
 	}
 	slices.SortFunc(l.Servers, func(a, b member.Entry) int { return strings.Compare(a.Addr, b.Addr) })
-	if c.tell != nil {
-		c.tell(l)
+	if c.onUpdate != nil {
+		c.onUpdate(l)
 	}
 }
 
-// publish makes the owners known to requests. The caller holds mu.
-func (c *Cluster) publish() {
-	made := map[*slots.Owner]*owner{}
+// publishOwners makes the owners known to requests. The caller holds mu.
+func (c *Cluster) publishOwners() {
+	made := map[*slots.Owner]*slotOwners{}
 	for s, o := range c.table.Owners() {
 		if o != nil && made[o] == nil {
-			made[o] = c.owner(o)
+			made[o] = c.resolveOwners(o)
 		}
-		c.view[s].Store(made[o]) // nil = nobody
+		c.ownersBySlot[s].Store(made[o]) // nil = nobody
 	}
 }
 
-func (c *Cluster) owner(o *slots.Owner) *owner {
-	out := &owner{write: []uint32{idOf(o.Primary)}}
+func (c *Cluster) resolveOwners(o *slots.Owner) *slotOwners {
+	out := &slotOwners{write: []uint32{serverID(o.Primary)}}
 	out.read = out.write
 	if c.cfg.Protocol.Replicas {
 		for _, a := range o.Replicas {
-			out.read = append(slices.Clip(out.read), idOf(a))
+			out.read = append(slices.Clip(out.read), serverID(a))
 		}
 	}
 	return out
--- a/internal/backend/resp/protocol.go
+++ b/internal/backend/resp/protocol.go
@@ -14,34 +14,34 @@
 	"mossproxy.example/mossproxy/internal/proto/resp"
 )
 
-// Sent tells the cluster of what a server said beside an answer.
-type Sent interface {
-	// Moved takes a redirection for good, and gives the servers that may serve the request now; ok is false where it is not
+// Topology tells the cluster of what a server said beside an answer.
+type Topology interface {
+	// HandleMoved takes a redirection for good, and gives the servers that may serve the request now; ok is false where it is not
 	// believed.
-	Moved(slot int, addr string) (owners []uint32, ok bool)
-	// Asked gives the server that an ASK names.
-	Asked(addr string) (owners []uint32, ok bool)
-	// Doubt asks for a new map soon.
-	Doubt()
+	HandleMoved(slot int, addr string) (owners []uint32, ok bool)
+	// HandleAsk gives the server that an ASK names.
+	HandleAsk(addr string) (owners []uint32, ok bool)
+	// RequestRefresh asks for a new map soon.
+	RequestRefresh()
 }
 
 // Protocol is a backend.Protocol.
 type Protocol struct {
-	Cluster  Sent
+	Cluster  Topology
 	User     string // "" = AUTH with a password alone
 	Password string // "" = no AUTH
 	Replicas bool   // connections may read from replicas
 	Origin   bool   // there is one behind the servers: a key that they lack is a miss
 }
 
-var asking = resp.AppendCommand(nil, []byte("ASKING"))
+var askingCommand = resp.AppendCommand(nil, []byte("ASKING"))
 
 // Command is the client's command, behind ASKING where the server has it by leave. A request of another front is a GET or
 // a SET.
 func (Protocol) Command(_ string, r *engine.Request, try engine.Try) ([]byte, error) {
 	var b []byte
 	if try.Asking {
-		b = append(b, asking...)
+		b = append(b, askingCommand...)
 	}
 	switch {
 	case len(r.Args) > 0:
@@ -54,14 +54,14 @@
 	return resp.AppendCommand(b, []byte("GET"), []byte(r.Key)), nil
 }
 
-// MaxFetched is the longest key that the origin is asked for, in bytes: it becomes part of an address.
-const MaxFetched = 1024
+// MaxOriginKey is the longest key that the origin is asked for, in bytes: it becomes part of an address.
+const MaxOriginKey = 1024
 
-// missed says whether a reply means that the server lacks a key that the origin may have. Commands other than GET are
+// isMiss says whether a reply means that the server lacks a key that the origin may have. Commands other than GET are
 // answered by what the servers hold.
-func (p Protocol) missed(r *engine.Request, got *resp.Reply) bool {
+func (p Protocol) isMiss(r *engine.Request, got *resp.Reply) bool {
 	get := len(r.Args) == 0 || len(r.Args) == 2 && strings.EqualFold(string(r.Args[0]), "GET")
-	return p.Origin && get && !r.Write && got.Kind == resp.Null && len(r.Key) <= MaxFetched
+	return p.Origin && get && !r.Write && got.Kind == resp.Null && len(r.Key) <= MaxOriginKey
 }
 
 // StoreCommand is the write by which a value of the origin is kept for some ms, only where the key is not there.
@@ -69,15 +69,15 @@
 	return [][]byte{[]byte("SET"), []byte(key), value, []byte("PX"), strconv.AppendInt(nil, keep, 10), []byte("NX")}
 }
 
-// receipt is what a write of another front gets: the server's word.
-var receipt = []byte("OK")
+// okBody is what a write of another front gets: the server's word.
+var okBody = []byte("OK")
 
-// plain puts a reply into the terms of other fronts. What is neither value nor receipt stays as it is: the server has
+// convertReply puts a reply into the terms of other fronts. What is neither value nor receipt stays as it is: the server has
 // answered, so nothing is held against it, and the front can only call it a failure.
-func plain(a *engine.Reply, r *engine.Request, got *resp.Reply) {
+func convertReply(a *engine.Reply, r *engine.Request, got *resp.Reply) {
 	switch a.Content = nil; {
 	case r.Write && got.Kind == resp.Simple:
-		a.Body = receipt
+		a.Body = okBody
 	case !r.Write && got.Kind == resp.Null:
 		a.Absent = true
 	case !r.Write && got.Kind == resp.Bulk:
@@ -88,7 +88,7 @@
 }
 
 // Open says who we are, and that replicas may answer reads.
-func (p Protocol) Open() (b []byte) {
+func (p Protocol) Preamble() (b []byte) {
 	if p.Password != "" {
 		words := [][]byte{[]byte("AUTH")}
 		if p.User != "" {
@@ -103,7 +103,7 @@
 }
 
 // Opened reads what a server says to Open. An error there shows in the answer to the command behind it too.
-func (p Protocol) Opened(in *bufio.Reader) error {
+func (p Protocol) ReadPreambleReply(in *bufio.Reader) error {
 	n := 0
 	if p.Password != "" {
 		n++
@@ -120,7 +120,7 @@
 }
 
 // Answer reads the reply to a command.
-func (p Protocol) Answer(in *bufio.Reader, addr string, q *engine.Request, try engine.Try) (engine.Reply, bool, error) {
+func (p Protocol) ReadAnswer(in *bufio.Reader, addr string, q *engine.Request, try engine.Try) (engine.Reply, bool, error) {
 	r := resp.NewReader(in)
 	if try.Asking {
 		if _, err := r.ReadReply(); err != nil {
@@ -136,14 +136,14 @@
 	}
 	a := engine.Reply{Status: decide.OK, Load: decide.NoLoad, Content: &got}
 	if got.IsError() {
-		p.judge(&a, addr, string(got.Text))
+		p.applyError(&a, addr, string(got.Text))
 	}
 	switch {
 	case a.Status != decide.OK:
-	case p.missed(q, &got):
+	case p.isMiss(q, &got):
 		a.Status, a.CacheResult, a.Content = decide.Miss, 2, nil
 	case len(q.Args) == 0:
-		plain(&a, q, &got)
+		convertReply(&a, q, &got)
 	}
 	return a, false, nil
 }
@@ -152,21 +152,21 @@
 func (Protocol) Probe(string) string { return "" }
 
 // Load is never read.
-func (Protocol) Load(*bufio.Reader) (decide.Load, error) { return decide.NoLoad, nil }
+func (Protocol) ReadLoad(*bufio.Reader) (decide.Load, error) { return decide.NoLoad, nil }
 
 // Rest is none: a server gives one reply for each command, and one too many shows as input on an idle connection.
-func (Protocol) Rest() time.Duration { return 0 }
+func (Protocol) ReuseDelay() time.Duration { return 0 }
 
-// verdict is what an error says.
-type verdict struct {
-	status decide.Status
-	doubt  bool // the map may be old
+// errorOutcome is what an error says.
+type errorOutcome struct {
+	status     decide.Status
+	refreshMap bool // the map may be old
 }
 
-// verdicts are the errors that prove that a command did not run (redis.io/docs/reference/cluster-spec, and the server's
+// errorOutcomes are the errors that prove that a command did not run (redis.io/docs/reference/cluster-spec, and the server's
 // own sources for the words). Any other error is the command's own answer: it was carried out as far as it goes, and the
 // client gets it as it is. Ignored says nothing against the server; QueueFull says that it can't serve now.
-var verdicts = map[string]verdict{
+var errorOutcomes = map[string]errorOutcome{
 	"TRYAGAIN":    {decide.Ignored, false},   // several keys, of which some have moved
 	"CLUSTERDOWN": {decide.Ignored, true},    // the slot, or the cluster, is without an owner
 	"READONLY":    {decide.Ignored, true},    // a write at a replica
@@ -181,45 +181,45 @@
 	"NOPERM":      {decide.QueueFull, false},
 }
 
-// judge books what an error says of the attempt.
-func (p Protocol) judge(a *engine.Reply, addr, text string) {
+// applyError books what an error says of the attempt.
+func (p Protocol) applyError(a *engine.Reply, addr, text string) {
 	word, rest, _ := strings.Cut(text, " ")
 	if word == "MOVED" || word == "ASK" {
 		a.Status, a.Content = decide.Ignored, nil
-		p.sentOn(a, addr, word, rest)
+		p.applyRedirection(a, addr, word, rest)
 		return
 	}
-	v, ok := verdicts[word]
+	v, ok := errorOutcomes[word]
 	if !ok {
 		return
 	}
 	a.Status, a.Content = v.status, nil
-	if v.doubt {
-		p.Cluster.Doubt()
+	if v.refreshMap {
+		p.Cluster.RequestRefresh()
 	}
 }
 
-// sentOn books a redirection: "SLOT HOST:PORT", where a host that is left out is the server's own.
-func (p Protocol) sentOn(a *engine.Reply, addr, word, rest string) {
+// applyRedirection books a redirection: "SLOT HOST:PORT", where a host that is left out is the server's own.
+func (p Protocol) applyRedirection(a *engine.Reply, addr, word, rest string) {
 	n, to, _ := strings.Cut(rest, " ")
 	slot, err := strconv.Atoi(n)
 	if err != nil || to == "" {
-		p.Cluster.Doubt()
+		p.Cluster.RequestRefresh()
 		return
 	}
 	if strings.HasPrefix(to, ":") {
 		to = addr[:strings.LastIndexByte(addr, ':')] + to
 	}
 	if to == addr { // to itself: it does not know what it says, and a new map may
-		p.Cluster.Doubt()
+		p.Cluster.RequestRefresh()
 		return
 	}
 	var owners []uint32
 	ok := false
 	if word == "MOVED" {
-		owners, ok = p.Cluster.Moved(slot, to)
+		owners, ok = p.Cluster.HandleMoved(slot, to)
 	} else {
-		owners, ok = p.Cluster.Asked(to)
+		owners, ok = p.Cluster.HandleAsk(to)
 	}
 	if ok {
 		a.Owners, a.Asking = owners, word == "ASK"
--- a/internal/backend/resp/resp_test.go
+++ b/internal/backend/resp/resp_test.go
@@ -16,25 +16,27 @@
 	"mossproxy.example/mossproxy/internal/pure/slots"
 )
 
-// heard notes what a protocol tells its cluster.
-type heard struct {
-	said   []string
+// fakeTopology notes what a protocol tells its cluster.
+type fakeTopology struct {
+	calls  []string
 	refuse bool
 }
 
-func (h *heard) Moved(slot int, addr string) ([]uint32, bool) {
-	h.said = append(h.said, fmt.Sprintf("moved %d %s", slot, addr))
+func (h *fakeTopology) HandleMoved(slot int, addr string) ([]uint32, bool) {
+	h.calls = append(h.calls, fmt.Sprintf("moved %d %s", slot, addr))
 	return []uint32{1}, !h.refuse
 }
 
-func (h *heard) Asked(addr string) ([]uint32, bool) {
-	h.said = append(h.said, "asked "+addr)
+func (h *fakeTopology) HandleAsk(addr string) ([]uint32, bool) {
+	h.calls = append(h.calls, "asked "+addr)
 	return []uint32{2}, !h.refuse
 }
 
-func (h *heard) Doubt() { h.said = append(h.said, "doubt") }
+func (h *fakeTopology) RequestRefresh() { h.calls = append(h.calls, "doubt") }
 
-func in(text string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(text), resp.MaxLine) }
+func newInput(text string) *bufio.Reader {
+	return bufio.NewReaderSize(strings.NewReader(text), resp.MaxLine)
+}
 
 func command(words ...string) *engine.Request {
 	q := &engine.Request{}
@@ -47,7 +49,7 @@
 // With an origin a GET of what a server lacks is a miss, which has not run; all else is the server's own answer.
 func TestMisses(t *testing.T) {
 	long := command("GET", "k")
-	long.Key = strings.Repeat("k", MaxFetched+1)
+	long.Key = strings.Repeat("k", MaxOriginKey+1)
 	for _, row := range []struct {
 		q      *engine.Request
 		answer string
@@ -59,7 +61,7 @@
 		{long, "$-1", true, decide.OK}, {&engine.Request{Key: "k"}, "$-1", true, decide.Miss}, {&engine.Request{Key: "k", Write: true}, "$-1", true, decide.OK},
 		{command("GET", "k"), "-LOADING x", true, decide.QueueFull},
 	} {
-		a, _, err := Protocol{Cluster: &heard{}, Origin: row.origin}.Answer(in(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
+		a, _, err := Protocol{Cluster: &fakeTopology{}, Origin: row.origin}.ReadAnswer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
 		if err != nil || a.Status != row.want || a.Status == decide.Miss && (a.Content != nil || a.CacheResult != 2) {
 			t.Errorf("%q %q: %+v, %v", row.q.Args, row.answer, a, err)
 		}
@@ -69,7 +71,7 @@
 // Requests of other fronts: what goes out for them, and what comes back in their terms.
 func TestRequestsOfOtherFronts(t *testing.T) {
 	read, write := &engine.Request{Key: "k"}, &engine.Request{Key: "k", Value: []byte("v\r\n"), Write: true}
-	p := Protocol{Cluster: &heard{}}
+	p := Protocol{Cluster: &fakeTopology{}}
 	for _, row := range []struct {
 		q    *engine.Request
 		try  engine.Try
@@ -93,7 +95,7 @@
 		{read, "$1\r\nx", "x", false, false}, {read, "$0\r\n", "", false, false}, {read, "$-1", "", true, false}, {write, "+OK", "OK", false, false},
 		{read, "-WRONGTYPE x", "", false, true}, {write, "-ERR x", "", false, true}, {read, ":7", "", false, true}, {write, "$-1", "", false, true},
 	} {
-		a, _, err := p.Answer(in(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
+		a, _, err := p.ReadAnswer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", row.q, engine.Try{})
 		if err != nil || a.Status != decide.OK || string(a.Body) != row.body || a.Absent != row.absent || (a.Content != nil) != row.failed {
 			t.Errorf("%q: %+v, %v", row.answer, a, err)
 		}
@@ -104,10 +106,10 @@
 func TestMovedChangesOneSlot(t *testing.T) {
 	now := 1000.0
 	c := NewCluster(Config{Now: func() float64 { return now }, Log: t.Logf})
-	if err := c.take(slots.Map{Epoch: 1, Ranges: []slots.Range{{From: 0, To: slots.Count - 1, Owner: slots.Owner{Primary: "10.0.0.1:1"}}}}); err != nil {
+	if err := c.applyMap(slots.Map{Epoch: 1, Ranges: []slots.Range{{From: 0, To: slots.Count - 1, Owner: slots.Owner{Primary: "10.0.0.1:1"}}}}); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := c.Moved(7, "10.0.0.2:1"); !ok {
+	if _, ok := c.HandleMoved(7, "10.0.0.2:1"); !ok {
 		t.Fatal("not believed")
 	}
 	for s := range slots.Count {
@@ -121,13 +123,13 @@
 	}
 }
 
-// scattered is the answer to CLUSTER SLOTS of a cluster whose every slot is a run of its own.
-func scattered(n int) []byte {
-	b := resp.AppendArray(nil, n)
+// fragmentedSlots is the answer to CLUSTER SLOTS of a cluster whose every slot is a run of its own.
+func fragmentedSlots(n int) []byte {
+	b := resp.AppendArrayHeader(nil, n)
 	for s := range n {
-		b = resp.AppendInt(resp.AppendInt(resp.AppendArray(b, 6), int64(s)), int64(s))
+		b = resp.AppendInt(resp.AppendInt(resp.AppendArrayHeader(b, 6), int64(s)), int64(s))
 		for i := range 4 {
-			b = resp.AppendInt(resp.AppendBulk(resp.AppendArray(b, 3), fmt.Appendf(nil, "10.0.%d.%d", s%200, i)), 7000)
+			b = resp.AppendInt(resp.AppendBulk(resp.AppendArrayHeader(b, 3), fmt.Appendf(nil, "10.0.%d.%d", s%200, i)), 7000)
 			b = resp.AppendBulk(b, bytes.Repeat([]byte("a"), 40))
 		}
 	}
@@ -137,12 +139,12 @@
 // The map of a cluster whose slots lie scattered is megabytes, and read all the same; a longer one than there are slots is
 // not, nor one that breaks off.
 func TestScatteredMap(t *testing.T) {
-	text := scattered(slots.Count)
+	text := fragmentedSlots(slots.Count)
 	got, err := readRanges(resp.NewReader(bufio.NewReaderSize(bytes.NewReader(text), resp.MaxLine)), "x:1")
 	if err != nil || len(got) != slots.Count || got[9].Primary != "10.0.9.0:7000" || len(got[9].Replicas) != 3 {
 		t.Fatalf("%d bytes: %d runs, %v", len(text), len(got), err)
 	}
-	for name, bad := range map[string][]byte{"too many": scattered(slots.Count + 1), "cut": text[:len(text)/2], "no array": []byte("-ERR no\r\n"),
+	for name, bad := range map[string][]byte{"too many": fragmentedSlots(slots.Count + 1), "cut": text[:len(text)/2], "no array": []byte("-ERR no\r\n"),
 		"null": []byte("*-1\r\n"), "empty": nil, "a long run": append([]byte("*1\r\n*2000000\r\n"), text...)} {
 		if _, err := readRanges(resp.NewReader(bufio.NewReaderSize(bytes.NewReader(bad), resp.MaxLine)), "x:1"); err == nil {
 			t.Errorf("%s: taken", name)
@@ -152,13 +154,13 @@
 
 // BenchmarkScatteredMap is what the largest map costs.
 func BenchmarkScatteredMap(b *testing.B) {
-	text, now := scattered(slots.Count), 1000.0
-	c, _ := cluster(&now)
+	text, now := fragmentedSlots(slots.Count), 1000.0
+	c, _ := newTestCluster(&now)
 	b.ReportAllocs()
 	for e := uint64(1); b.Loop(); e++ {
 		ranges, err := readRanges(resp.NewReader(bufio.NewReaderSize(bytes.NewReader(text), resp.MaxLine)), "x:1")
 		if err == nil {
-			err = c.take(slots.Map{Epoch: e, Ranges: ranges})
+			err = c.applyMap(slots.Map{Epoch: e, Ranges: ranges})
 		}
 		if err != nil {
 			b.Fatal(err)
@@ -170,14 +172,14 @@
 func BenchmarkMoved(b *testing.B) {
 	now := 1000.0
 	c := NewCluster(Config{Now: func() float64 { now += 0.5; return now }, Log: b.Logf})
-	if err := c.take(slots.Map{Epoch: 1, Ranges: []slots.Range{{From: 0, To: slots.Count - 1, Owner: slots.Owner{Primary: "10.0.0.1:1"}}}}); err != nil {
+	if err := c.applyMap(slots.Map{Epoch: 1, Ranges: []slots.Range{{From: 0, To: slots.Count - 1, Owner: slots.Owner{Primary: "10.0.0.1:1"}}}}); err != nil {
 		b.Fatal(err)
 	}
 	to := []string{"10.0.0.2:1", "10.0.0.1:1"}
-	c.Moved(0, to[0])
+	c.HandleMoved(0, to[0])
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		c.Moved(i%10000, to[i/10000%2])
+		c.HandleMoved(i%10000, to[i/10000%2])
 	}
 }
 
@@ -203,8 +205,8 @@
 		{"-NOAUTH x", decide.QueueFull, "", 0, false}, {"-WRONGPASS x", decide.QueueFull, "", 0, false}, {"-NOPERM x", decide.QueueFull, "", 0, false},
 	} {
 		for _, refuse := range []bool{false, true} {
-			h := &heard{refuse: refuse}
-			a, last, err := Protocol{Cluster: h}.Answer(in(row.answer+"\r\n"), "10.0.0.1:7000", command("INCR", "k"), engine.Try{})
+			h := &fakeTopology{refuse: refuse}
+			a, last, err := Protocol{Cluster: h}.ReadAnswer(newInput(row.answer+"\r\n"), "10.0.0.1:7000", command("INCR", "k"), engine.Try{})
 			owners := 0
 			if len(a.Owners) > 0 {
 				owners = int(a.Owners[0])
@@ -213,8 +215,8 @@
 			if refuse { // what is not believed sends a request nowhere
 				want, asking = 0, false
 			}
-			if err != nil || last || a.Status != row.status || strings.Join(h.said, ";") != row.said || owners != want || a.Asking != asking {
-				t.Errorf("%s (refused %v): %+v, %v; said %q", row.answer, refuse, a, err, h.said)
+			if err != nil || last || a.Status != row.status || strings.Join(h.calls, ";") != row.said || owners != want || a.Asking != asking {
+				t.Errorf("%s (refused %v): %+v, %v; said %q", row.answer, refuse, a, err, h.calls)
 			}
 			if (a.Content == nil) != (row.status != decide.OK) {
 				t.Errorf("%s: content %v", row.answer, a.Content)
@@ -229,7 +231,7 @@
 // An answer that breaks off, or is none, is an error: the attempt has run.
 func TestSpoiltAnswers(t *testing.T) {
 	for _, text := range []string{"", "$5\r\nab", "hello\r\n", "*2\r\n+a\r\n", "$99999999\r\n"} {
-		if _, last, err := (Protocol{Cluster: &heard{}}).Answer(in(text), "a:1", &engine.Request{}, engine.Try{}); err == nil || !last {
+		if _, last, err := (Protocol{Cluster: &fakeTopology{}}).ReadAnswer(newInput(text), "a:1", &engine.Request{}, engine.Try{}); err == nil || !last {
 			t.Errorf("%q passed", text)
 		}
 	}
@@ -237,20 +239,20 @@
 
 // ASKING goes ahead of the command in the same write, and its own answer is passed over, as are those to Open and news.
 func TestAheadOfTheCommand(t *testing.T) {
-	p := Protocol{Cluster: &heard{}, User: "u", Password: "p", Replicas: true}
+	p := Protocol{Cluster: &fakeTopology{}, User: "u", Password: "p", Replicas: true}
 	r := &engine.Request{Args: [][]byte{[]byte("GET"), []byte("k")}}
 	wire, err := p.Command("a:1", r, engine.Try{Asking: true})
 	if want := "*1\r\n$6\r\nASKING\r\n*2\r\n$3\r\nGET\r\n$1\r\nk\r\n"; err != nil || string(wire) != want {
 		t.Errorf("%q, %v", wire, err)
 	}
-	if got, want := string(p.Open()), "*3\r\n$4\r\nAUTH\r\n$1\r\nu\r\n$1\r\np\r\n*1\r\n$8\r\nREADONLY\r\n"; got != want {
+	if got, want := string(p.Preamble()), "*3\r\n$4\r\nAUTH\r\n$1\r\nu\r\n$1\r\np\r\n*1\r\n$8\r\nREADONLY\r\n"; got != want {
 		t.Errorf("%q", got)
 	}
-	b := in("+OK\r\n-ERR no\r\n+OK\r\n>1\r\n+news\r\n$1\r\nv\r\n")
-	if err := p.Opened(b); err != nil {
+	b := newInput("+OK\r\n-ERR no\r\n+OK\r\n>1\r\n+news\r\n$1\r\nv\r\n")
+	if err := p.ReadPreambleReply(b); err != nil {
 		t.Error(err)
 	}
-	a, _, err := p.Answer(b, "a:1", r, engine.Try{Asking: true})
+	a, _, err := p.ReadAnswer(b, "a:1", r, engine.Try{Asking: true})
 	if got, ok := a.Content.(*resp.Reply); err != nil || !ok || string(got.Text) != "v" {
 		t.Errorf("%+v, %v", a, err)
 	}
@@ -262,10 +264,10 @@
 	}
 }
 
-func cluster(now *float64) (*Cluster, *[]member.List) {
+func newTestCluster(now *float64) (*Cluster, *[]member.List) {
 	c := NewCluster(Config{Seeds: []string{"s:1"}, Site: "a", Now: func() float64 { return *now }, Log: func(string, ...any) {}})
 	lists := &[]member.List{}
-	c.tell = func(l member.List) { *lists = append(*lists, l) }
+	c.onUpdate = func(l member.List) { *lists = append(*lists, l) }
 	return c, lists
 }
 
@@ -280,42 +282,42 @@
 // if no map ever names it.
 func TestListFollowsTheMap(t *testing.T) {
 	now := 1e12
-	c, lists := cluster(&now)
+	c, lists := newTestCluster(&now)
 	half := func(epoch uint64, a, b string) slots.Map {
 		return slots.Map{Epoch: epoch, Ranges: []slots.Range{{From: 0, To: 8191, Owner: slots.Owner{Primary: a}}, {From: 8192, To: 16383, Owner: slots.Owner{Primary: b}}}}
 	}
 	last := func() member.List { return (*lists)[len(*lists)-1] }
-	if err := c.take(half(1, "a:1", "b:1")); err != nil {
+	if err := c.applyMap(half(1, "a:1", "b:1")); err != nil {
 		t.Fatal(err)
 	}
 	if got := addresses(last()); !slices.Equal(got, []string{"a:1", "b:1"}) || last().Servers[0].Started != 0 || !last().Full {
 		t.Errorf("first map: %+v", last())
 	}
-	if got := c.Owners(3, true); !slices.Equal(got, []uint32{idOf("a:1")}) {
+	if got := c.Owners(3, true); !slices.Equal(got, []uint32{serverID("a:1")}) {
 		t.Errorf("owners %v", got)
 	}
 	now += 1000
-	owners, ok := c.Moved(3, "c:1")
-	if got := addresses(last()); !ok || !slices.Equal(owners, []uint32{idOf("c:1")}) || !slices.Equal(got, []string{"a:1", "b:1", "c:1"}) {
+	owners, ok := c.HandleMoved(3, "c:1")
+	if got := addresses(last()); !ok || !slices.Equal(owners, []uint32{serverID("c:1")}) || !slices.Equal(got, []string{"a:1", "b:1", "c:1"}) {
 		t.Errorf("moved to one that is not listed: %v, list %v", owners, got)
 	}
-	if !slices.Equal(c.Owners(3, false), owners) || !slices.Equal(c.Owners(4, false), []uint32{idOf("a:1")}) {
+	if !slices.Equal(c.Owners(3, false), owners) || !slices.Equal(c.Owners(4, false), []uint32{serverID("a:1")}) {
 		t.Error("the redirection is not in use, or moved its neighbours")
 	}
 	n := len(*lists)
-	c.Asked("c:1")
-	c.Moved(5, "c:1")
+	c.HandleAsk("c:1")
+	c.HandleMoved(5, "c:1")
 	if len(*lists) != n {
 		t.Error("a server that is listed was told of again")
 	}
 	now += 11000
-	if err := c.take(half(2, "a:1", "b:1")); err != nil || slices.Contains(addresses(last()), "c:1") {
+	if err := c.applyMap(half(2, "a:1", "b:1")); err != nil || slices.Contains(addresses(last()), "c:1") {
 		t.Errorf("no map names it: %v, %v", addresses(last()), err)
 	}
-	if _, ok := c.Moved(3, "nonsense"); ok {
+	if _, ok := c.HandleMoved(3, "nonsense"); ok {
 		t.Error("an address that is none was believed")
 	}
-	if err := c.take(half(1, "x:1", "x:1")); err == nil || !slices.Equal(c.Owners(3, true), []uint32{idOf("a:1")}) {
+	if err := c.applyMap(half(1, "x:1", "x:1")); err == nil || !slices.Equal(c.Owners(3, true), []uint32{serverID("a:1")}) {
 		t.Errorf("an older map: %v", err)
 	}
 	if got := c.Owners(-1, true); got == nil || len(got) != 0 {
@@ -326,9 +328,9 @@
 // What redirections name is bounded.
 func TestServersAreBounded(t *testing.T) {
 	now := 1e12
-	c, lists := cluster(&now)
+	c, lists := newTestCluster(&now)
 	for i := range 2 * maxNodes {
-		c.Asked(fmt.Sprintf("h%d:1", i))
+		c.HandleAsk(fmt.Sprintf("h%d:1", i))
 	}
 	if got := len((*lists)[len(*lists)-1].Servers); got != maxNodes {
 		t.Errorf("%d servers", got)
@@ -338,9 +340,9 @@
 // Replicas serve reads where the pool allows it, and no writes.
 func TestReplicas(t *testing.T) {
 	now := 1e12
-	c, _ := cluster(&now)
+	c, _ := newTestCluster(&now)
 	c.cfg.Protocol.Replicas = true
-	if err := c.take(slots.Map{Epoch: 1, Ranges: []slots.Range{{From: 0, To: 16383, Owner: slots.Owner{Primary: "a:1", Replicas: []string{"b:1", "c:1"}}}}}); err != nil {
+	if err := c.applyMap(slots.Map{Epoch: 1, Ranges: []slots.Range{{From: 0, To: 16383, Owner: slots.Owner{Primary: "a:1", Replicas: []string{"b:1", "c:1"}}}}}); err != nil {
 		t.Fatal(err)
 	}
 	if w, r := c.Owners(1, true), c.Owners(1, false); len(w) != 1 || len(r) != 3 || r[0] != w[0] {
@@ -366,8 +368,8 @@
 			return
 		}
 		now := 1.0
-		c, _ := cluster(&now)
-		if c.take(m) == nil && len(c.nodes) == 0 {
+		c, _ := newTestCluster(&now)
+		if c.applyMap(m) == nil && len(c.nodes) == 0 {
 			t.Errorf("a map without servers was taken: %+v", m)
 		}
 	})
--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		rules, err := readUpTo(c.Rights, rights.MaxText)
+		rules, err := readUpTo(c.Rights, rights.MaxTextBytes)
 		if err != nil {
 			return err
 		}
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		_, faults := caller.NewBook(contents)
+		_, faults := caller.NewCredentialStore(contents)
 		return keybook.Faults(c.Book, text, faults)
 	}()
 	if err != nil {
@@ -67,7 +67,7 @@
 
 // Rights checks a rights file, with a configuration also against its classes and its book.
 func Rights(out io.Writer, path, cfg string) (good bool, err error) {
-	text, err := readUpTo(path, rights.MaxText)
+	text, err := readUpTo(path, rights.MaxTextBytes)
 	if err != nil {
 		return false, err
 	}
@@ -105,7 +105,7 @@
 
 // Explain says which rule of a rights file decides a request; it is good where that is allowed.
 func Explain(out io.Writer, path string, q Question) (good bool, err error) {
-	text, err := readUpTo(path, rights.MaxText)
+	text, err := readUpTo(path, rights.MaxTextBytes)
 	if err != nil {
 		return false, err
 	}
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, member.MaxFile+1))
+	text, err := io.ReadAll(io.LimitReader(f, member.MaxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/fleettest/doors_test.go
+++ b/internal/fleettest/doors_test.go
@@ -202,7 +202,7 @@
 	m, err := slotMap(leaving)
 	r.must(t, err)
 	for k := 0; key == ""; k++ {
-		if c := fmt.Sprint("mine-", k); m[slots.Of([]byte(c))] == leaving {
+		if c := fmt.Sprint("mine-", k); m[slots.ForKey([]byte(c))] == leaving {
 			key = c
 		}
 	}
--- a/internal/front/answers.go
+++ b/internal/front/answers.go
@@ -10,119 +10,119 @@
 	"mossproxy.example/mossproxy/internal/sock"
 )
 
-// slot is the place of a command's answer among those of its connection.
-type slot struct {
+// pendingAnswer is the place of a command's answer among those of its connection.
+type pendingAnswer struct {
 	engine.RequestHandle
-	c       *clientConn
-	text    []byte // guarded by c.mu, as the others
-	lane    int
-	ready   bool
-	request *engine.Request      // nil = the answer was known at once
-	party   string               // who the answer is booked to
-	long    engine.StreamedValue // the value behind text; nil = text is the answer
-	class   string               // of such an answer's request
+	conn        *clientConn
+	text        []byte // guarded by c.mu, as the others
+	orderKey    int
+	ready       bool
+	request     *engine.Request      // nil = the answer was known at once
+	tenant      string               // who the answer is booked to
+	stream      engine.StreamedValue // the value behind text; nil = text is the answer
+	streamClass string               // of such an answer's request
 }
 
-// debt is what is booked to a party for an answer that its client has not taken yet.
-type debt struct {
-	party string
-	bytes int
+// answerReservation is what is booked to a party for an answer that its client has not taken yet.
+type answerReservation struct {
+	tenant string
+	bytes  int
 }
 
-// push makes a place for the answer to a command that has come.
-func (c *clientConn) push(lane int) *slot {
-	sl := &slot{c: c, lane: lane}
+// enqueue makes a place for the answer to a command that has come.
+func (c *clientConn) enqueue(lane int) *pendingAnswer {
+	sl := &pendingAnswer{conn: c, orderKey: lane}
 	c.mu.Lock()
 	c.queue = append(c.queue, sl)
 	c.mu.Unlock()
 	return sl
 }
 
-// serve gives the answer to a request that ends with a long value: text is what comes ahead of it.
-func (sl *slot) serve(text []byte, class string, long engine.StreamedValue) {
-	sl.c.mu.Lock()
-	sl.long, sl.class = long, class
-	sl.c.mu.Unlock()
-	sl.answer(text, true)
+// completeStream gives the answer to a request that ends with a long value: text is what comes ahead of it.
+func (sl *pendingAnswer) completeStream(text []byte, class string, long engine.StreamedValue) {
+	sl.conn.mu.Lock()
+	sl.stream, sl.streamClass = long, class
+	sl.conn.mu.Unlock()
+	sl.complete(text, true)
 }
 
-// drop lets go of a long value that nobody takes.
-func (sl *slot) drop() {
-	if sl.long != nil {
-		sl.long.Discard()
-		sl.c.s.e.StreamEnded(sl.class, false)
+// discardStream lets go of a long value that nobody takes.
+func (sl *pendingAnswer) discardStream() {
+	if sl.stream != nil {
+		sl.stream.Discard()
+		sl.conn.manager.engine.StreamEnded(sl.streamClass, false)
 	}
 }
 
-// answer gives the answer to a command. It does not block. On the engine's goroutine the answers of a batch of events go out
+// complete gives the answer to a command. It does not block. On the engine's goroutine the answers of a batch of events go out
 // together.
-func (sl *slot) answer(text []byte, engines bool) {
-	c := sl.c
-	party := c.s.e.ReserveAnswer(sl.request, len(text))
+func (sl *pendingAnswer) complete(text []byte, engines bool) {
+	c := sl.conn
+	party := c.manager.engine.ReserveAnswer(sl.request, len(text))
 	sl.request = nil // its value need not wait for the client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	sl.party = party
-	if sl.lane > 0 {
-		defer c.changed.Broadcast()
+	sl.tenant = party
+	if sl.orderKey > 0 {
+		defer c.queueChanged.Broadcast()
 	}
 	if sl.text, sl.ready = text, true; c.broken {
-		c.s.e.ReleaseAnswer(party, len(text))
-		sl.drop()
+		c.manager.engine.ReleaseAnswer(party, len(text))
+		sl.discardStream()
 		return
 	}
 	switch {
-	case c.writing > 0 || c.flushes || !c.queue[0].ready:
+	case c.answersInWrite > 0 || c.flushScheduled || !c.queue[0].ready:
 	case engines:
-		c.flushes = true
-		c.s.e.AtBatchEnd(c.flushed)
+		c.flushScheduled = true
+		c.manager.engine.AtBatchEnd(c.flushFunc)
 	default:
-		out, _ := c.batch()
-		c.s.wg.Go(func() { c.write(out) })
+		out, _ := c.takeReady()
+		c.manager.wg.Go(func() { c.writeAnswers(out) })
 	}
 }
 
-// flush writes the answers that are there as far as that needs no waiting; a goroutine writes the rest.
-func (c *clientConn) flush() {
+// flushAnswers writes the answers that are there as far as that needs no waiting; a goroutine writes the rest.
+func (c *clientConn) flushAnswers() {
 	c.mu.Lock()
-	c.flushes = false
+	c.flushScheduled = false
 	var out net.Buffers
 	size := 0
-	if !c.broken && c.writing == 0 && len(c.queue) > 0 && c.queue[0].ready {
-		out, size = c.batch()
+	if !c.broken && c.answersInWrite == 0 && len(c.queue) > 0 && c.queue[0].ready {
+		out, size = c.takeReady()
 	}
 	c.mu.Unlock()
 	for len(out) > 0 {
-		if c.last != nil || !c.quick(&out, size) {
-			c.s.wg.Go(func() { c.write(out) })
+		if c.streaming != nil || !c.tryDirectWrite(&out, size) {
+			c.manager.wg.Go(func() { c.writeAnswers(out) })
 			return
 		}
-		out, size = c.written(nil)
+		out, size = c.finishWrite(nil)
 	}
 }
 
-// maxQuick bounds the bytes that are written without a goroutine of their own.
-const maxQuick = 16 << 10
+// maxDirectWriteBytes bounds the bytes that are written without a goroutine of their own.
+const maxDirectWriteBytes = 16 << 10
 
-// quickWrite is one write that does not wait, with what it needs kept: a closure for each would cost an allocation.
-type quickWrite struct {
-	text []byte
-	buf  []byte // for several answers in one write
-	n    int
-	do   func(fd uintptr) bool
+// nonBlockingWrite is one write that does not wait, with what it needs kept: a closure for each would cost an allocation.
+type nonBlockingWrite struct {
+	text      []byte
+	buf       []byte // for several answers in one write
+	written   int
+	writeFunc func(fd uintptr) bool
 }
 
-func (q *quickWrite) write(fd uintptr) bool {
-	q.n, _ = syscall.Write(int(fd), q.text) // an error shows when the rest is written
+func (q *nonBlockingWrite) write(fd uintptr) bool {
+	q.written, _ = syscall.Write(int(fd), q.text) // an error shows when the rest is written
 	return true
 }
 
-// quick writes what it can without waiting, leaves the rest in out, and says whether that is nothing.
-func (c *clientConn) quick(out *net.Buffers, size int) bool {
-	if c.raw == nil || size > maxQuick {
+// tryDirectWrite writes what it can without waiting, leaves the rest in out, and says whether that is nothing.
+func (c *clientConn) tryDirectWrite(out *net.Buffers, size int) bool {
+	if c.rawConn == nil || size > maxDirectWriteBytes {
 		return false
 	}
-	q := &c.once
+	q := &c.directWrite
 	if q.text = (*out)[0]; len(*out) > 1 {
 		q.buf = q.buf[:0]
 		for _, b := range *out {
@@ -130,15 +130,15 @@
 		}
 		q.text = q.buf
 	}
-	q.n = 0
-	if err := c.raw.Write(q.do); err != nil {
+	q.written = 0
+	if err := c.rawConn.Write(q.writeFunc); err != nil {
 		return false
 	}
 	q.text = nil
-	if q.n = max(0, q.n); q.n >= size {
+	if q.written = max(0, q.written); q.written >= size {
 		return true
 	}
-	for left := q.n; left > 0; {
+	for left := q.written; left > 0; {
 		n := min(left, len((*out)[0]))
 		if left -= n; n == len((*out)[0]) {
 			*out = (*out)[1:]
@@ -149,58 +149,58 @@
 	return false
 }
 
-// batch takes the answers that are there off the queue, in the order of the commands. The caller holds mu.
-func (c *clientConn) batch() (out net.Buffers, size int) {
-	c.writing = 0
+// takeReady takes the answers that are there off the queue, in the order of the commands. The caller holds mu.
+func (c *clientConn) takeReady() (out net.Buffers, size int) {
+	c.answersInWrite = 0
 	for len(c.queue) > 0 && c.queue[0].ready {
 		sl := c.queue[0]
-		out, size, c.owed = append(out, sl.text), size+len(sl.text), append(c.owed, debt{sl.party, len(sl.text)})
-		c.queue, c.writing = c.queue[1:], c.writing+1
-		if sl.long != nil { // the next answer comes behind the whole of it
-			c.last = sl
+		out, size, c.reservations = append(out, sl.text), size+len(sl.text), append(c.reservations, answerReservation{sl.tenant, len(sl.text)})
+		c.queue, c.answersInWrite = c.queue[1:], c.answersInWrite+1
+		if sl.stream != nil { // the next answer comes behind the whole of it
+			c.streaming = sl
 			break
 		}
 	}
 	return out, size
 }
 
-// write writes answers until none is there.
-func (c *clientConn) write(out net.Buffers) {
+// writeAnswers writes answers until none is there.
+func (c *clientConn) writeAnswers(out net.Buffers) {
 	for len(out) > 0 {
-		c.SetWriteDeadline(time.Now().Add(answerTime))
+		c.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 		_, err := out.WriteTo(c.Conn)
-		for end := time.Now().Add(shortTime); sock.Short(err) && time.Now().Before(end); {
-			time.Sleep(shortStep)
+		for end := time.Now().Add(bufferRetryTimeout); sock.IsOutOfBuffers(err) && time.Now().Before(end); {
+			time.Sleep(bufferRetryInterval)
 			_, err = out.WriteTo(c.Conn)
 		}
-		if sl := c.last; sl != nil { // nobody else looks at it while answers are being written
-			c.last = nil
-			err = c.pass(sl, err)
+		if sl := c.streaming; sl != nil { // nobody else looks at it while answers are being written
+			c.streaming = nil
+			err = c.writeStream(sl, err)
 		}
-		out, _ = c.written(err)
+		out, _ = c.finishWrite(err)
 	}
 }
 
-// longEnd ends an answer with a long value. Without it the client can tell that the value is not whole.
-var longEnd = []byte("\r\n")
+// streamTerminator ends an answer with a long value. Without it the client can tell that the value is not whole.
+var streamTerminator = []byte("\r\n")
 
-// pass passes on the long value of an answer whose beginning was written, or not, which err says.
-func (c *clientConn) pass(sl *slot, err error) error {
+// writeStream passes on the long value of an answer whose beginning was written, or not, which err says.
+func (c *clientConn) writeStream(sl *pendingAnswer, err error) error {
 	if err != nil {
-		sl.long.Discard()
-	} else if err = sl.long.Stream(taker{c.Conn}); err == nil {
-		_, err = taker{c.Conn}.Write(longEnd)
+		sl.stream.Discard()
+	} else if err = sl.stream.Stream(deadlineWriter{c.Conn}); err == nil {
+		_, err = deadlineWriter{c.Conn}.Write(streamTerminator)
 	}
-	c.s.e.StreamEnded(sl.class, err == nil)
+	c.manager.engine.StreamEnded(sl.streamClass, err == nil)
 	return err
 }
 
-// taker is a client that takes a value in pieces, each in its time.
-type taker struct{ net.Conn }
+// deadlineWriter is a client that takes a value in pieces, each in its time.
+type deadlineWriter struct{ net.Conn }
 
 // Write writes a piece.
-func (t taker) Write(b []byte) (int, error) {
-	t.SetWriteDeadline(time.Now().Add(answerTime))
+func (t deadlineWriter) Write(b []byte) (int, error) {
+	t.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	n, err := t.Conn.Write(b)
 	if err != nil {
 		return n, fmt.Errorf("client: %w", err)
@@ -208,28 +208,28 @@
 	return n, nil
 }
 
-// written books what has been written and returns what is next.
-func (c *clientConn) written(err error) (out net.Buffers, size int) {
+// finishWrite books what has been written and returns what is next.
+func (c *clientConn) finishWrite(err error) (out net.Buffers, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, d := range c.owed {
-		c.s.e.ReleaseAnswer(d.party, d.bytes)
+	for _, d := range c.reservations {
+		c.manager.engine.ReleaseAnswer(d.tenant, d.bytes)
 	}
-	c.owed = c.owed[:0]
-	c.changed.Broadcast()
+	c.reservations = c.reservations[:0]
+	c.queueChanged.Broadcast()
 	if err != nil && !c.broken {
 		c.broken = true
 		c.Close() // which ends the reader too; it tells the loop
 	}
 	if c.broken {
-		c.writing = 0
+		c.answersInWrite = 0
 		return nil, 0
 	}
-	if out, size = c.batch(); c.open() == 0 {
+	if out, size = c.takeReady(); c.openCommands() == 0 {
 		c.queue = nil // and the answers that its array holds
-		switch c.since = time.Now(); {
+		switch c.idleSince = time.Now(); {
 		case !c.closing:
-			c.SetReadDeadline(c.since.Add(c.s.proto.Idle()))
+			c.SetReadDeadline(c.idleSince.Add(c.manager.protocol.Idle()))
 		case !c.reading:
 			c.SetReadDeadline(time.Unix(1, 0))
 		}
--- a/internal/front/arrival_test.go
+++ b/internal/front/arrival_test.go
@@ -17,12 +17,12 @@
 		"more than one read behind such a one":   {{100, 300, 50, 4096, 300}, {1300, 1300, 4096, 4096, 300}, {1301, 1301, 4096, 4096, 300}, {1302, 1302, 9, 4096, 300}, {1303, 1400, 9, 4096, 1400}},
 		"a long value that comes while it reads": {{100, 300, 4096, 4096, 300}, {300, 304, 8000, 60000, 304}, {304, 309, 8000, 52000, 309}},
 	} {
-		a := arrival{empty: 100}
+		a := arrivalTracker{lastEmpty: 100}
 		for i, r := range reads {
-			a.before(r.began)
-			a.after(r.ended, r.n, r.room)
-			if a.at != r.at {
-				t.Errorf("%s: read %d counts from %v, want %v", name, i, a.at, r.at)
+			a.readStarted(r.began)
+			a.readFinished(r.ended, r.n, r.room)
+			if a.earliest != r.at {
+				t.Errorf("%s: read %d counts from %v, want %v", name, i, a.earliest, r.at)
 			}
 		}
 	}
--- a/internal/front/meta/meta.go
+++ b/internal/front/meta/meta.go
@@ -18,14 +18,14 @@
 	// Owners gives the servers that may serve a key; nil = any may. Servers that own keys drop no repeats.
 	Owners func(key string, write bool) []uint32
 	// Callers settles who calls; nil = nobody is asked, and commands say all that there is to know.
-	Callers front.Callers
-	// Key is a caller's key as servers know it; an error says how long it may be.
-	Key func(p *caller.Pass, key string) (string, error)
+	Callers front.Authenticator
+	// ServerKey is a caller's key as servers know it; an error says how long it may be.
+	ServerKey func(p *caller.Identity, key string) (string, error)
 }
 
 // Session is a client's connection.
 func (p Protocol) Session(peer front.Peer) front.Session {
-	return session{p, front.NewGuest(p.Callers, peer)}
+	return session{p, front.NewConnCaller(p.Callers, peer)}
 }
 
 // Idle is how long a connection may stand between two commands.
@@ -35,12 +35,12 @@
 func (Protocol) Drain(bool) {}
 
 type session struct {
-	p     Protocol
-	guest *front.Guest // nil = nobody is asked who calls
+	protocol   Protocol
+	connCaller *front.ConnCaller // nil = nobody is asked who calls
 }
 
 // Withdrawn is front.Session's.
-func (s session) Withdrawn() bool { return s.guest.Withdrawn() }
+func (s session) Revoked() bool { return s.connCaller.Revoked() }
 
 // Malformed is the answer to input that makes no sense.
 func (session) Malformed(err error) ([]byte, bool) {
@@ -58,13 +58,13 @@
 	}
 	switch cmd.Verb {
 	case "mg", "ms":
-		if s.guest != nil {
-			return s.known(in, e, cmd)
+		if s.connCaller != nil {
+			return s.readAuthenticated(in, e, cmd)
 		}
-		return s.request(in, e, cmd, 0, render)
+		return s.readRequest(in, e, cmd, 0, render)
 	case "auth":
-		if s.guest != nil {
-			return s.login(cmd.Words), nil
+		if s.connCaller != nil {
+			return s.login(cmd.Args), nil
 		}
 	case "mn": // the router is used from MN on, so it must be able to serve
 		if ready() {
@@ -74,15 +74,15 @@
 	case "quit":
 		return front.Command{End: true}, nil
 	}
-	return front.Command{Text: []byte("ERROR\r\n"), Unknown: true}, nil
+	return front.Command{Text: []byte("ERROR\r\n"), Invalid: true}, nil
 }
 
 // renderer gives the text of a request's final answer.
 type renderer func(*engine.Request, engine.Answer) []byte
 
-// request reads the rest of a request, and checks it against what this deployment takes. generation is that of the caller's tenant.
-func (s session) request(in *bufio.Reader, e *engine.Engine, cmd meta.Command, generation uint32, render renderer) (front.Command, error) {
-	if err := s.check(e, &cmd); err != nil {
+// readRequest reads the rest of a request, and checks it against what this deployment takes. generation is that of the caller's tenant.
+func (s session) readRequest(in *bufio.Reader, e *engine.Engine, cmd meta.Command, generation uint32, render renderer) (front.Command, error) {
+	if err := s.checkCommand(e, &cmd); err != nil {
 		return front.Command{}, err
 	}
 	refuse := !e.ReserveValue(cmd.Length)
@@ -100,22 +100,22 @@
 		return front.Command{Text: meta.Refused(0)}, nil
 	}
 	var owners []uint32
-	if s.p.Owners != nil {
-		owners = s.p.Owners(cmd.Key, cmd.Verb == "ms")
+	if s.protocol.Owners != nil {
+		owners = s.protocol.Owners(cmd.Key, cmd.Verb == "ms")
 	}
 	return front.Command{Render: render, Request: &engine.Request{Owners: owners, ID: cmd.ID, Class: cmd.Class, Tenant: cmd.Tenant, TenantGeneration: generation, Key: cmd.Key, Facts: cmd.Facts,
 		Value: cmd.Value, HeldBytes: cmd.Length, Wait: cmd.Wait, Hint: cmd.Hint, Size: cmd.Size, Retry: cmd.Retry, Write: cmd.Verb == "ms"}}, nil
 }
 
-// check tells what is wrong with a command for this deployment.
-func (s session) check(e *engine.Engine, cmd *meta.Command) error {
+// checkCommand tells what is wrong with a command for this deployment.
+func (s session) checkCommand(e *engine.Engine, cmd *meta.Command) error {
 	c, ok := e.Class(cmd.Class)
 	switch {
 	case !ok:
 		return meta.Malformed("class %.40q", cmd.Class)
-	case c.Effect == decide.Keyed && cmd.Idem == "":
+	case c.Effect == decide.Keyed && cmd.IdempotencyKey == "":
 		return meta.Malformed("class %s takes k", cmd.Class)
-	case c.Effect == decide.Keyed && s.p.Owners != nil:
+	case c.Effect == decide.Keyed && s.protocol.Owners != nil:
 		return meta.Malformed("class %s: the servers of this pool drop no repeats", cmd.Class)
 	}
 	return nil
@@ -127,9 +127,9 @@
 	case engine.Served:
 		switch {
 		case a.Absent:
-			return meta.Absent(q.ID)
+			return meta.NotFound(q.ID)
 		case a.Streamed != nil:
-			return meta.ServedHead(q.ID, a.Streamed.Len())
+			return meta.ServedHeader(q.ID, a.Streamed.Len())
 		case a.Content != nil: // in terms that this protocol has no words for
 			return meta.Failure()
 		}
--- a/internal/front/places.go
+++ b/internal/front/places.go
@@ -11,159 +11,161 @@
 
 // Quota bounds the connections of each tenant, at all listeners and engines of a pool together.
 type Quota struct {
-	most func(tenant string) int // 0 = no bound
+	limit func(tenant string) int // 0 = no bound
 
-	mu   sync.Mutex
-	held map[string]int
+	mu     sync.Mutex
+	counts map[string]int
 }
 
 // NewQuota bounds tenants' connections by most, which is asked each time.
-func NewQuota(most func(tenant string) int) *Quota { return &Quota{most: most, held: map[string]int{}} }
+func NewQuota(most func(tenant string) int) *Quota {
+	return &Quota{limit: most, counts: map[string]int{}}
+}
 
-// take takes one more for a tenant, within its bound unless forced.
-func (q *Quota) take(who string, forced bool) bool {
+// acquire takes one more for a tenant, within its bound unless forced.
+func (q *Quota) acquire(who string, forced bool) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if who != strangers {
-		if most := q.most(who); most > 0 && q.held[who] >= most && !forced {
+	if who != unidentified {
+		if most := q.limit(who); most > 0 && q.counts[who] >= most && !forced {
 			return false
 		}
 	}
-	q.held[who]++
+	q.counts[who]++
 	return true
 }
 
-// give gives one back.
-func (q *Quota) give(who string) {
+// release gives one back.
+func (q *Quota) release(who string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.held[who]--; q.held[who] <= 0 {
-		delete(q.held, who)
+	if q.counts[who]--; q.counts[who] <= 0 {
+		delete(q.counts, who)
 	}
 }
 
-// Held is how many connections a tenant has; "" = those of nobody known.
-func (q *Quota) Held(tenant string) int {
+// OpenConns is how many connections a tenant has; "" = those of nobody known.
+func (q *Quota) OpenConns(tenant string) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.held[tenant]
+	return q.counts[tenant]
 }
 
-// places are those of one listener at one engine, divided between tenants. Who is not known yet counts as one more party, which gives way
+// connLimiter are those of one listener at one engine, divided between tenants. Who is not known yet counts as one more party, which gives way
 // first. A nil one divides nothing.
-type places struct {
+type connLimiter struct {
 	quota *Quota
 	mu    sync.Mutex
 	pool  *shares.Pool
 }
 
 const (
-	// strangers is the party of connections whose caller is not known, which no tenant's name can be.
-	strangers = shares.Unidentified
-	// placesAhead is how many times what is free a tenant may hold: one alone gets eight ninths, and what it leaves is others'.
-	placesAhead = 8
+	// unidentified is the party of connections whose caller is not known, which no tenant's name can be.
+	unidentified = shares.Unidentified
+	// freeSlotsFactor is how many times what is free a tenant may hold: one alone gets eight ninths, and what it leaves is others'.
+	freeSlotsFactor = 8
 )
 
-func newPlaces(total int, q *Quota) *places {
+func newConnLimiter(total int, q *Quota) *connLimiter {
 	if q == nil {
 		return nil
 	}
-	return &places{quota: q, pool: shares.New(int64(total), placesAhead)}
+	return &connLimiter{quota: q, pool: shares.New(int64(total), freeSlotsFactor)}
 }
 
-// came books a connection that has come, of nobody known, and says whether there are too many of them.
-func (p *places) came() (crowded bool) {
+// addUnidentified books a connection that has come, of nobody known, and says whether there are too many of them.
+func (p *connLimiter) addUnidentified() (crowded bool) {
 	if p == nil {
 		return false
 	}
-	p.quota.take(strangers, true)
+	p.quota.acquire(unidentified, true)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pool.Add(strangers, 1)
-	return p.pool.OverLimit(strangers, 0)
+	p.pool.Add(unidentified, 1)
+	return p.pool.OverLimit(unidentified, 0)
 }
 
-// went ends a connection of a party.
-func (p *places) went(who string) {
+// remove ends a connection of a party.
+func (p *connLimiter) remove(who string) {
 	if p == nil {
 		return
 	}
-	p.quota.give(who)
+	p.quota.release(who)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pool.Add(who, -1)
 }
 
-// shortage is why a connection can't go over to a party.
-type shortage int
+// moveResult is why a connection can't go over to a party.
+type moveResult int
 
 const (
-	none    shortage = iota
-	ofQuota          // the party's own bound is reached
-	ofRoom           // it would hold too much beside others
+	moveOK          moveResult = iota
+	quotaReached               // the party's own bound is reached
+	capacityReached            // it would hold too much beside others
 )
 
-// move has a connection go over to another party, where that has room or forced is set.
-func (p *places) move(from, to string, forced bool) shortage {
-	if !p.quota.take(to, forced) {
-		return ofQuota
+// moveConn has a connection go over to another party, where that has room or forced is set.
+func (p *connLimiter) moveConn(from, to string, forced bool) moveResult {
+	if !p.quota.acquire(to, forced) {
+		return quotaReached
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pool.Add(from, -1)
-	if !forced && to != strangers && !p.pool.CanTake(to, 1, 0) {
+	if !forced && to != unidentified && !p.pool.CanTake(to, 1, 0) {
 		p.pool.Add(from, 1)
-		p.quota.give(to)
-		return ofRoom
+		p.quota.release(to)
+		return capacityReached
 	}
 	p.pool.Add(to, 1)
-	p.quota.give(from)
-	return none
+	p.quota.release(from)
+	return moveOK
 }
 
-// yields names the party that gives way to one more of another, of those that have an idle connection.
-func (p *places) yields(to string, idle []string) (who string, ok bool) {
+// chooseVictim names the party that gives way to one more of another, of those that have an idle connection.
+func (p *connLimiter) chooseVictim(to string, idle []string) (who string, ok bool) {
 	if p == nil { // all are one party
-		return strangers, len(idle) > 0
+		return unidentified, len(idle) > 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pool.ChooseVictim(to, idle)
 }
 
-// settle has a connection count as its caller's from now on. Where that has no place left, an idle connection gives way; at a bound of its
+// assignTenant has a connection count as its caller's from now on. Where that has no place left, an idle connection gives way; at a bound of its
 // own, one of its own. ok is false where there is none, and the connection stays whose it was. The connection's reader alone calls it.
-func (s *Clients) settle(c *clientConn) (ok bool) {
-	if s.places == nil {
+func (s *ConnManager) assignTenant(c *clientConn) (ok bool) {
+	if s.limiter == nil {
 		return true
 	}
 	to := c.session.Tenant()
-	if to == c.settled {
+	if to == c.readerTenant {
 		return true
 	}
-	if why := s.places.move(c.settled, to, false); why != none {
-		if !s.evict(rule{to: to, own: why == ofQuota, but: c}) {
+	if why := s.limiter.moveConn(c.readerTenant, to, false); why != moveOK {
+		if !s.evictIdle(evictionRule{tenant: to, sameTenant: why == quotaReached, exclude: c}) {
 			return false
 		}
-		s.places.move(c.settled, to, true) // the other one is on its way out
+		s.limiter.moveConn(c.readerTenant, to, true) // the other one is on its way out
 	}
 	s.mu.Lock()
-	c.party = to
+	c.tenant = to
 	s.mu.Unlock()
-	c.settled = to
+	c.readerTenant = to
 	return true
 }
 
-// rule says which connection is to give way.
-type rule struct {
-	to     string      // the party that one more comes of
-	own    bool        // one of that party
-	rested bool        // one that has asked, and since rested for a moment
-	but    *clientConn // never this one
+// evictionRule says which connection is to give way.
+type evictionRule struct {
+	tenant      string      // the party that one more comes of
+	sameTenant  bool        // one of that party
+	requireRest bool        // one that has asked, and since rested for a moment
+	exclude     *clientConn // never this one
 }
 
-// evict ends the connection that has been idle for longest, of the party that gives way, and says whether there was one.
-func (s *Clients) evict(by rule) bool {
+// evictIdle ends the connection that has been idle for longest, of the party that gives way, and says whether there was one.
+func (s *ConnManager) evictIdle(by evictionRule) bool {
 	type idleOne struct {
 		c     *clientConn
 		since time.Time
@@ -171,21 +173,21 @@
 	longest := map[string]idleOne{} // few: those that hold something
 	s.mu.Lock()
 	for c := range s.conns {
-		if c == by.but || by.own && c.party != by.to {
+		if c == by.exclude || by.sameTenant && c.tenant != by.tenant {
 			continue
 		}
-		at, idle := c.idle()
-		if by.rested && (!c.counted.Load() || time.Since(at) < rest) {
+		at, idle := c.idleState()
+		if by.requireRest && (!c.countedActive.Load() || time.Since(at) < minRestTime) {
 			continue
 		}
-		if was, there := longest[c.party]; idle && (!there || at.Before(was.since)) {
-			longest[c.party] = idleOne{c, at}
+		if was, there := longest[c.tenant]; idle && (!there || at.Before(was.since)) {
+			longest[c.tenant] = idleOne{c, at}
 		}
 	}
 	s.mu.Unlock()
-	who, ok := s.places.yields(by.to, slices.Collect(maps.Keys(longest)))
+	who, ok := s.limiter.chooseVictim(by.tenant, slices.Collect(maps.Keys(longest)))
 	if ok {
-		longest[who].c.drop()
+		longest[who].c.closeIfIdle()
 	}
 	return ok
 }
--- a/internal/front/resp/callers.go
+++ b/internal/front/resp/callers.go
@@ -11,64 +11,64 @@
 // tokenUser is the user of AUTH whose password is a token; any other is the id of a key, whose secret the password is.
 const tokenUser = "token"
 
-// maxKeyID bounds the part of a request's id that its idempotency key makes.
-const maxKeyID = 128
+// maxIdempotencyIDBytes bounds the part of a request's id that its idempotency key makes.
+const maxIdempotencyIDBytes = 128
 
-// beforeLogin are the commands that a connection may send before its caller is known.
-var beforeLogin = map[string]bool{"AUTH": true, "HELLO": true, "PING": true, "QUIT": true}
+// allowedBeforeLogin are the commands that a connection may send before its caller is known.
+var allowedBeforeLogin = map[string]bool{"AUTH": true, "HELLO": true, "PING": true, "QUIT": true}
 
-// Tenant is front.Session's.
+// DefaultTenant is front.Session's.
 func (s *session) Tenant() string {
 	switch {
 	case s.guest != nil:
 		return s.guest.Tenant()
-	case s.in && len(s.p.cfg.Logins) > 0:
+	case s.loggedIn && len(s.protocol.cfg.Logins) > 0:
 		return s.tenant
 	}
 	return ""
 }
 
 // Crowded is front.Session's, in the words that clients know.
-func (*session) Crowded() []byte {
+func (*session) TooManyConnections() []byte {
 	return resp.AppendError(nil, "ERR max number of clients reached: "+caller.Connections.String())
 }
 
-// known logs the connection in, or leaves it as it was.
-func (s *session) known(user, password []byte) caller.Reason {
+// authenticate logs the connection in, or leaves it as it was.
+func (s *session) authenticate(user, password []byte) caller.Reason {
 	why := caller.None
 	if string(user) == tokenUser {
-		why = s.guest.Token(string(password))
+		why = s.guest.LoginToken(string(password))
 	} else {
-		why = s.guest.Secret(string(user), password)
+		why = s.guest.LoginSecret(string(user), password)
 	}
-	s.slow = why == caller.Throttled
+	s.throttled = why == caller.Throttled
 	return why
 }
 
-// wrongBecause is the answer to a login that failed: the word that clients know, and the reason by its stable name.
-func wrongBecause(why caller.Reason) []byte {
+// wrongPassReply is the answer to a login that failed: the word that clients know, and the reason by its stable name.
+func wrongPassReply(why caller.Reason) []byte {
 	return resp.AppendError(nil, "WRONGPASS invalid username-password pair or user is disabled: "+why.String())
 }
 
-// notIn is the answer to a command of a connection whose caller is not known, or no longer. Those of a connection that never had one
+// noAuthReply is the answer to a command of a connection whose caller is not known, or no longer. Those of a connection that never had one
 // count towards the few that it may send.
-func notIn(why caller.Reason) front.Command {
+func noAuthReply(why caller.Reason) front.Command {
 	if why == caller.NoCaller {
-		return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required."), Unknown: true}
+		return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required."), Invalid: true}
 	}
 	return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required: "+why.String())}
 }
 
-// own gives a command's words with the caller's keys as servers know them, or the answer where the caller may not send it.
-func (s *session) own(pass *caller.Pass, c *spec, args [][]byte, class string) (out [][]byte, refused []byte) {
+// authorizeKeys gives a command's words with the caller's keys as servers know them, or the answer where the caller may not send it.
+func (s *session) authorizeKeys(pass *caller.Identity, c *commandSpec, args [][]byte, class string) (out [][]byte, refused []byte) {
 	access := c.access(args)
 	out = append(make([][]byte, 0, len(args)), args...)
-	for _, i := range c.places(args) {
+	for _, i := range c.keyPositions(args) {
 		key := string(args[i])
 		if again, why := s.guest.Allow(pass, class, key, access); why != caller.None {
-			return nil, noPerm(why, again)
+			return nil, noPermReply(why, again)
 		}
-		name, err := s.p.cfg.Key(pass, key)
+		name, err := s.protocol.cfg.ServerKey(pass, key)
 		if err != nil {
 			return nil, resp.AppendError(nil, "ERR "+err.Error())
 		}
@@ -77,8 +77,8 @@
 	return out, nil
 }
 
-// noPerm is the answer to a command that its caller may not send: it has not run.
-func noPerm(why caller.Reason, again float64) []byte {
+// noPermReply is the answer to a command that its caller may not send: it has not run.
+func noPermReply(why caller.Reason, again float64) []byte {
 	if again >= 1 {
 		return resp.AppendError(nil, fmt.Sprintf("NOPERM %s, come again after %d ms", why, int64(again)))
 	}
--- a/internal/front/resp/local.go
+++ b/internal/front/resp/local.go
@@ -19,34 +19,34 @@
 
 // The commands that the router answers itself.
 
-func ok(*session, [][]byte) []byte { return resp.AppendSimple(nil, "OK") }
+func replyOK(*session, [][]byte) []byte { return resp.AppendSimple(nil, "OK") }
 
-func ping(_ *session, args [][]byte) []byte {
+func handlePing(_ *session, args [][]byte) []byte {
 	if len(args) > 1 {
 		return resp.AppendBulk(nil, args[1])
 	}
 	return resp.AppendSimple(nil, "PONG")
 }
 
-func echo(_ *session, args [][]byte) []byte { return resp.AppendBulk(nil, args[1]) }
+func handleEcho(_ *session, args [][]byte) []byte { return resp.AppendBulk(nil, args[1]) }
 
-// askingOK lets the next command be for a slot of another router.
-func askingOK(s *session, _ [][]byte) []byte {
+// handleAsking lets the next command be for a slot of another router.
+func handleAsking(s *session, _ [][]byte) []byte {
 	s.asking = true
 	return resp.AppendSimple(nil, "OK")
 }
 
-func selectDB(_ *session, args [][]byte) []byte {
+func handleSelect(_ *session, args [][]byte) []byte {
 	if string(args[1]) != "0" {
 		return resp.AppendError(nil, "ERR SELECT is not allowed in cluster mode")
 	}
 	return resp.AppendSimple(nil, "OK")
 }
 
-var wrongPass = resp.AppendError(nil, "WRONGPASS invalid username-password pair or user is disabled.")
+var wrongPassError = resp.AppendError(nil, "WRONGPASS invalid username-password pair or user is disabled.")
 
-// auth logs in: AUTH PASSWORD or AUTH USER PASSWORD. A wrong one leaves the connection as it was.
-func auth(s *session, args [][]byte) []byte {
+// handleAuth logs in: AUTH PASSWORD or AUTH USER PASSWORD. A wrong one leaves the connection as it was.
+func handleAuth(s *session, args [][]byte) []byte {
 	user, password := []byte("default"), args[len(args)-1]
 	switch {
 	case len(args) > 3:
@@ -55,25 +55,25 @@
 		user = args[1]
 	}
 	if s.guest != nil {
-		if why := s.known(user, password); why != caller.None {
-			return wrongBecause(why)
+		if why := s.authenticate(user, password); why != caller.None {
+			return wrongPassReply(why)
 		}
 		return resp.AppendSimple(nil, "OK")
 	}
-	if len(s.p.cfg.Logins) == 0 {
+	if len(s.protocol.cfg.Logins) == 0 {
 		return resp.AppendError(nil, "ERR AUTH called without any password configured for the default user. Are you sure your configuration is correct?")
 	}
-	tenant, ok := s.p.login(user, password)
+	tenant, ok := s.protocol.checkPassword(user, password)
 	if !ok {
-		return wrongPass
+		return wrongPassError
 	}
-	s.tenant, s.in = tenant, true
+	s.tenant, s.loggedIn = tenant, true
 	return resp.AppendSimple(nil, "OK")
 }
 
-// hello is HELLO [2|3 [AUTH user password] [SETNAME name]].
-func hello(s *session, args [][]byte) []byte {
-	proto, tenant, in, name := s.proto, s.tenant, s.in, s.name
+// handleHello is HELLO [2|3 [AUTH user password] [SETNAME name]].
+func handleHello(s *session, args [][]byte) []byte {
+	proto, tenant, in, name := s.respVersion, s.tenant, s.loggedIn, s.name
 	if s.guest != nil {
 		_, why := s.guest.Pass()
 		in = why == caller.None
@@ -90,21 +90,21 @@
 		case word == "AUTH" && i+2 < len(args):
 			switch {
 			case s.guest != nil:
-				if why := s.known(args[i+1], args[i+2]); why != caller.None {
-					return wrongBecause(why)
+				if why := s.authenticate(args[i+1], args[i+2]); why != caller.None {
+					return wrongPassReply(why)
 				}
 				in = true
-			case len(s.p.cfg.Logins) > 0:
+			case len(s.protocol.cfg.Logins) > 0:
 				var ok bool
-				if tenant, ok = s.p.login(args[i+1], args[i+2]); !ok {
-					return wrongPass
+				if tenant, ok = s.protocol.checkPassword(args[i+1], args[i+2]); !ok {
+					return wrongPassError
 				}
 				in = true
 			}
 			i += 2
 		case word == "SETNAME" && i+1 < len(args):
-			if !validName(args[i+1]) {
-				return badName
+			if !isValidClientName(args[i+1]) {
+				return invalidNameError
 			}
 			name = bytes.Clone(args[i+1])
 			i++
@@ -118,9 +118,9 @@
 	if s.guest != nil { // its pass says who it is, and whether it still does
 		in = true
 	}
-	s.proto, s.tenant, s.in, s.name = proto, tenant, in, name
-	b := resp.AppendMap(nil, 7, proto)
-	for _, kv := range [][2]string{{"server", "redis"}, {"version", version}, {"proto", ""}, {"id", ""}, {"mode", "cluster"}, {"role", "master"}, {"modules", ""}} {
+	s.respVersion, s.tenant, s.loggedIn, s.name = proto, tenant, in, name
+	b := resp.AppendMapHeader(nil, 7, proto)
+	for _, kv := range [][2]string{{"server", "redis"}, {"version", redisVersion}, {"proto", ""}, {"id", ""}, {"mode", "cluster"}, {"role", "master"}, {"modules", ""}} {
 		b = resp.AppendBulk(b, []byte(kv[0]))
 		switch kv[0] {
 		case "proto":
@@ -128,7 +128,7 @@
 		case "id":
 			b = resp.AppendInt(b, int64(s.id))
 		case "modules":
-			b = resp.AppendArray(b, 0)
+			b = resp.AppendArrayHeader(b, 0)
 		default:
 			b = resp.AppendBulk(b, []byte(kv[1]))
 		}
@@ -136,30 +136,30 @@
 	return b
 }
 
-// version is the version of the dialect that is spoken: clients switch on it.
-const version = "7.0.0"
+// redisVersion is the version of the dialect that is spoken: clients switch on it.
+const redisVersion = "7.0.0"
 
-var badName = resp.AppendError(nil, "ERR Client names cannot contain spaces, newlines or special characters.")
+var invalidNameError = resp.AppendError(nil, "ERR Client names cannot contain spaces, newlines or special characters.")
 
-// maxName bounds what a client may call itself.
-const maxName = 64
+// maxClientNameBytes bounds what a client may call itself.
+const maxClientNameBytes = 64
 
-func validName(n []byte) bool {
-	return len(n) <= maxName && !bytes.ContainsFunc(n, func(r rune) bool { return r <= ' ' || r > '~' })
+func isValidClientName(n []byte) bool {
+	return len(n) <= maxClientNameBytes && !bytes.ContainsFunc(n, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// client is CLIENT: what names and describes a connection.
-func client(s *session, args [][]byte) []byte {
+// handleClient is CLIENT: what names and describes a connection.
+func handleClient(s *session, args [][]byte) []byte {
 	switch sub := strings.ToUpper(string(args[1])); {
 	case sub == "SETNAME" && len(args) == 3:
-		if !validName(args[2]) {
-			return badName
+		if !isValidClientName(args[2]) {
+			return invalidNameError
 		}
 		s.name = bytes.Clone(args[2])
 		return resp.AppendSimple(nil, "OK")
 	case sub == "GETNAME":
 		if len(s.name) == 0 {
-			return resp.AppendNull(nil, s.proto)
+			return resp.AppendNull(nil, s.respVersion)
 		}
 		return resp.AppendBulk(nil, s.name)
 	case sub == "ID":
@@ -167,15 +167,15 @@
 	case sub == "SETINFO" && len(args) == 4, sub == "NO-EVICT" && len(args) == 3, sub == "NO-TOUCH" && len(args) == 3:
 		return resp.AppendSimple(nil, "OK")
 	case sub == "INFO" || sub == "LIST":
-		return resp.AppendBulk(nil, fmt.Appendf(nil, "id=%d name=%s resp=%d\n", s.id, s.name, s.proto))
+		return resp.AppendBulk(nil, fmt.Appendf(nil, "id=%d name=%s resp=%d\n", s.id, s.name, s.respVersion))
 	}
 	return resp.AppendError(nil, "ERR CLIENT "+printable(args[1])+" is not taken here; SETNAME, GETNAME, ID, INFO, SETINFO, NO-EVICT and NO-TOUCH are")
 }
 
-// command is COMMAND, COMMAND COUNT, INFO, GETKEYS and DOCS.
-func command(s *session, args [][]byte) []byte {
-	names := make([]string, 0, len(specs))
-	for n := range specs {
+// handleCommand is COMMAND, COMMAND COUNT, INFO, GETKEYS and DOCS.
+func handleCommand(s *session, args [][]byte) []byte {
+	names := make([]string, 0, len(commandSpecs))
+	for n := range commandSpecs {
 		names = append(names, n)
 	}
 	sort.Strings(names)
@@ -185,77 +185,77 @@
 	}
 	switch sub {
 	case "":
-		b := resp.AppendArray(nil, len(names))
+		b := resp.AppendArrayHeader(nil, len(names))
 		for _, n := range names {
-			b = appendSpec(b, specs[n])
+			b = appendCommandSpec(b, commandSpecs[n])
 		}
 		return b
 	case "COUNT":
 		return resp.AppendInt(nil, int64(len(names)))
 	case "INFO":
-		b := resp.AppendArray(nil, len(args)-2)
+		b := resp.AppendArrayHeader(nil, len(args)-2)
 		for _, a := range args[2:] {
-			if c := specs[strings.ToUpper(string(a))]; c != nil {
-				b = appendSpec(b, c)
+			if c := commandSpecs[strings.ToUpper(string(a))]; c != nil {
+				b = appendCommandSpec(b, c)
 			} else {
-				b = resp.AppendNull(b, s.proto)
+				b = resp.AppendNull(b, s.respVersion)
 			}
 		}
 		return b
 	case "DOCS":
-		return resp.AppendMap(nil, 0, s.proto)
+		return resp.AppendMapHeader(nil, 0, s.respVersion)
 	case "GETKEYS":
-		return getKeys(args[2:])
+		return handleGetKeys(args[2:])
 	}
 	return resp.AppendError(nil, "ERR COMMAND "+printable(args[1])+" is not taken here")
 }
 
-func getKeys(args [][]byte) []byte {
+func handleGetKeys(args [][]byte) []byte {
 	if len(args) == 0 {
 		return resp.AppendError(nil, "ERR wrong number of arguments for 'command|getkeys' command")
 	}
-	c := specs[strings.ToUpper(string(args[0]))]
-	if c == nil || c.first == 0 {
+	c := commandSpecs[strings.ToUpper(string(args[0]))]
+	if c == nil || c.firstKey == 0 {
 		return resp.AppendError(nil, "ERR The command has no key arguments")
 	}
 	keys := c.keys(args)
-	b := resp.AppendArray(nil, len(keys))
+	b := resp.AppendArrayHeader(nil, len(keys))
 	for _, k := range keys {
 		b = resp.AppendBulk(b, k)
 	}
 	return b
 }
 
-func info(*session, [][]byte) []byte {
-	return resp.AppendBulk(nil, []byte("# Server\r\nredis_version:"+version+"\r\nredis_mode:cluster\r\nserver_name:cottonyoke\r\n# Replication\r\nrole:master\r\n# Cluster\r\ncluster_enabled:1\r\n"))
+func handleInfo(*session, [][]byte) []byte {
+	return resp.AppendBulk(nil, []byte("# Server\r\nredis_version:"+redisVersion+"\r\nredis_mode:cluster\r\nserver_name:cottonyoke\r\n# Replication\r\nrole:master\r\n# Cluster\r\ncluster_enabled:1\r\n"))
 }
 
 // nodeID is the name of a router, the same at all of them.
 func nodeID(addr string) string { return fmt.Sprintf("%x", sha1.Sum([]byte(addr))) }
 
-// part is one router of the tier with the runs of slots that it serves now.
-type part struct {
-	n          int
-	me         bool
+// routerRanges is one router of the tier with the runs of slots that it serves now.
+type routerRanges struct {
+	index      int
+	isSelf     bool
 	addr, host string
 	port       int64
-	runs       [][2]int
+	ranges     [][2]int
 }
 
-// parts are the routers of the tier, by number.
-func (p *Protocol) parts() (out []part) {
-	now := p.peers.now.Load()
+// routerSlots are the routers of the tier, by number.
+func (p *Protocol) routerSlots() (out []routerRanges) {
+	now := p.peers.assignment.Load()
 	n := len(now.ServedBy)
 	for i, addr := range now.Routers {
 		host, port, _ := net.SplitHostPort(addr)
 		num, _ := strconv.ParseInt(port, 10, 64)
-		m := part{n: i, me: i == now.Self, addr: addr, host: host, port: num}
+		m := routerRanges{index: i, isSelf: i == now.Self, addr: addr, host: host, port: num}
 		for _, home := range tier.PartitionsOf(now.ServedBy, i) {
 			run := [2]int{(home*slots.Count + n - 1) / n, ((home+1)*slots.Count+n-1)/n - 1}
-			if last := len(m.runs) - 1; last >= 0 && m.runs[last][1]+1 == run[0] {
-				m.runs[last][1] = run[1]
+			if last := len(m.ranges) - 1; last >= 0 && m.ranges[last][1]+1 == run[0] {
+				m.ranges[last][1] = run[1]
 			} else {
-				m.runs = append(m.runs, run)
+				m.ranges = append(m.ranges, run)
 			}
 		}
 		out = append(out, m)
@@ -263,69 +263,69 @@
 	return out
 }
 
-// serving are the routers that serve any slots.
-func (p *Protocol) serving() []part {
-	return slices.DeleteFunc(p.parts(), func(n part) bool { return len(n.runs) == 0 })
+// servingRouters are the routers that serve any slots.
+func (p *Protocol) servingRouters() []routerRanges {
+	return slices.DeleteFunc(p.routerSlots(), func(n routerRanges) bool { return len(n.ranges) == 0 })
 }
 
-// cluster is CLUSTER: the routers as a cluster.
-func cluster(s *session, args [][]byte) []byte {
-	p := s.p
+// handleCluster is CLUSTER: the routers as a cluster.
+func handleCluster(s *session, args [][]byte) []byte {
+	p := s.protocol
 	switch sub := strings.ToUpper(string(args[1])); {
 	case sub == "SLOTS":
 		return p.clusterSlots()
 	case sub == "SHARDS":
-		return p.clusterShards(s.proto)
+		return p.clusterShards(s.respVersion)
 	case sub == "NODES":
 		return resp.AppendBulk(nil, p.clusterNodes())
 	case sub == "INFO":
-		now := p.peers.now.Load()
+		now := p.peers.assignment.Load()
 		epoch := 1 + now.Version
 		return resp.AppendBulk(nil, fmt.Appendf(nil, "cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:%d\r\ncluster_slots_ok:%d\r\n"+
 			"cluster_slots_pfail:0\r\ncluster_slots_fail:0\r\ncluster_known_nodes:%d\r\ncluster_size:%d\r\ncluster_current_epoch:%d\r\ncluster_my_epoch:%d\r\n",
-			slots.Count, slots.Count, len(now.Routers), len(p.serving()), epoch, epoch))
+			slots.Count, slots.Count, len(now.Routers), len(p.servingRouters()), epoch, epoch))
 	case sub == "MYID":
-		now := p.peers.now.Load()
+		now := p.peers.assignment.Load()
 		return resp.AppendBulk(nil, []byte(nodeID(now.Routers[now.Self])))
 	case sub == "KEYSLOT" && len(args) == 3:
-		return resp.AppendInt(nil, int64(slots.Of(args[2])))
+		return resp.AppendInt(nil, int64(slots.ForKey(args[2])))
 	}
 	return resp.AppendError(nil, "ERR CLUSTER "+printable(args[1])+" is not taken here; SLOTS, SHARDS, NODES, INFO, MYID and KEYSLOT are")
 }
 
 func (p *Protocol) clusterSlots() []byte {
 	type run struct {
-		part
+		routerRanges
 		from, to int
 	}
 	var runs []run
-	for _, n := range p.parts() {
-		for _, r := range n.runs {
+	for _, n := range p.routerSlots() {
+		for _, r := range n.ranges {
 			runs = append(runs, run{n, r[0], r[1]})
 		}
 	}
 	slices.SortFunc(runs, func(a, b run) int { return a.from - b.from })
-	b := resp.AppendArray(nil, len(runs))
+	b := resp.AppendArrayHeader(nil, len(runs))
 	for _, n := range runs {
-		b = resp.AppendInt(resp.AppendInt(resp.AppendArray(b, 3), int64(n.from)), int64(n.to))
-		b = resp.AppendBulk(resp.AppendInt(resp.AppendBulk(resp.AppendArray(b, 3), []byte(n.host)), n.port), []byte(nodeID(n.addr)))
+		b = resp.AppendInt(resp.AppendInt(resp.AppendArrayHeader(b, 3), int64(n.from)), int64(n.to))
+		b = resp.AppendBulk(resp.AppendInt(resp.AppendBulk(resp.AppendArrayHeader(b, 3), []byte(n.host)), n.port), []byte(nodeID(n.addr)))
 	}
 	return b
 }
 
 func (p *Protocol) clusterShards(proto int) []byte {
-	parts := p.serving()
-	b := resp.AppendArray(nil, len(parts))
+	parts := p.servingRouters()
+	b := resp.AppendArrayHeader(nil, len(parts))
 	str := func(t string) { b = resp.AppendBulk(b, []byte(t)) }
 	for _, n := range parts {
-		b = resp.AppendMap(b, 2, proto)
+		b = resp.AppendMapHeader(b, 2, proto)
 		str("slots")
-		b = resp.AppendArray(b, 2*len(n.runs))
-		for _, r := range n.runs {
+		b = resp.AppendArrayHeader(b, 2*len(n.ranges))
+		for _, r := range n.ranges {
 			b = resp.AppendInt(resp.AppendInt(b, int64(r[0])), int64(r[1]))
 		}
 		str("nodes")
-		b = resp.AppendMap(resp.AppendArray(b, 1), 7, proto)
+		b = resp.AppendMapHeader(resp.AppendArrayHeader(b, 1), 7, proto)
 		for _, kv := range [][2]string{{"id", nodeID(n.addr)}, {"ip", n.host}, {"endpoint", n.host}, {"role", "master"}, {"health", "online"}} {
 			str(kv[0])
 			str(kv[1])
@@ -341,14 +341,14 @@
 // clusterNodes names all routers: one that serves nothing just now has no slots, and may be back soon.
 func (p *Protocol) clusterNodes() []byte {
 	var b []byte
-	epoch := 1 + p.peers.now.Load().Version
-	for _, n := range p.parts() {
+	epoch := 1 + p.peers.assignment.Load().Version
+	for _, n := range p.routerSlots() {
 		flags := "master"
-		if n.me {
+		if n.isSelf {
 			flags = "myself,master"
 		}
 		b = fmt.Appendf(b, "%s %s@%d %s - 0 0 %d connected", nodeID(n.addr), n.addr, n.port+10000, flags, epoch)
-		for _, r := range n.runs {
+		for _, r := range n.ranges {
 			b = fmt.Appendf(b, " %d-%d", r[0], r[1])
 		}
 		b = append(b, '\n')
--- a/internal/front/resp/peers.go
+++ b/internal/front/resp/peers.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// askEvery is the time between two questions to a peer. A router that drains must be known before its grace is over.
-	askEvery = 150 * time.Millisecond
-	// askWait is how long the answer is waited for, connecting included.
-	askWait = 300 * time.Millisecond
+	// pollInterval is the time between two questions to a peer. A router that drains must be known before its grace is over.
+	pollInterval = 150 * time.Millisecond
+	// pollTimeout is how long the answer is waited for, connecting included.
+	pollTimeout = 300 * time.Millisecond
 )
 
-// states are the words of YOKE STATE.
-var states = map[string]tier.State{"serving": tier.Serving, "draining": tier.Draining, "loading": tier.Loading}
+// statesByName are the words of YOKE STATE.
+var statesByName = map[string]tier.State{"serving": tier.Serving, "draining": tier.Draining, "loading": tier.Loading}
 
 // peers is what is known of the other routers. Sessions read now; the rest is guarded by mu.
 type peers struct {
-	now   atomic.Pointer[tier.Assignment]
-	mu    sync.Mutex
-	addrs []string    // of the routers by number
-	table *tier.Table // of those; nil where group is not
-	group *tier.Group // of those that the view of the fleet names; nil where a file numbers them
+	assignment atomic.Pointer[tier.Assignment]
+	mu         sync.Mutex
+	addrs      []string    // of the routers by number
+	table      *tier.Table // of those; nil where group is not
+	group      *tier.Group // of those that the view of the fleet names; nil where a file numbers them
 }
 
-// byNumber has routers asked that a file numbers.
-func (p *peers) byNumber(addrs []string, me int) {
+// initNumbered has routers asked that a file numbers.
+func (p *peers) initNumbered(addrs []string, me int) {
 	p.addrs, p.table = addrs, tier.New(len(addrs), me)
 	p.publish()
 }
 
-// byView has a view of the fleet name the routers. This one may not be asked before Among says that it may.
-func (p *peers) byView(me, addr string) {
+// initFromView has a view of the fleet name the routers. This one may not be asked before Among says that it may.
+func (p *peers) initFromView(me, addr string) {
 	p.group = tier.NewGroup(tier.Router{Name: me, Addr: addr, State: tier.Loading})
 	p.publish()
 }
@@ -56,10 +56,10 @@
 	} else {
 		s = p.table.Assignment(p.addrs)
 	}
-	p.now.Store(&s)
+	p.assignment.Store(&s)
 }
 
-func (p *peers) change(do func(*tier.Table) bool) (news bool) {
+func (p *peers) update(do func(*tier.Table) bool) (news bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.table == nil {
@@ -71,9 +71,9 @@
 	return news
 }
 
-// Among takes from a view of the fleet which routers are heard and what they say of this pool, and from ready whether this one has its
+// UpdateRouters takes from a view of the fleet which routers are heard and what they say of this pool, and from ready whether this one has its
 // servers. It returns the word of this one's that the others are to hear.
-func (p *Protocol) Among(rs []tier.Router, ready bool) tier.State {
+func (p *Protocol) UpdateRouters(rs []tier.Router, ready bool) tier.State {
 	word := tier.Serving
 	switch {
 	case p.draining.Load():
@@ -92,33 +92,33 @@
 	return word
 }
 
-// Follow asks the other routers of the tier how they are until ctx ends. log gets each change.
-func (p *Protocol) Follow(ctx context.Context, log func(format string, args ...any)) {
+// PollPeers asks the other routers of the tier how they are until ctx ends. log gets each change.
+func (p *Protocol) PollPeers(ctx context.Context, log func(format string, args ...any)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for i, addr := range p.peers.addrs {
-		if i != p.cfg.Me {
-			wg.Go(func() { p.follow(ctx, i, addr, log) })
+		if i != p.cfg.Self {
+			wg.Go(func() { p.pollPeer(ctx, i, addr, log) })
 		}
 	}
 }
 
-// follow asks one router, over one connection as long as that holds.
-func (p *Protocol) follow(ctx context.Context, router int, addr string, log func(format string, args ...any)) {
-	a := &asker{addr: addr}
+// pollPeer asks one router, over one connection as long as that holds.
+func (p *Protocol) pollPeer(ctx context.Context, router int, addr string, log func(format string, args ...any)) {
+	a := &statePoller{addr: addr}
 	defer a.close()
-	tick := time.NewTicker(askEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		word, err := a.ask(ctx)
+		word, err := a.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if p.peers.change(func(t *tier.Table) bool {
+		if p.peers.update(func(t *tier.Table) bool {
 			if err != nil {
 				return t.RecordMissedReply(router)
 			}
-			return t.RecordState(router, stateOf(word))
+			return t.RecordState(router, parseState(word))
 		}) {
 			if err != nil {
 				word = "silent: " + err.Error()
@@ -133,34 +133,34 @@
 	}
 }
 
-// stateOf reads an answer to YOKE STATE. One of another version may know no such question, and lives.
-func stateOf(word string) tier.State { return states[word] }
+// parseState reads an answer to YOKE STATE. One of another version may know no such question, and lives.
+func parseState(word string) tier.State { return statesByName[word] }
 
-// asker holds a connection to another router.
-type asker struct {
-	addr string
-	conn net.Conn
-	in   *bufio.Reader
+// statePoller holds a connection to another router.
+type statePoller struct {
+	addr   string
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-func (a *asker) close() {
+func (a *statePoller) close() {
 	if a.conn != nil {
 		a.conn.Close()
 		a.conn = nil
 	}
 }
 
-// question is YOKE STATE.
-var question = resp.AppendCommand(nil, []byte("YOKE"), []byte("STATE"))
+// stateCommand is YOKE STATE.
+var stateCommand = resp.AppendCommand(nil, []byte("YOKE"), []byte("STATE"))
 
-// ask asks once. A connection that was closed since the last time is opened anew.
-func (a *asker) ask(ctx context.Context) (word string, err error) {
-	ctx, stop := context.WithTimeout(ctx, askWait)
+// poll asks once. A connection that was closed since the last time is opened anew.
+func (a *statePoller) poll(ctx context.Context) (word string, err error) {
+	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
 	kept := a.conn != nil
-	if word, err = a.once(ctx); err != nil {
+	if word, err = a.pollOnce(ctx); err != nil {
 		if a.close(); kept && ctx.Err() == nil {
-			if word, err = a.once(ctx); err != nil {
+			if word, err = a.pollOnce(ctx); err != nil {
 				a.close()
 			}
 		}
@@ -168,33 +168,33 @@
 	return word, err
 }
 
-func (a *asker) once(ctx context.Context) (string, error) {
+func (a *statePoller) pollOnce(ctx context.Context) (string, error) {
 	if a.conn == nil {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", a.addr)
 		if err != nil {
 			return "", err
 		}
-		a.conn, a.in = c, bufio.NewReaderSize(c, resp.MaxLine)
+		a.conn, a.reader = c, bufio.NewReaderSize(c, resp.MaxLine)
 	}
 	conn := a.conn                                                               // by the time it runs, the asker may have let it go
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })() //nolint:errcheck // the read tells
-	if _, err := a.conn.Write(question); err != nil {
+	if _, err := a.conn.Write(stateCommand); err != nil {
 		return "", err
 	}
-	r, err := resp.NewReader(a.in).ReadReply()
+	r, err := resp.NewReader(a.reader).ReadReply()
 	if err != nil {
 		return "", err
 	}
-	if a.in.Buffered() > 0 {
+	if a.reader.Buffered() > 0 {
 		return "", errors.New("an answer without a question")
 	}
 	return fmt.Sprintf("%.40s", r.Text), nil
 }
 
-// state answers YOKE STATE: whether clients may be sent here. No login is asked for, as it tells nothing else.
-func (s *session) state(e *engine.Engine) []byte {
+// stateReply answers YOKE STATE: whether clients may be sent here. No login is asked for, as it tells nothing else.
+func (s *session) stateReply(e *engine.Engine) []byte {
 	switch {
-	case s.p.draining.Load():
+	case s.protocol.draining.Load():
 		return resp.AppendSimple(nil, "draining")
 	case !e.Ready():
 		return resp.AppendSimple(nil, "loading")
@@ -202,10 +202,10 @@
 	return resp.AppendSimple(nil, "serving")
 }
 
-// elsewhere is the error that sends a client to the router that serves a slot, "" where it is this one. A router that
+// redirect is the error that sends a client to the router that serves a slot, "" where it is this one. A router that
 // drains hands its slots on by ASK: the next one serves them by leave, whether it has heard of the drain or not.
-func (p *Protocol) elsewhere(slot int, asking bool) string {
-	now := p.peers.now.Load()
+func (p *Protocol) redirect(slot int, asking bool) string {
+	now := p.peers.assignment.Load()
 	home := slot * len(now.ServedBy) / slots.Count
 	at := now.ServedBy[home]
 	if at == now.Self || asking && !p.draining.Load() {
@@ -227,7 +227,7 @@
 	if yes {
 		state = tier.Draining
 	}
-	p.peers.change(func(t *tier.Table) bool { return t.RecordState(p.cfg.Me, state) })
+	p.peers.update(func(t *tier.Table) bool { return t.RecordState(p.cfg.Self, state) })
 	p.peers.mu.Lock()
 	defer p.peers.mu.Unlock()
 	if g := p.peers.group; g != nil && yes && g.SetOwnState(state) { // that it serves again Among says, which knows whether it can
@@ -235,7 +235,7 @@
 	}
 }
 
-// isState says whether a command is YOKE STATE.
-func isState(args [][]byte) bool {
+// isStateCommand says whether a command is YOKE STATE.
+func isStateCommand(args [][]byte) bool {
 	return len(args) == 2 && strings.EqualFold(string(args[1]), "STATE")
 }
--- a/internal/front/resp/peers_test.go
+++ b/internal/front/resp/peers_test.go
@@ -18,18 +18,18 @@
 	"mossproxy.example/mossproxy/internal/standin/standintest"
 )
 
-// other is another router as far as its peers see it: it says of itself what it is told to.
-type other struct {
-	addr string
-	ln   net.Listener
-	mu   sync.Mutex
-	say  string // "" = nothing, "close" = ends the connection
-	wg   sync.WaitGroup
+// fakePeer is another router as far as its peers see it: it says of itself what it is told to.
+type fakePeer struct {
+	addr  string
+	ln    net.Listener
+	mu    sync.Mutex
+	reply string // "" = nothing, "close" = ends the connection
+	wg    sync.WaitGroup
 }
 
-func startOther(t *testing.T, say string) *other {
+func startFakePeer(t *testing.T, say string) *fakePeer {
 	t.Helper()
-	o := &other{ln: standintest.Listen(t), say: say}
+	o := &fakePeer{ln: standintest.Listen(t), reply: say}
 	o.addr = o.ln.Addr().String()
 	o.wg.Go(func() {
 		for {
@@ -44,18 +44,18 @@
 	return o
 }
 
-func (o *other) set(say string) {
+func (o *fakePeer) setReply(say string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.say = say
+	o.reply = say
 }
 
-func (o *other) serve(c net.Conn) {
+func (o *fakePeer) serve(c net.Conn) {
 	defer c.Close()
 	r, cmd := resp.NewReader(bufio.NewReaderSize(c, resp.MaxLine)), new(resp.Command)
 	for r.ReadCommand(cmd) == nil {
 		o.mu.Lock()
-		say := o.say
+		say := o.reply
 		o.mu.Unlock()
 		switch say {
 		case "":
@@ -70,28 +70,28 @@
 	}
 }
 
-// following is router 0 of a tier with others, which it asks until the test ends.
-func following(t *testing.T, others ...*other) *Protocol {
+// startPolling is router 0 of a tier with others, which it asks until the test ends.
+func startPolling(t *testing.T, others ...*fakePeer) *Protocol {
 	t.Helper()
 	peers := []string{"127.0.0.1:1"}
 	for _, o := range others {
 		peers = append(peers, o.addr)
 	}
-	p := New(Config{Read: "r", Write: "w", Owners: owners, Peers: peers}, "")
+	p := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners, Peers: peers}, "")
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.Follow(ctx, t.Logf)
+		p.PollPeers(ctx, t.Logf)
 	}()
 	t.Cleanup(func() { stop(); <-done })
 	return p
 }
 
-// slotAt is a slot of a router's own part.
-func slotAt(p *Protocol, router int) int {
+// slotInPartition is a slot of a router's own part.
+func slotInPartition(p *Protocol, router int) int {
 	for s := range slots.Count {
-		if s*len(p.peers.now.Load().ServedBy)/slots.Count == router {
+		if s*len(p.peers.assignment.Load().ServedBy)/slots.Count == router {
 			return s
 		}
 	}
@@ -100,75 +100,75 @@
 
 // What another router says, or fails to say, moves its part to the next and back.
 func TestPartsFollowThePeers(t *testing.T) {
-	one, two := startOther(t, "+serving"), startOther(t, "+serving")
-	p := following(t, one, two)
-	slot := slotAt(p, 1)
+	one, two := startFakePeer(t, "+serving"), startFakePeer(t, "+serving")
+	p := startPolling(t, one, two)
+	slot := slotInPartition(p, 1)
 	for _, step := range []struct{ say, want string }{
 		{"+serving", one.addr}, {"+draining", two.addr}, {"+serving", one.addr}, {"+loading", two.addr}, {"-ERR what?", one.addr},
 		{"close", two.addr}, {"+serving", one.addr}, {"", two.addr}, {"+serving", one.addr}, {"no RESP", two.addr}, {"+draining\r\n+serving", two.addr},
 	} {
-		one.set(step.say)
-		standintest.Until(t, step.say, func() bool { return p.elsewhere(slot, false) == fmt.Sprintf("MOVED %d %s", slot, step.want) })
+		one.setReply(step.say)
+		standintest.Until(t, step.say, func() bool { return p.redirect(slot, false) == fmt.Sprintf("MOVED %d %s", slot, step.want) })
 	}
-	two.set("+draining")
-	standintest.Until(t, "both are out", func() bool { return p.elsewhere(slot, false) == "" })
+	two.setReply("+draining")
+	standintest.Until(t, "both are out", func() bool { return p.redirect(slot, false) == "" })
 	if got := string(p.clusterSlots()); strings.Contains(got, two.addr[strings.LastIndex(two.addr, ":")+1:]) {
 		t.Errorf("the map names who drains: %q", got)
 	}
-	if p.elsewhere(slotAt(p, 2), true) != "" || p.elsewhere(slotAt(p, 0), false) != "" {
+	if p.redirect(slotInPartition(p, 2), true) != "" || p.redirect(slotInPartition(p, 0), false) != "" {
 		t.Error("what is nobody else's is not served")
 	}
 }
 
 // A router that drains hands on what it serves by then, to one that serves: not to one that drains too.
 func TestDrainHandsOnToWhoServes(t *testing.T) {
-	one, two := startOther(t, "+draining"), startOther(t, "+serving")
-	p := following(t, one, two)
-	own, taken, others := slotAt(p, 0), slotAt(p, 1), slotAt(p, 2)
-	standintest.Until(t, "one drains", func() bool { return p.elsewhere(taken, false) != fmt.Sprintf("MOVED %d %s", taken, one.addr) })
+	one, two := startFakePeer(t, "+draining"), startFakePeer(t, "+serving")
+	p := startPolling(t, one, two)
+	own, taken, others := slotInPartition(p, 0), slotInPartition(p, 1), slotInPartition(p, 2)
+	standintest.Until(t, "one drains", func() bool { return p.redirect(taken, false) != fmt.Sprintf("MOVED %d %s", taken, one.addr) })
 	p.Drain(true)
 	for _, s := range []int{own} {
-		if got, want := p.elsewhere(s, false), fmt.Sprintf("ASK %d %s", s, two.addr); got != want {
+		if got, want := p.redirect(s, false), fmt.Sprintf("ASK %d %s", s, two.addr); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
-		if got := p.elsewhere(s, true); got == "" {
+		if got := p.redirect(s, true); got == "" {
 			t.Error("who drains serves nothing by leave: the next would send it back")
 		}
 	}
 	for _, s := range []int{taken, others} {
-		if got, want := p.elsewhere(s, false), fmt.Sprintf("MOVED %d %s", s, two.addr); got != want {
+		if got, want := p.redirect(s, false), fmt.Sprintf("MOVED %d %s", s, two.addr); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
-	two.set("+draining")
-	standintest.Until(t, "nobody serves", func() bool { return p.elsewhere(own, false) == "" })
+	two.setReply("+draining")
+	standintest.Until(t, "nobody serves", func() bool { return p.redirect(own, false) == "" })
 }
 
 func TestState(t *testing.T) {
 	e := newEngine(t)
-	p := New(Config{Read: "r", Write: "w", Owners: owners, Logins: []Login{{User: "a"}}}, "127.0.0.1:1")
+	p := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners, Logins: []Login{{User: "a"}}}, "127.0.0.1:1")
 	s := p.Session(front.Peer{}).(*session)
-	if got, _ := read(t, s, e, "yoke", "state"); got != "+serving" {
+	if got, _ := readCommand(t, s, e, "yoke", "state"); got != "+serving" {
 		t.Errorf("%q", got)
 	}
-	if got, _ := read(t, s, e, "GET", "k"); got != "-NOAUTH Authentication required." {
+	if got, _ := readCommand(t, s, e, "GET", "k"); got != "-NOAUTH Authentication required." {
 		t.Errorf("%q", got)
 	}
 	p.Drain(true)
-	if got, _ := read(t, s, e, "YOKE", "STATE"); got != "+draining" {
+	if got, _ := readCommand(t, s, e, "YOKE", "STATE"); got != "+draining" {
 		t.Errorf("%q", got)
 	}
 	p.Drain(false) // operators have it back in service
-	if got, _ := read(t, s, e, "YOKE", "STATE"); got != "+serving" {
+	if got, _ := readCommand(t, s, e, "YOKE", "STATE"); got != "+serving" {
 		t.Errorf("back: %q", got)
 	}
 }
 
 // The map that clients read: whole, without overlap, and with the parts of a silent router at the next.
 func TestMapOfATier(t *testing.T) {
-	p := New(Config{Read: "r", Write: "w", Owners: owners, Peers: []string{"10.0.0.1:1", "10.0.0.2:2", "10.0.0.3:3"}, Me: 1}, "")
+	p := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners, Peers: []string{"10.0.0.1:1", "10.0.0.2:2", "10.0.0.3:3"}, Self: 1}, "")
 	for range 3 {
-		p.peers.change(func(t *tier.Table) bool { return t.RecordMissedReply(2) })
+		p.peers.update(func(t *tier.Table) bool { return t.RecordMissedReply(2) })
 	}
 	r, err := resp.NewReader(bufio.NewReaderSize(strings.NewReader(string(p.clusterSlots())), resp.MaxLine)).ReadReply()
 	if err != nil {
@@ -212,9 +212,9 @@
 	}()
 	for i := range 300 {
 		ctx, stop := context.WithCancel(t.Context())
-		a := &asker{addr: ln.Addr().String()}
+		a := &statePoller{addr: ln.Addr().String()}
 		cancel := time.AfterFunc(time.Duration(i%100)*3*time.Microsecond, stop)
-		if word, err := a.ask(ctx); err == nil {
+		if word, err := a.poll(ctx); err == nil {
 			t.Fatalf("answered %q", word)
 		}
 		a.close()
@@ -225,13 +225,13 @@
 
 // Where a view names the routers, what a pool's client hears follows it and this router's own state.
 func TestPartsFollowTheView(t *testing.T) {
-	p := New(Config{Read: "r", Write: "w", Owners: owners, Name: "b"}, "127.0.0.2:2")
+	p := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners, RouterName: "b"}, "127.0.0.2:2")
 	all := func(state tier.State) []tier.Router {
 		return []tier.Router{{Name: "a", Addr: "127.0.0.1:1", State: state}, {Name: "b", Addr: "127.0.0.9:9"}}
 	}
 	count := func(word string) (n int) {
 		for slot := range slots.Count {
-			if strings.HasPrefix(p.elsewhere(slot, false), word+" ") {
+			if strings.HasPrefix(p.redirect(slot, false), word+" ") {
 				n++
 			}
 		}
@@ -246,13 +246,13 @@
 		word        tier.State
 		moved, asks bool
 	}{
-		{"it loads", func() tier.State { return p.Among(all(tier.Serving), false) }, tier.Loading, true, false},
-		{"it serves", func() tier.State { return p.Among(all(tier.Serving), true) }, tier.Serving, true, false},
-		{"the other drains", func() tier.State { return p.Among(all(tier.Draining), true) }, tier.Serving, false, false},
-		{"both drain", func() tier.State { p.Drain(true); return p.Among(all(tier.Draining), true) }, tier.Draining, true, true},
-		{"it drains", func() tier.State { return p.Among(all(tier.Serving), true) }, tier.Draining, true, true},
-		{"it drains alone", func() tier.State { return p.Among(nil, true) }, tier.Draining, false, false},
-		{"it serves again", func() tier.State { p.Drain(false); return p.Among(all(tier.Serving), true) }, tier.Serving, true, false},
+		{"it loads", func() tier.State { return p.UpdateRouters(all(tier.Serving), false) }, tier.Loading, true, false},
+		{"it serves", func() tier.State { return p.UpdateRouters(all(tier.Serving), true) }, tier.Serving, true, false},
+		{"the other drains", func() tier.State { return p.UpdateRouters(all(tier.Draining), true) }, tier.Serving, false, false},
+		{"both drain", func() tier.State { p.Drain(true); return p.UpdateRouters(all(tier.Draining), true) }, tier.Draining, true, true},
+		{"it drains", func() tier.State { return p.UpdateRouters(all(tier.Serving), true) }, tier.Draining, true, true},
+		{"it drains alone", func() tier.State { return p.UpdateRouters(nil, true) }, tier.Draining, false, false},
+		{"it serves again", func() tier.State { p.Drain(false); return p.UpdateRouters(all(tier.Serving), true) }, tier.Serving, true, false},
 	} {
 		if got := step.do(); got != step.word {
 			t.Errorf("%s: its word is %v", step.what, got)
@@ -268,7 +268,7 @@
 			t.Errorf("%s: %d moved, %d asked elsewhere", step.what, moved, asks)
 		}
 	}
-	if p.elsewhere(0, true) != "" {
+	if p.redirect(0, true) != "" {
 		t.Error("by leave it does not serve")
 	}
 }
--- a/internal/front/resp/resp_test.go
+++ b/internal/front/resp/resp_test.go
@@ -22,12 +22,12 @@
 	"mossproxy.example/mossproxy/internal/standin/standintest"
 )
 
-// answering is a cluster of one node that gives every INCR the same answer and counts them; "" ends the connection.
-func answering(t *testing.T, answer string) (addr string, incrs *atomic.Int64) {
+// startAnsweringNode is a cluster of one node that gives every INCR the same answer and counts them; "" ends the connection.
+func startAnsweringNode(t *testing.T, answer string) (addr string, incrs *atomic.Int64) {
 	t.Helper()
 	ln := standintest.Listen(t)
 	addr, incrs = ln.Addr().String(), new(atomic.Int64)
-	p := New(Config{Read: "r", Write: "w"}, addr)
+	p := New(Config{ReadClass: "r", WriteClass: "w"}, addr)
 	var wg sync.WaitGroup
 	t.Cleanup(func() { ln.Close(); wg.Wait() })
 	wg.Go(func() {
@@ -38,28 +38,28 @@
 			}
 			wg.Go(func() {
 				defer c.Close()
-				answerAll(c, p, answer, incrs)
+				serveAnswers(c, p, answer, incrs)
 			})
 		}
 	})
 	return addr, incrs
 }
 
-func answerAll(c net.Conn, p *Protocol, answer string, incrs *atomic.Int64) {
+func serveAnswers(c net.Conn, p *Protocol, answer string, incrs *atomic.Int64) {
 	s := p.Session(front.Peer{}).(*session)
 	r := resp.NewReader(bufio.NewReaderSize(c, resp.MaxLine))
 	for r.ReadCommand(&s.cmd) == nil {
 		name := strings.ToUpper(string(s.cmd.Args[0]))
 		var out []byte
-		switch f := specs[name]; {
+		switch f := commandSpecs[name]; {
 		case name == "INCR":
 			incrs.Add(1)
 			if answer == "" {
 				return
 			}
 			out = []byte(answer + "\r\n")
-		case f != nil && f.local != nil:
-			out = f.local(s, s.cmd.Args)
+		case f != nil && f.handler != nil:
+			out = f.handler(s, s.cmd.Args)
 		default:
 			out = resp.AppendError(nil, "ERR unknown")
 		}
@@ -76,16 +76,16 @@
 		answer  string
 		resends bool
 	}{
-		{strings.TrimSpace(string(refused(0))), true},
-		{strings.TrimSpace(string(refused(20))), true},
-		{strings.TrimSpace(string(failure())), false},
+		{strings.TrimSpace(string(refusedReply(0))), true},
+		{strings.TrimSpace(string(refusedReply(20))), true},
+		{strings.TrimSpace(string(failedReply())), false},
 		{"-LOADING x", true}, {"-CLUSTERDOWN x", true}, {"-READONLY x", true}, {"-MASTERDOWN x", true},
 		{"-BUSY x", false}, {"-WRONGTYPE x", false}, {":1", false},
 		{"", true}, // a connection that ends: never done while a command is open
 	} {
 		t.Run(strconv.Quote(row.answer), func(t *testing.T) {
 			t.Parallel()
-			addr, incrs := answering(t, row.answer)
+			addr, incrs := startAnsweringNode(t, row.answer)
 			c := redis.NewClusterClient(&redis.ClusterOptions{Addrs: []string{addr}, MaxRedirects: 2, MinRetryBackoff: time.Millisecond, MaxRetryBackoff: 2 * time.Millisecond})
 			defer c.Close()
 			ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
@@ -98,16 +98,16 @@
 	}
 }
 
-// nowhere is a backend without a way to any server.
-type nowhere struct{}
+// noEndpoints is a backend without a way to any server.
+type noEndpoints struct{}
 
-func (nowhere) Endpoint(engine.Server) engine.Endpoint { return nil }
+func (noEndpoints) Endpoint(engine.Server) engine.Endpoint { return nil }
 
 // newEngine is an engine that holds a list and whose requests nobody serves.
 func newEngine(t testing.TB) *engine.Engine {
 	t.Helper()
 	e, err := engine.New(engine.Options{MaxHeldBytes: 1 << 20, MaxQueuedBytes: 1 << 20, Config: decide.Config{Routers: 1, Alone: true, MaxAttempts: 4, ColdFrom: 1,
-		FallMult: 3, FallFor: 1000, Classes: []decide.Class{{Name: "r", Aim: 100, Deadline: 500}, {Name: "w", Effect: decide.Once, Aim: 100, Deadline: 700}}}}, nowhere{})
+		FallMult: 3, FallFor: 1000, Classes: []decide.Class{{Name: "r", Aim: 100, Deadline: 500}, {Name: "w", Effect: decide.Once, Aim: 100, Deadline: 700}}}}, noEndpoints{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,18 +115,18 @@
 	return e
 }
 
-var always = func() bool { return true }
+var alwaysOpen = func() bool { return true }
 
-func owners(int, bool) []uint32 { return []uint32{7} }
+func testOwners(int, bool) []uint32 { return []uint32{7} }
 
-// read reads one command of a session.
-func read(t testing.TB, s *session, e *engine.Engine, words ...string) (text string, q *engine.Request) {
+// readCommand reads one command of a session.
+func readCommand(t testing.TB, s *session, e *engine.Engine, words ...string) (text string, q *engine.Request) {
 	t.Helper()
 	var args [][]byte
 	for _, w := range words {
 		args = append(args, []byte(w))
 	}
-	cmd, err := s.Read(bufio.NewReaderSize(bytes.NewReader(resp.AppendCommand(nil, args...)), resp.MaxLine), e, always)
+	cmd, err := s.Read(bufio.NewReaderSize(bytes.NewReader(resp.AppendCommand(nil, args...)), resp.MaxLine), e, alwaysOpen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 
 func TestClasses(t *testing.T) {
 	e := newEngine(t)
-	p := New(Config{Read: "r", Write: "w", Owners: owners, Tenant: "t", Rules: []Rule{{Commands: []string{"SET", "MSET"}, Prefix: "st:", Class: "r"}}}, "127.0.0.1:1")
+	p := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners, DefaultTenant: "t", Rules: []Rule{{Commands: []string{"SET", "MSET"}, Prefix: "st:", Class: "r"}}}, "127.0.0.1:1")
 	s := p.Session(front.Peer{}).(*session)
 	for _, c := range []struct {
 		words, class string
@@ -144,14 +144,14 @@
 		{"GET a", "r", 500}, {"INCR a", "w", 700}, {"SET a 1", "w", 700}, {"SET st:a 1", "r", 500}, {"YOKE class=w GET a", "w", 700},
 		{"YOKE d=50 GET a", "r", 50}, {"YOKE d=5000 GET a", "r", 500}, {"SET st:a 1 EX 10", "r", 500},
 	} {
-		_, q := read(t, s, e, strings.Fields(c.words)...)
+		_, q := readCommand(t, s, e, strings.Fields(c.words)...)
 		if q == nil || q.Class != c.class || q.Wait != c.deadline || q.Tenant != "t" || len(q.Owners) != 1 {
 			t.Errorf("%s: %+v", c.words, q)
 		}
 		e.HeldBytes.Release(q.HeldBytes)
 	}
 	for _, words := range []string{"SET st:a 1 NX", "SET st:a 1 GET", "YOKE class=r APPEND a b"} {
-		if text, q := read(t, s, e, strings.Fields(words)...); q != nil || !strings.Contains(text, "must not") {
+		if text, q := readCommand(t, s, e, strings.Fields(words)...); q != nil || !strings.Contains(text, "must not") {
 			t.Errorf("%s: %q", words, text)
 		}
 	}
@@ -163,9 +163,9 @@
 // The words of a request are its own: the next command uses the reader's memory again.
 func TestWordsAreKept(t *testing.T) {
 	e := newEngine(t)
-	s := New(Config{Read: "r", Write: "w", Owners: owners}, "127.0.0.1:1").Session(front.Peer{}).(*session)
-	_, q := read(t, s, e, "SET", "key-one", "value-one")
-	read(t, s, e, "SET", "key-two", "value-two")
+	s := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners}, "127.0.0.1:1").Session(front.Peer{}).(*session)
+	_, q := readCommand(t, s, e, "SET", "key-one", "value-one")
+	readCommand(t, s, e, "SET", "key-two", "value-two")
 	if got := fmt.Sprintf("%s", q.Args); got != "[SET key-one value-one]" {
 		t.Error(got)
 	}
@@ -174,11 +174,11 @@
 // Beyond the memory that is there, commands are refused.
 func TestNoRoom(t *testing.T) {
 	e := newEngine(t)
-	s := New(Config{Read: "r", Write: "w", Owners: owners}, "127.0.0.1:1").Session(front.Peer{}).(*session)
+	s := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners}, "127.0.0.1:1").Session(front.Peer{}).(*session)
 	value := strings.Repeat("v", resp.MaxBulk)
 	taken := 0
 	for {
-		text, q := read(t, s, e, "SET", "k", value)
+		text, q := readCommand(t, s, e, "SET", "k", value)
 		if q == nil {
 			if text != "-TRYAGAIN busy" || taken < 10 {
 				t.Errorf("%q after %d", text, taken)
@@ -194,13 +194,13 @@
 	f.Add([]byte("*3\r\n$3\r\nSET\r\n$1\r\nk\r\n$1\r\nv\r\nYOKE class=r,d=5 GET k\r\nCOMMAND INFO get x\r\n"))
 	f.Add([]byte("HELLO 3 AUTH a b SETNAME x\r\nCLIENT SETNAME \"a b\"\r\nCLUSTER SLOTS\r\nCOMMAND GETKEYS mset a b\r\nMSET a\r\n"))
 	e := newEngine(f)
-	p := New(Config{Read: "r", Write: "w", Owners: owners, Logins: []Login{{User: "a"}}}, "127.0.0.1:1")
+	p := New(Config{ReadClass: "r", WriteClass: "w", Owners: testOwners, Logins: []Login{{User: "a"}}}, "127.0.0.1:1")
 	f.Fuzz(func(t *testing.T, in []byte) {
 		s := p.Session(front.Peer{}).(*session)
-		s.in = true
+		s.loggedIn = true
 		r := bufio.NewReaderSize(bytes.NewReader(in), resp.MaxLine)
 		for range 1000 {
-			cmd, err := s.Read(r, e, always)
+			cmd, err := s.Read(r, e, alwaysOpen)
 			if err != nil {
 				return
 			}
--- a/internal/identity/audit.go
+++ b/internal/identity/audit.go
@@ -41,7 +41,7 @@
 // Add writes an event, or counts it.
 func (a *Audit) Add(e Event) {
 	a.mu.Lock()
-	write, left := a.some.Take(a.now(), e.What+" "+e.Reason.String())
+	write, left := a.some.Allow(a.now(), e.What+" "+e.Reason.String())
 	a.mu.Unlock()
 	if !write {
 		return
@@ -75,7 +75,7 @@
 
 // clean bounds what comes from outside and takes out what no name has: a record stays one record.
 func clean(v string) string {
-	b := []byte(v[:min(len(v), caller.MaxText)])
+	b := []byte(v[:min(len(v), caller.MaxTextBytes)])
 	for i, c := range b {
 		if c < ' ' || c > '~' {
 			b[i] = '?'
@@ -95,7 +95,7 @@
 		case <-t.C:
 		}
 		a.mu.Lock()
-		left := a.some.Left(a.now())
+		left := a.some.TakeSuppressed(a.now())
 		a.mu.Unlock()
 		for kind, n := range left {
 			a.log.LogAttrs(ctx, slog.LevelWarn, "caller", slog.String("event", "left out"), slog.String("kind", kind), slog.Int("left_out", n))
--- a/internal/identity/gate.go
+++ b/internal/identity/gate.go
@@ -46,7 +46,7 @@
 
 // state is the book in force with its keys made ready. It does not change.
 type state struct {
-	book *caller.Book
+	book *caller.CredentialStore
 	keys map[string]crypto.PublicKey
 }
 
@@ -62,11 +62,11 @@
 	checks    atomic.Int64     // signatures and secrets checked
 
 	mu     sync.Mutex // of what follows
-	memory *caller.Memory
-	limits *caller.Limits
+	memory *caller.IdentityCache
+	limits *caller.AuthLimiter
 
 	ratesMu sync.Mutex
-	rates   *caller.Rates
+	rates   *caller.RateLimiter
 }
 
 // NewGate is a gate that takes nobody until Use has given it a book.
@@ -86,14 +86,14 @@
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	g := &Gate{o: o, now: o.Now, audit: NewAudit(o.Log, o.Now), memory: caller.NewMemory(o.Remember), limits: caller.NewLimits(o.Share),
-		rates: caller.NewRates(o.Portion), hash: newTokenHash()}
+	g := &Gate{o: o, now: o.Now, audit: NewAudit(o.Log, o.Now), memory: caller.NewIdentityCache(o.Remember), limits: caller.NewAuthLimiter(o.Share),
+		rates: caller.NewRateLimiter(o.Portion), hash: newTokenHash()}
 	return g
 }
 
 // Use brings a book into force: for new callers at once, and for those that are known at their next request. An error names a key
 // that can't be used; the old book stays then.
-func (g *Gate) Use(b *caller.Book) error {
+func (g *Gate) Use(b *caller.CredentialStore) error {
 	s := &state{book: b, keys: map[string]crypto.PublicKey{}}
 	for _, k := range b.Keys() {
 		if k.Algorithm == caller.Secret {
@@ -125,7 +125,7 @@
 }
 
 // Book is the one in force, nil before the first.
-func (g *Gate) Book() *caller.Book {
+func (g *Gate) Book() *caller.CredentialStore {
 	if s := g.state.Load(); s != nil {
 		return s.book
 	}
@@ -146,14 +146,14 @@
 }
 
 // Token settles who shows a token, from an address.
-func (g *Gate) Token(from, text string) (*caller.Pass, caller.Reason) {
+func (g *Gate) Token(from, text string) (*caller.Identity, caller.Reason) {
 	p, why := g.token(from, text)
 	g.seen("login", why, p, Event{From: from})
 	return p, why
 }
 
 // Once is Token for a single request: there is no login for the audit, but a refusal is one.
-func (g *Gate) Once(from, text string) (*caller.Pass, caller.Reason) {
+func (g *Gate) Once(from, text string) (*caller.Identity, caller.Reason) {
 	p, why := g.token(from, text)
 	if why != caller.None {
 		g.seen("login", why, nil, Event{From: from})
@@ -163,7 +163,7 @@
 	return p, why
 }
 
-func (g *Gate) token(from, text string) (*caller.Pass, caller.Reason) {
+func (g *Gate) token(from, text string) (*caller.Identity, caller.Reason) {
 	now := g.now()
 	if len(text) > MaxToken {
 		return nil, caller.TooLong
@@ -177,15 +177,15 @@
 		if why != caller.None {
 			return nil, why
 		}
-		if p.Holds(s.book.Version(), now) {
+		if p.Valid(s.book.Version(), now) {
 			return p, caller.None
 		}
-		if p, why = s.book.Renew(now, p); why == caller.None {
+		if p, why = s.book.Reauthenticate(now, p); why == caller.None {
 			g.remember(hash, p)
 			return p, caller.None
 		}
 		g.mu.Lock()
-		g.memory.Forget(hash)
+		g.memory.Remove(hash)
 		g.mu.Unlock()
 		if why != caller.NoTenant { // the tenant may be another one of its name: then the token is a new caller's
 			return nil, why
@@ -198,14 +198,14 @@
 	return p, why
 }
 
-func (g *Gate) remember(hash [32]byte, p *caller.Pass) {
+func (g *Gate) remember(hash [32]byte, p *caller.Identity) {
 	g.mu.Lock()
 	g.memory.Put(hash, p)
 	g.mu.Unlock()
 }
 
 // fresh checks a token that is not remembered, if the budget of such checks has room.
-func (g *Gate) fresh(now float64, from, text string) (*caller.Pass, caller.Reason) {
+func (g *Gate) fresh(now float64, from, text string) (*caller.Identity, caller.Reason) {
 	s, why := g.current(now, true)
 	if why != caller.None {
 		return nil, why
@@ -224,7 +224,7 @@
 		g.was(now, origin, "", true)
 		return nil, caller.UnknownKey
 	}
-	if why := s.book.Usable(k, now); why != caller.None { // before the work
+	if why := s.book.CheckKeyState(k, now); why != caller.None { // before the work
 		return nil, why
 	}
 	cost := costEdDSA
@@ -240,19 +240,19 @@
 	if why != caller.None {
 		return nil, why
 	}
-	return s.book.Token(now, c)
+	return s.book.AuthenticateToken(now, c)
 }
 
 func (g *Gate) may(now float64, origin, key string, cost float64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.limits.May(now, origin, key, cost)
+	return g.limits.Allow(now, origin, key, cost)
 }
 
 func (g *Gate) was(now float64, origin, key string, wrong bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limits.Was(now, origin, key, wrong)
+	g.limits.RecordResult(now, origin, key, wrong)
 }
 
 // originOf is the address by which floods are told apart: without the port, and of IPv6 the network of 64 bits that one caller has.
@@ -273,19 +273,19 @@
 }
 
 // Secret settles who shows a key's secret.
-func (g *Gate) Secret(from, id string, secret []byte) (*caller.Pass, caller.Reason) {
+func (g *Gate) Secret(from, id string, secret []byte) (*caller.Identity, caller.Reason) {
 	p, why := g.secret(from, id, secret)
 	g.seen("login", why, p, Event{From: from, Key: id})
 	return p, why
 }
 
-func (g *Gate) secret(from, id string, secret []byte) (*caller.Pass, caller.Reason) {
+func (g *Gate) secret(from, id string, secret []byte) (*caller.Identity, caller.Reason) {
 	now := g.now()
 	s, why := g.current(now, true)
 	switch {
 	case why != caller.None:
 		return nil, why
-	case len(secret) > maxSecret || len(id) > caller.MaxText:
+	case len(secret) > maxSecret || len(id) > caller.MaxTextBytes:
 		return nil, caller.TooLong
 	case g.o.Pepper == nil:
 		return nil, caller.UnknownKey
@@ -296,22 +296,22 @@
 	}
 	g.checks.Add(1)
 	// The book compares hashes under a key that nobody outside knows, so how far they agree tells nobody anything of the secret.
-	p, why := s.book.Secret(now, id, g.o.Pepper.Hash(id, secret))
+	p, why := s.book.AuthenticateSecret(now, id, g.o.Pepper.Hash(id, secret))
 	g.was(now, origin, id, why == caller.BadSignature || why == caller.UnknownKey)
 	return p, why
 }
 
 // Certificate settles who has shown a client certificate on a link whose handshake is over. Without one there is no caller.
-func (g *Gate) Certificate(from string, link *tls.ConnectionState) (*caller.Pass, caller.Reason) {
+func (g *Gate) Certificate(from string, link *tls.ConnectionState) (*caller.Identity, caller.Reason) {
 	if link == nil || len(link.PeerCertificates) == 0 || len(link.VerifiedChains) == 0 {
 		return nil, caller.NoCaller
 	}
 	now := g.now()
 	s, why := g.current(now, true)
-	var p *caller.Pass
+	var p *caller.Identity
 	if why == caller.None {
 		for _, chain := range link.VerifiedChains { // one whose end is still in the bundle will do
-			if p, why = s.book.Certificate(now, describe(chain)); why != caller.KeyRevoked {
+			if p, why = s.book.AuthenticateCertificate(now, describe(chain)); why != caller.KeyRevoked {
 				break
 			}
 		}
@@ -323,16 +323,16 @@
 // describe gives what the book needs of a chain. It holds no longer than any certificate of it.
 func describe(chain []*x509.Certificate) caller.Certificate {
 	leaf := chain[0]
-	c := caller.Certificate{Names: []string{"sha256:" + fingerprint(leaf)}, Anchor: sha256.Sum256(chain[len(chain)-1].Raw), Until: math.Inf(1)}
+	c := caller.Certificate{Names: []string{"sha256:" + fingerprint(leaf)}, TrustAnchor: sha256.Sum256(chain[len(chain)-1].Raw), NotAfter: math.Inf(1)}
 	for _, u := range leaf.URIs {
 		c.Names = append(c.Names, "uri:"+u.String())
 	}
 	for _, d := range leaf.DNSNames {
 		c.Names = append(c.Names, "dns:"+d)
 	}
-	c.Names = c.Names[:min(len(c.Names), caller.MaxNames)]
+	c.Names = c.Names[:min(len(c.Names), caller.MaxNamesPerPrincipal)]
 	for _, x := range chain {
-		c.From, c.Until = max(c.From, float64(x.NotBefore.UnixMilli())), min(c.Until, float64(x.NotAfter.UnixMilli()))
+		c.NotBefore, c.NotAfter = max(c.NotBefore, float64(x.NotBefore.UnixMilli())), min(c.NotAfter, float64(x.NotAfter.UnixMilli()))
 	}
 	return c
 }
@@ -344,26 +344,26 @@
 
 // Check gives the pass by which a caller goes on: the same while it holds, another where the book or the time has changed and it is
 // still good, or why not.
-func (g *Gate) Check(p *caller.Pass) (*caller.Pass, caller.Reason) {
+func (g *Gate) Check(p *caller.Identity) (*caller.Identity, caller.Reason) {
 	now := g.now()
 	s, why := g.current(now, false)
 	if why != caller.None {
 		return nil, why
 	}
-	if p.Holds(s.book.Version(), now) {
+	if p.Valid(s.book.Version(), now) {
 		return p, caller.None
 	}
-	return s.book.Renew(now, p)
+	return s.book.Reauthenticate(now, p)
 }
 
 // Withdrawn tells the audit that a caller's connection ends.
-func (g *Gate) Withdrawn(from string, p *caller.Pass, why caller.Reason) {
+func (g *Gate) Withdrawn(from string, p *caller.Identity, why caller.Reason) {
 	g.seen("withdrawn", why, p, Event{From: from})
 }
 
 // Allow says whether a caller may make a request of a class on a key of its own, now. Of one that is over a rate it says after how
 // many ms there is room.
-func (g *Gate) Allow(from string, p *caller.Pass, class, key string, access caller.Access) (again float64, why caller.Reason) {
+func (g *Gate) Allow(from string, p *caller.Identity, class, key string, access caller.Access) (again float64, why caller.Reason) {
 	now := g.now()
 	rule, ok := p.Rights.Allows(now, class, key, access)
 	e := Event{From: from, Class: class}
@@ -387,17 +387,17 @@
 }
 
 // Refused tells the audit of a request that was not taken for another reason.
-func (g *Gate) Refused(from string, p *caller.Pass, why caller.Reason) {
+func (g *Gate) Refused(from string, p *caller.Identity, why caller.Reason) {
 	g.seen("refused", why, p, Event{From: from})
 }
 
 // seen books a verdict.
-func (g *Gate) seen(what string, why caller.Reason, p *caller.Pass, e Event) {
+func (g *Gate) seen(what string, why caller.Reason, p *caller.Identity, e Event) {
 	g.counts[why].Add(1)
 	if e.What, e.Reason = what, why; p != nil {
 		e.Caller, e.Tenant = p.Caller, p.Tenant.Name
 		if e.Key == "" {
-			e.Key = p.Key
+			e.Key = p.CredentialName
 		}
 	}
 	g.audit.Add(e)
@@ -438,7 +438,7 @@
 }
 
 // BookError joins what is wrong with a book's contents.
-func BookError(name string, faults []caller.Fault) error {
+func BookError(name string, faults []caller.ValidationError) error {
 	if len(faults) == 0 {
 		return nil
 	}
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -34,17 +34,17 @@
 	t.Helper()
 	h := &house{log: &bytes.Buffer{}, ed: identitytest.NewSigner(t, "ed", "i", caller.EdDSA), es: identitytest.NewSigner(t, "es", "i", caller.ES256), pepper: identity.Pepper{1}}
 	h.gate = identity.NewGate(identity.Options{Pepper: &h.pepper, Log: slog.New(slog.NewTextHandler(h.log, nil)), Now: now})
-	h.use(t, caller.Life{Active: 1})
+	h.use(t, caller.Lifecycle{Active: 1})
 	return h
 }
 
 // use brings a book into force in which the keys have a life.
-func (h *house) use(t testing.TB, l caller.Life) {
+func (h *house) use(t testing.TB, l caller.Lifecycle) {
 	t.Helper()
 	h.epoch++
-	b, faults := caller.NewBook(caller.Contents{Version: h.epoch, Policy: caller.Policy{Audiences: []string{"r"}, Longest: 4000e3}, Tenants: []caller.Tenant{{Name: "t"}},
+	b, faults := caller.NewCredentialStore(caller.Contents{Version: h.epoch, Policy: caller.Policy{Audiences: []string{"r"}, Longest: 4000e3}, Tenants: []caller.Tenant{{Name: "t"}},
 		Principals: []caller.Principal{{Name: "c", Tenant: "t", Subjects: []caller.Subject{{Issuer: "i", Name: "s"}}}},
-		Keys:       []caller.Key{h.ed.Live(l), h.es.Live(l), {ID: "x", Algorithm: caller.Secret, Caller: "c", Material: h.pepper.Hash("x", []byte("geheim")), Life: l}}})
+		Keys:       []caller.Key{h.ed.Live(l), h.es.Live(l), {ID: "x", Algorithm: caller.Secret, Caller: "c", Digest: h.pepper.Hash("x", []byte("geheim")), Lifecycle: l}}})
 	if faults != nil {
 		t.Fatal(faults)
 	}
@@ -66,7 +66,7 @@
 	}
 	// Signed with HMAC by the bytes of the public key, which everybody has.
 	confused := enc(`{"alg":"HS256","kid":"ed"}`) + "." + enc(string(claims))
-	mac := hmac.New(sha256.New, h.ed.Key.Public)
+	mac := hmac.New(sha256.New, h.ed.Key.PublicDER)
 	mac.Write([]byte(confused))
 	confused += "." + base64.RawURLEncoding.EncodeToString(mac.Sum(nil))
 	other := identitytest.NewSigner(t, "ed", "i", caller.EdDSA)
@@ -138,15 +138,15 @@
 	if f := h.gate.Figures(); f.Checks != 1 || f.Remembered != 1 || f.Verdicts["none"] != 10 {
 		t.Errorf("%+v", f)
 	}
-	h.use(t, caller.Life{Active: 1}) // another book with the same key: nothing is checked anew
+	h.use(t, caller.Lifecycle{Active: 1}) // another book with the same key: nothing is checked anew
 	if why := ask(); why != caller.None || h.gate.Figures().Checks != 1 {
 		t.Error(why, h.gate.Figures())
 	}
-	h.use(t, caller.Life{Active: 1, Revoked: at})
+	h.use(t, caller.Lifecycle{Active: 1, Revoked: at})
 	if why := ask(); why != caller.KeyRevoked || h.gate.Figures().Remembered != 0 {
 		t.Error(why)
 	}
-	h.use(t, caller.Life{Active: 1})
+	h.use(t, caller.Lifecycle{Active: 1})
 	if why := ask(); why != caller.None {
 		t.Error(why)
 	}
--- a/internal/identity/identitytest/identitytest.go
+++ b/internal/identity/identitytest/identitytest.go
@@ -47,9 +47,9 @@
 }
 
 // Live is the signer's key with a life.
-func (s *Signer) Live(l caller.Life) caller.Key {
+func (s *Signer) Live(l caller.Lifecycle) caller.Key {
 	k := s.Key
-	k.Life = l
+	k.Lifecycle = l
 	return k
 }
 
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -91,9 +91,9 @@
 	defer wg.Wait()
 	for _, p := range l.paths {
 		now := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-		f := watch.New(watch.Config{Path: p, Limit: maxLinkFile, SettleMS: watch.DefaultSettleMS}, now, &linkTaker{l, p})
+		f := watch.New(watch.Config{Path: p, MaxBytes: maxLinkFile, SettleMS: watch.DefaultSettleMS}, now, &linkTaker{l, p})
 		if text, err := read(p); err == nil {
-			f.InUse(text)
+			f.SetCurrent(text)
 		}
 		wg.Go(func() { f.Run(ctx) })
 	}
@@ -105,13 +105,13 @@
 }
 
 // Take reads all files anew: one may wait for another, as a certificate does for its key.
-func (t *linkTaker) Take([]byte) error { return t.l.Reload() }
+func (t *linkTaker) Apply([]byte) error { return t.l.Reload() }
 
 func (t *linkTaker) Refused(why error) {
 	t.l.log.Warn("tls: refused, what is in use stays", "file", t.path, "why", strings.ReplaceAll(why.Error(), "\n", "; "))
 }
 
-func (t *linkTaker) Trouble(err error) {
+func (t *linkTaker) NotificationsFailed(err error) {
 	t.l.log.Warn("tls: no notices, the file is only looked at four times a second", "file", t.path, "why", err.Error())
 }
 
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -68,13 +68,13 @@
 		}
 		return float64(*d) * 1000
 	}
-	return caller.Claims{Key: k.ID, Material: k.Material, Issuer: c.Issuer, Subject: c.Subject, Audience: c.Audience, Issued: ms(c.IssuedAt),
-		From: ms(c.NotBefore), Until: ms(c.Expiry)}, caller.None
+	return caller.Claims{KeyID: k.ID, KeyDigest: k.Digest, Issuer: c.Issuer, Subject: c.Subject, Audience: c.Audience, IssuedAt: ms(c.IssuedAt),
+		NotBefore: ms(c.NotBefore), ExpiresAt: ms(c.Expiry)}, caller.None
 }
 
 // publicKey reads a key of the book.
 func publicKey(k *caller.Key) (crypto.PublicKey, error) {
-	p, err := x509.ParsePKIXPublicKey(k.Public)
+	p, err := x509.ParsePKIXPublicKey(k.PublicDER)
 	if err != nil {
 		return nil, fmt.Errorf("key %s: %w", k.ID, err)
 	}
@@ -160,7 +160,7 @@
 	if err != nil {
 		return caller.Key{}, fmt.Errorf("public key: %w", err)
 	}
-	return caller.Key{ID: k.KeyID, Algorithm: alg, Issuer: issuer, Public: der, Material: sha256.Sum256(der)}, nil
+	return caller.Key{ID: k.KeyID, Algorithm: alg, Issuer: issuer, PublicDER: der, Digest: sha256.Sum256(der)}, nil
 }
 
 // WriteJWK gives a key of the book as a JWK.
--- a/internal/keybook/file.go
+++ b/internal/keybook/file.go
@@ -94,7 +94,7 @@
 // mark is the last line of a whole file: one that was cut short, also where what is there would parse, lacks it.
 var mark = regexp.MustCompile(`(?m)^\s*\[end\]\s*(#.*)?\s*\z`)
 
-// Parse reads a book file whole. What it says is checked against itself by caller.NewBook.
+// Parse reads a book file whole. What it says is checked against itself by caller.NewCredentialStore.
 func Parse(path string, text []byte) (*Book, error) {
 	if len(text) > MaxFile {
 		return nil, tomlfile.Faults{{File: path, What: fmt.Sprintf("over %d bytes", MaxFile)}}
@@ -133,7 +133,7 @@
 }
 
 // Faults gives faults of a book's contents the lines of the file that they came from.
-func Faults(path string, text []byte, of []caller.Fault) error {
+func Faults(path string, text []byte, of []caller.ValidationError) error {
 	if len(of) == 0 {
 		return nil
 	}
@@ -144,7 +144,7 @@
 	}
 	var out tomlfile.Faults
 	for _, f := range of {
-		out = append(out, d.Fault(f.At, "%s", f.What))
+		out = append(out, d.Fault(f.Path, "%s", f.Message))
 	}
 	return out
 }
@@ -213,7 +213,7 @@
 // key gives the key of a row; an error goes with the name of the field that is wrong.
 func (r keyRow) key() (caller.Key, string, error) {
 	k := caller.Key{ID: r.ID, Algorithm: caller.Algorithm(r.Algorithm), Issuer: r.Issuer, Caller: r.Caller,
-		Life: caller.Life{Active: ms(r.Active), Retiring: ms(r.Retiring), Retired: ms(r.Retired), Revoked: ms(r.Revoked)}}
+		Lifecycle: caller.Lifecycle{Active: ms(r.Active), Retiring: ms(r.Retiring), Retired: ms(r.Retired), Revoked: ms(r.Revoked)}}
 	switch {
 	case r.JWK != "" && r.Hash != "":
 		return k, "jwk", fmt.Errorf("stands beside secret_hash; a key is the one or the other")
@@ -231,25 +231,25 @@
 		if k.Algorithm != j.Algorithm {
 			return k, "algorithm", fmt.Errorf("%.20q, and the public key is one of %s", r.Algorithm, j.Algorithm)
 		}
-		k.Public, k.Material = j.Public, j.Material
+		k.PublicDER, k.Digest = j.PublicDER, j.Digest
 	case r.Hash != "":
 		sum, err := hex.DecodeString(r.Hash)
-		if err != nil || len(sum) != len(k.Material) {
+		if err != nil || len(sum) != len(k.Digest) {
 			return k, "secret_hash", fmt.Errorf("not the 64 hex digits of a hash")
 		}
 		if k.Algorithm == "" {
 			k.Algorithm = caller.Secret
 		}
-		k.Material = [32]byte(sum)
+		k.Digest = [32]byte(sum)
 	}
 	return k, "", nil
 }
 
 func keyRowOf(k *caller.Key) (keyRow, error) {
-	r := keyRow{ID: k.ID, Algorithm: string(k.Algorithm), Issuer: k.Issuer, Caller: k.Caller, Active: at(k.Life.Active), Retiring: at(k.Life.Retiring),
-		Retired: at(k.Life.Retired), Revoked: at(k.Life.Revoked)}
+	r := keyRow{ID: k.ID, Algorithm: string(k.Algorithm), Issuer: k.Issuer, Caller: k.Caller, Active: at(k.Lifecycle.Active), Retiring: at(k.Lifecycle.Retiring),
+		Retired: at(k.Lifecycle.Retired), Revoked: at(k.Lifecycle.Revoked)}
 	if k.Algorithm == caller.Secret {
-		r.Hash = hex.EncodeToString(k.Material[:])
+		r.Hash = hex.EncodeToString(k.Digest[:])
 		return r, nil
 	}
 	var err error
--- a/internal/keybook/keybook_test.go
+++ b/internal/keybook/keybook_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	s := identitytest.NewSigner(t, "k", "iss", caller.ES256)
-	b.Keys = append(b.Keys, s.Live(caller.Life{Active: 1000, Revoked: 5e11}))
+	b.Keys = append(b.Keys, s.Live(caller.Lifecycle{Active: 1000, Revoked: 5e11}))
 	text, err := b.Text()
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	if err != nil || !reflect.DeepEqual(b, again) {
 		t.Errorf("%v:\n%s\n%+v\n%+v", err, text, b, again)
 	}
-	if b.Keys[0].Life.Active != 1796126400500 || b.Tenants[0].Generation != 2 {
+	if b.Keys[0].Lifecycle.Active != 1796126400500 || b.Tenants[0].Generation != 2 {
 		t.Errorf("%+v", b)
 	}
 }
@@ -118,7 +118,7 @@
 // rotation is a rotation step by step: each is one change.
 func rotation(k *Keeper, s, next *identitytest.Signer, now func() time.Time) []func() error {
 	ms := func() float64 { return float64(now().UnixMilli()) }
-	life := func(id string, set func(*caller.Life)) func() error {
+	life := func(id string, set func(*caller.Lifecycle)) func() error {
 		return func() error { _, err := k.SetLife(0, id, "step", set); return err }
 	}
 	return []func() error{
@@ -127,11 +127,11 @@
 			_, err := k.SetCaller(0, caller.Principal{Name: "c", Tenant: "t", Subjects: []caller.Subject{{Issuer: "i", Name: "s"}}})
 			return err
 		},
-		func() error { _, err := k.AddKeys(0, s.Live(caller.Life{Active: 1})); return err },
-		func() error { _, err := k.AddKeys(0, next.Live(caller.Life{})); return err },
-		life("next", func(l *caller.Life) { l.Active = ms() }),
-		life("old", func(l *caller.Life) { l.Retiring = ms(); l.Retired = ms() + 1000 }),
-		life("old", func(l *caller.Life) { l.Revoked = ms() }),
+		func() error { _, err := k.AddKeys(0, s.Live(caller.Lifecycle{Active: 1})); return err },
+		func() error { _, err := k.AddKeys(0, next.Live(caller.Lifecycle{})); return err },
+		life("next", func(l *caller.Lifecycle) { l.Active = ms() }),
+		life("old", func(l *caller.Lifecycle) { l.Retiring = ms(); l.Retired = ms() + 1000 }),
+		life("old", func(l *caller.Lifecycle) { l.Revoked = ms() }),
 		func() error { _, err := k.DeleteTenant(0, "t"); return err },
 		func() error {
 			_, _, err := k.PutTenant(Tenant{Name: "u", Terms: Terms{Limits: tenant.Limits{Floor: 5}}}, 0)
@@ -243,10 +243,10 @@
 		want error
 	}{
 		"an old version": {func() (uint64, error) { return k.CreateTenant(3, "x") }, ErrConflict},
-		"revoked, back":  {func() (uint64, error) { return k.SetLife(0, "old", "x", func(l *caller.Life) { l.Revoked = 0 }) }, ErrLife},
-		"revoked, anew":  {func() (uint64, error) { return k.SetLife(0, "old", "x", func(l *caller.Life) { l.Active = 1e13 }) }, ErrLife},
-		"out of order":   {func() (uint64, error) { return k.SetLife(0, "next", "x", func(l *caller.Life) { l.Retired = 1 }) }, ErrLife},
-		"no key":         {func() (uint64, error) { return k.SetLife(0, "x", "x", func(l *caller.Life) {}) }, ErrNoSuch},
+		"revoked, back":  {func() (uint64, error) { return k.SetLife(0, "old", "x", func(l *caller.Lifecycle) { l.Revoked = 0 }) }, ErrLife},
+		"revoked, anew":  {func() (uint64, error) { return k.SetLife(0, "old", "x", func(l *caller.Lifecycle) { l.Active = 1e13 }) }, ErrLife},
+		"out of order":   {func() (uint64, error) { return k.SetLife(0, "next", "x", func(l *caller.Lifecycle) { l.Retired = 1 }) }, ErrLife},
+		"no key":         {func() (uint64, error) { return k.SetLife(0, "x", "x", func(l *caller.Lifecycle) {}) }, ErrNoSuch},
 		"its id again":   {func() (uint64, error) { return k.AddKeys(0, signer.Key) }, ErrExists},
 		"tenant again":   {func() (uint64, error) { return k.CreateTenant(0, "t") }, ErrExists},
 		"import":         {func() (uint64, error) { return k.Import(&Book{}) }, ErrExists},
@@ -296,20 +296,20 @@
 	whole := strings.Index(next, "[end]") + len("[end]")
 	to := &taker{s, bookPart}
 	for n := range next[:whole] {
-		if err := to.Take([]byte(next[:n])); err == nil || g.Book() != was {
+		if err := to.Apply([]byte(next[:n])); err == nil || g.Book() != was {
 			t.Fatalf("cut at byte %d it is taken: %q", n, next[max(0, n-20):n])
 		}
 	}
-	if err := to.Take([]byte(next)); err != nil || g.Book() == was {
+	if err := to.Apply([]byte(next)); err != nil || g.Book() == was {
 		t.Errorf("whole: %v", err)
 	}
-	if err := to.Take([]byte(good)); !errors.Is(err, errOlder) {
+	if err := to.Apply([]byte(good)); !errors.Is(err, errOlder) {
 		t.Errorf("an older one: %v", err)
 	}
-	if err := to.Take([]byte(strings.Replace(next, "acme-e", "acme-f", 2))); err == nil || !strings.Contains(err.Error(), "raise it") {
+	if err := to.Apply([]byte(strings.Replace(next, "acme-e", "acme-f", 2))); err == nil || !strings.Contains(err.Error(), "raise it") {
 		t.Errorf("another content of its version: %v", err)
 	}
-	if err := to.Take([]byte(strings.Replace(next, "12:00:00Z", "13:00:00Z", 1))); err != nil {
+	if err := to.Apply([]byte(strings.Replace(next, "12:00:00Z", "13:00:00Z", 1))); err != nil {
 		t.Errorf("confirmed anew: %v", err)
 	}
 }
@@ -320,14 +320,14 @@
 		_, g, s := opened(t, map[string]string{"book": good, "rights": "role all { allow any }"})
 		was := g.Book()
 		texts := map[int]string{bookPart: strings.Replace(strings.Replace(good, "version = 4", "version = 5", 1), `["all"]`, `["other"]`, 1), rightsPart: "role other { allow any read }"}
-		err := (&taker{s, first}).Take([]byte(texts[first]))
+		err := (&taker{s, first}).Apply([]byte(texts[first]))
 		if err == nil || g.Book() != was {
 			t.Fatalf("alone: %v", err)
 		}
 		if first == bookPart && !strings.Contains(err.Error(), `:9: caller[0].roles[0]: "other" is no role`) {
 			t.Error(err)
 		}
-		if err := (&taker{s, 1 - first}).Take([]byte(texts[1-first])); err != nil || g.Book() == was {
+		if err := (&taker{s, 1 - first}).Apply([]byte(texts[1-first])); err != nil || g.Book() == was {
 			t.Errorf("together: %v", err)
 		}
 	}
@@ -349,8 +349,8 @@
 		at := now
 		p := identity.Pepper{1}
 		g := identity.NewGate(identity.Options{Log: slog.New(slog.DiscardHandler), Pepper: &p, Now: func() float64 { return at }})
-		b, faults := caller.NewBook(caller.Contents{Version: 1, Issued: now, Policy: c.policy, Tenants: []caller.Tenant{{Name: "t"}},
-			Principals: []caller.Principal{{Name: "c", Tenant: "t"}}, Keys: []caller.Key{{ID: "s", Algorithm: caller.Secret, Caller: "c", Material: p.Hash("s", []byte("x")), Life: caller.Life{Active: 1}}}})
+		b, faults := caller.NewCredentialStore(caller.Contents{Version: 1, Issued: now, Policy: c.policy, Tenants: []caller.Tenant{{Name: "t"}},
+			Principals: []caller.Principal{{Name: "c", Tenant: "t"}}, Keys: []caller.Key{{ID: "s", Algorithm: caller.Secret, Caller: "c", Digest: p.Hash("s", []byte("x")), Lifecycle: caller.Lifecycle{Active: 1}}}})
 		if faults != nil {
 			t.Fatal(faults)
 		}
@@ -394,7 +394,7 @@
 	for i, err := range []error{
 		tool.Use(func(k *Keeper) error { _, err := k.CreateTenant(0, "t"); return err }),
 		tool.SetCaller("c", "t", []string{"all"}, []string{"i s"}, nil),
-		tool.CreateSecret("s", "c", caller.Life{Active: 1}),
+		tool.CreateSecret("s", "c", caller.Lifecycle{Active: 1}),
 		tool.ListKeys(), tool.ListCallers(), tool.ShowAudit(0),
 	} {
 		if err != nil {
@@ -417,7 +417,7 @@
 	}
 	standintest.Until(t, "revoked", func() bool {
 		k := g.Book().Key("s")
-		return k != nil && k.Life.At(nowMS()) == caller.Revoked
+		return k != nil && k.Lifecycle.StateAt(nowMS()) == caller.Revoked
 	})
 	if err := tool.Step("s", "active", time.Now()); !errors.Is(err, ErrLife) {
 		t.Error(err)
--- a/internal/keybook/source.go
+++ b/internal/keybook/source.go
@@ -99,9 +99,9 @@
 
 func nowMS() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-func (s *Source) file(part int, to watch.Taker) *watch.File {
-	limit := []int64{MaxFile, rights.MaxText, maxBundle}[part]
-	return watch.New(watch.Config{Path: s.paths[part], Limit: limit, SettleMS: watch.DefaultSettleMS}, nowMS, to)
+func (s *Source) file(part int, to watch.Consumer) *watch.File {
+	limit := []int64{MaxFile, rights.MaxTextBytes, maxBundle}[part]
+	return watch.New(watch.Config{Path: s.paths[part], MaxBytes: limit, SettleMS: watch.DefaultSettleMS}, nowMS, to)
 }
 
 // confirmEvery is how often the file is looked at for whether it can still be read: a book that says nothing of its age is as old
@@ -118,7 +118,7 @@
 		}
 		f := s.file(i, &taker{s, i})
 		s.mu.Lock()
-		f.InUse(s.inUse[i])
+		f.SetCurrent(s.inUse[i])
 		s.mu.Unlock()
 		wg.Go(func() { f.Run(ctx) })
 	}
@@ -149,7 +149,7 @@
 }
 
 // Take takes a content, with those of the other files that wait where they go together.
-func (t *taker) Take(text []byte) error {
+func (t *taker) Apply(text []byte) error {
 	s := t.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,7 +184,7 @@
 }
 
 // Trouble tells that notices fail.
-func (t *taker) Trouble(err error) {
+func (t *taker) NotificationsFailed(err error) {
 	t.s.log.Warn("callers: no notices, the file is only looked at four times a second", "file", t.s.paths[t.part], "why", err.Error())
 }
 
@@ -214,7 +214,7 @@
 		return err
 	}
 	c.Version = s.epoch + 1
-	book, faults := caller.NewBook(c)
+	book, faults := caller.NewCredentialStore(c)
 	if faults != nil {
 		return Faults(s.cfg.Book, next[bookPart], faults)
 	}
@@ -261,7 +261,7 @@
 		if err != nil {
 			return caller.Contents{}, err
 		}
-		c.Anchors = identity.Anchors(certs)
+		c.TrustAnchors = identity.Anchors(certs)
 	}
 	return c, nil
 }
--- a/internal/keybook/store.go
+++ b/internal/keybook/store.go
@@ -232,14 +232,14 @@
 
 // SetLife changes when a key goes from state to state. Its life may be planned anew, but it never goes back: what was revoked or
 // retired stays so, as the reason for it may be that somebody else has the key.
-func (k *Keeper) SetLife(expected uint64, id, what string, set func(l *caller.Life)) (uint64, error) {
+func (k *Keeper) SetLife(expected uint64, id, what string, set func(l *caller.Lifecycle)) (uint64, error) {
 	return k.commit(expected, func(s getter) (change, error) {
 		row, err := there[keyRow](s, keyPrefix, "key", id)
 		if err != nil {
 			return change{}, err
 		}
 		now := float64(k.now().UnixMicro()) / 1000
-		was := caller.Life{Active: ms(row.Active), Retiring: ms(row.Retiring), Retired: ms(row.Retired), Revoked: ms(row.Revoked)}
+		was := caller.Lifecycle{Active: ms(row.Active), Retiring: ms(row.Retiring), Retired: ms(row.Retired), Revoked: ms(row.Revoked)}
 		is := was
 		set(&is)
 		if err := goes(was, is, now); err != nil {
@@ -252,13 +252,13 @@
 }
 
 // goes says whether a life may become another at a time.
-func goes(was, is caller.Life, now float64) error {
+func goes(was, is caller.Lifecycle, now float64) error {
 	planned := is
-	if planned.Revoked = was.Revoked; was.At(now) == caller.Revoked && is != was || was.At(now) == caller.Retired && planned != was {
-		return fmt.Errorf("it is %s: %w", was.At(now), ErrLife)
+	if planned.Revoked = was.Revoked; was.StateAt(now) == caller.Revoked && is != was || was.StateAt(now) == caller.Retired && planned != was {
+		return fmt.Errorf("it is %s: %w", was.StateAt(now), ErrLife)
 	}
-	if is.At(now) < was.At(now) && was.At(now) > caller.Active {
-		return fmt.Errorf("it is %s already: %w", was.At(now), ErrLife)
+	if is.StateAt(now) < was.StateAt(now) && was.StateAt(now) > caller.Active {
+		return fmt.Errorf("it is %s already: %w", was.StateAt(now), ErrLife)
 	}
 	order := []float64{is.Active, is.Retiring, is.Retired}
 	last := 0.0
@@ -397,7 +397,7 @@
 			roles[r] = caller.Compile(nil)
 		}
 	}
-	_, faults := caller.NewBook(caller.Contents{Keys: b.Keys, Tenants: b.Tenants, Principals: b.Callers, Roles: roles})
+	_, faults := caller.NewCredentialStore(caller.Contents{Keys: b.Keys, Tenants: b.Tenants, Principals: b.Callers, Roles: roles})
 	if faults == nil {
 		return nil
 	}
--- a/internal/keybook/tool.go
+++ b/internal/keybook/tool.go
@@ -73,7 +73,7 @@
 }
 
 // CreateSecret makes a caller's secret, whose only copy is what is printed.
-func (t Tool) CreateSecret(id, of string, life caller.Life) error {
+func (t Tool) CreateSecret(id, of string, life caller.Lifecycle) error {
 	if t.Pepper == "" {
 		return errors.New("--pepper: needed for secrets")
 	}
@@ -82,7 +82,7 @@
 		return err
 	}
 	secret := identity.NewSecret()
-	key := caller.Key{ID: id, Algorithm: caller.Secret, Caller: of, Material: p.Hash(id, []byte(secret)), Life: life}
+	key := caller.Key{ID: id, Algorithm: caller.Secret, Caller: of, Digest: p.Hash(id, []byte(secret)), Lifecycle: life}
 	return t.Use(func(k *Keeper) error {
 		if err := t.add(k, key); err != nil {
 			return err
@@ -107,7 +107,7 @@
 }
 
 // ImportKeys adds the public keys of a JWKS, all or none.
-func (t Tool) ImportKeys(path, issuer string, life caller.Life) error {
+func (t Tool) ImportKeys(path, issuer string, life caller.Lifecycle) error {
 	text, err := readBounded(path, identity.MaxJWKS)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	for i := range keys {
-		keys[i].Life = life
+		keys[i].Lifecycle = life
 	}
 	return t.Use(func(k *Keeper) error { return t.add(k, keys...) })
 }
@@ -136,7 +136,7 @@
 func (t Tool) Step(id, state string, at time.Time) error {
 	when := float64(at.UnixMicro()) / 1000
 	return t.Use(func(k *Keeper) error {
-		_, err := k.SetLife(t.IfVersion, id, state, func(l *caller.Life) {
+		_, err := k.SetLife(t.IfVersion, id, state, func(l *caller.Lifecycle) {
 			switch state {
 			case "announced":
 				l.Active, l.Retiring, l.Retired = 0, 0, 0
@@ -156,7 +156,7 @@
 		return fmt.Errorf("--overlap: %v: 0 or more is right", overlap)
 	}
 	return t.Use(func(k *Keeper) error {
-		_, err := k.SetLife(t.IfVersion, id, "retire", func(l *caller.Life) {
+		_, err := k.SetLife(t.IfVersion, id, "retire", func(l *caller.Lifecycle) {
 			l.Retiring = float64(at.UnixMicro()) / 1000
 			l.Retired = float64(at.Add(overlap).UnixMicro()) / 1000
 		})
@@ -213,26 +213,26 @@
 				return struct {
 					keyRow
 					State string `json:"state"`
-				}{row.public(), b.Keys[i].Life.At(now).String()}
+				}{row.public(), b.Keys[i].Lifecycle.StateAt(now).String()}
 			})
 		}
 		w := tabwriter.NewWriter(t.Out, 0, 8, 2, ' ', 0)
 		fmt.Fprintf(w, "ID\tALGORITHM\tOF\tSTATE\tNEXT\n")
 		for i := range b.Keys {
 			x := &b.Keys[i]
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", x.ID, x.Algorithm, x.Issuer+x.Caller, x.Life.At(now), nextOf(x.Life, now))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", x.ID, x.Algorithm, x.Issuer+x.Caller, x.Lifecycle.StateAt(now), nextOf(x.Lifecycle, now))
 		}
 		return w.Flush()
 	})
 }
 
 // nextOf is when a life goes on, as text.
-func nextOf(l caller.Life, now float64) string {
-	next := l.Next(now)
+func nextOf(l caller.Lifecycle, now float64) string {
+	next := l.NextChange(now)
 	if math.IsInf(next, 1) {
 		return "-"
 	}
-	return l.At(next).String() + " at " + at(next).Format(time.RFC3339)
+	return l.StateAt(next).String() + " at " + at(next).Format(time.RFC3339)
 }
 
 // json writes rows as one array behind the book's version.
--- a/internal/load/dialect.go
+++ b/internal/load/dialect.go
@@ -189,7 +189,7 @@
 		return 0
 	}
 	var name [16]byte
-	return r.of[slots.Of(keyName(name[:0], key))]
+	return r.of[slots.ForKey(keyName(name[:0], key))]
 }
 
 // routeOf asks a cluster for its slots.
--- a/internal/member/discovery_test.go
+++ b/internal/member/discovery_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// scripted is a discovery that answers calls by a script and tells each call's query. Once the script is over it is silent.
-func scripted(t *testing.T, script ...string) (addr string, calls chan string) {
+// startScriptedDiscovery is a discovery that answers calls by a script and tells each call's query. Once the script is over it is silent.
+func startScriptedDiscovery(t *testing.T, script ...string) (addr string, calls chan string) {
 	calls = make(chan string, len(script)+1)
 	next := make(chan string, len(script))
 	for _, s := range script {
@@ -31,13 +31,13 @@
 	return srv.Listener.Addr().String(), calls
 }
 
-// following runs a discovery that asks again whenever it has failed, until the test ends.
-func following(t *testing.T, addr string, onAsk bool, known int64) {
+// runDiscovery runs a discovery that asks again whenever it has failed, until the test ends.
+func runDiscovery(t *testing.T, addr string, onAsk bool, known int64) {
 	ctx, stop := context.WithCancel(t.Context())
 	var d *Discovery
-	d = NewDiscovery(addr, onAsk, known, func(List) {}, func() { d.Watch() })
+	d = NewDiscovery(addr, onAsk, known, func(List) {}, func() { d.RequestWatch() })
 	ended := make(chan struct{})
-	d.Watch()
+	d.RequestWatch()
 	go func() { defer close(ended); d.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended })
 }
@@ -63,8 +63,8 @@
 		"an answer that is no list is": {true, 4, []string{"{"}, []string{"after=4&wait_ms=10000", "after=4&wait_ms=10000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, calls := scripted(t, c.said...)
-			following(t, addr, c.onAsk, c.known)
+			addr, calls := startScriptedDiscovery(t, c.said...)
+			runDiscovery(t, addr, c.onAsk, c.known)
 			for i, want := range c.want {
 				if got := <-calls; got != want {
 					t.Errorf("call %d asks %q, want %q", i, got, want)
