--- a/decide/api.go
+++ b/decide/api.go
@@ -72,8 +72,8 @@
 
 	Cold     float64 // ms after its start by which a server is warm
 	ColdFrom float64 // share of its capacity that a server starts with at least, above 0 and up to 1
-	FallMult float64 // a cold server that is sent more than this multiple of its capacity
-	FallFor  float64 // for this many ms fails
+	FallMult float64 // multiple of its capacity beyond which a cold server is overloaded
+	FallFor  float64 // ms of such an overload after which a cold server fails
 }
 
 // State is the state of a server on the list.
@@ -132,7 +132,7 @@
 	Retry  bool     // the client tries again after a refusal or failure
 	Write  bool     // changes the value of the key
 	Owners []uint32 // servers that may serve it, its key's home first; nil = any
-	Stores bool     // internal: stores what a fetch of its key returned, arrives before its Outcome
+	Stores bool     // not a client's: stores what a fetch returned, before that one's Outcome
 
 	Standing QuotaStatus // against its tenant's limits
 	Again    float64     // ms after which its quota status would be better; 0 = unknown
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -21,7 +21,7 @@
 	targetUtilisation    = 0.9   // utilisation to which the rates are scaled for solving, as in the paper
 	maxChannels          = 256   // channels of a modelled server: the cost of a delay grows with them
 	defaultChannelsTime  = 4000  // capacity times mean latency in ms, if capacity is unknown: four channels
-	minTrafficShare      = 0.5   // least estimate of the own traffic, whatever reports say, in equal shares
+	minTrafficShare      = 0.5   // least share of an equal part taken as own traffic, whatever reports say
 	housekeepInterval    = 100   // ms between two rounds of housekeeping
 	solveInterval        = 1000  // ms between two regular solves
 	minSolveInterval     = 250   // ms between two solves when one is requested: list updates come in bursts
@@ -107,7 +107,7 @@
 	minSlowAimShare           = 0.5  // share of the aim beyond which a fetch is too late: a lookup came first
 	maxSlowAimShare           = 0.8  // share of the aim that counts as a queue whatever the floor
 	minFetchLatency           = 100  // ms, least fetch latency assumed for pacing if the limit is below one
-	coldBudgetShare           = 0.4  // share of a cold server's overload point that is used: hints are rough
+	coldBudgetShare           = 0.4  // used share of a cold server's overload point: hints, reports are rough
 	coldPhaseFactor           = 1.5  // multiple of the cold phase, as the notice of a start may be late
 	coldBurstDivisor          = 6    // divisor of Config.FallFor: a burst may fill a sixth of that window
 	leastReportFactor         = 1.6  // multiple of recent least reports that bounds a cold server's capacity
@@ -120,9 +120,9 @@
 	noShareFactor             = 2    // times Routers: divisor of warm servers for a router without a share
 	idleBudgetWindow          = 250  // ms of unused capacity that is saved for requests under the threshold
 	minIdleBudget             = 2    // requests, lower bound of the size of the idle budget
-	idleReserveShare          = 0.5  // share of the idle budget that the highest worth does not need to find
-	maxRetryAfter             = 5e3  // ms, upper bound of the time after which a refused client shall retry
-	noteAbsent                = 4    // Outcome.Note: the origin has no value for the key
+	idleReserveShare          = 0.5  // share of the idle budget that may be missing for the highest worth
+	maxRetryAfter             = 5e3  // ms, upper bound of the wait that a refused client is told
+	noteAbsent                = 4    // Outcome.CacheResult: the origin has no value for the key
 	absentMemory              = 1000 // ms in which readers of an absent key don't wait for another's fetch
 )
 
@@ -327,9 +327,10 @@
 	}
 }
 
-// splitFlow assigns a flow to its first server and adds further servers, in ascending FDL, while the
-// waiting falls. Shares are solved at scaled rates, but at the actual rates a further copy has to reduce
-// the waiting by more than the latency of a fetch for each request.
+// splitFlow assigns a flow to its first server and adds further servers while the waiting falls, in
+// ascending FDL (the derivative of the number of waiting requests by the load). Shares are solved at scaled
+// rates, but at the actual rates a further copy has to reduce the waiting by more than the latency of a
+// fetch for each request.
 func (b *Balancer) splitFlow(k *keyTraffic, v []*server, total float64) {
 	c2 := b.latencies.momentRatio()
 	fdl := func(s *server) float64 {
@@ -439,7 +440,7 @@
 	if r.Owners != nil { // a redirect may name other servers than the key's
 		list = append(list, b.listedServers(r.Owners)...)
 	}
-	for pass := 0; pass < 2 && fallback == nil; pass++ {
+	for pass := 0; pass < 2 && fallback == nil; pass++ { // the second one includes ejected servers
 		for _, s := range list {
 			if s == nil || !r.canUse(s) || s != r.missedOn && r.triedOn(s) || !b.mayAttempt(r, s) ||
 				!b.usable(s, r) &&
@@ -925,7 +926,8 @@
 		// Each call drops the budget saved beyond the size for its rank: a lower rank needs a time without
 		// higher ones.
 		window, minSize, reserve = warmBurstWindow, 2-rank, warmReserveShare*(1-rank)
-		s.sendBudget.value = max(-1000*fillRate, s.sendBudget.value) // old debt counts for one second at most
+		// Debt from sends before there were shares is limited to what the share allows in a second.
+		s.sendBudget.value = max(-1000*fillRate, s.sendBudget.value)
 	}
 	size := max(minSize, fillRate*window)
 	s.sendBudget.value = min(size, s.sendBudget.value+fillRate*(b.now-s.sendBudget.updated))
@@ -965,9 +967,9 @@
 	return !admitted
 }
 
-// retryAfter returns the ms after which a shed request shall be retried: the time at which the rotating
-// hash admits it. If that is far off, it is a random time of some seconds, as the threshold may be lifted
-// by then.
+// retryAfter returns the ms after which the client of a shed request is told to retry: the time at which
+// the rotating hash admits it. If that is far off, it is a random time of some seconds, as the threshold may
+// be lifted by then.
 func (b *Balancer) retryAfter(r *request) float64 {
 	limit := maxRetryAfter
 	if b.cfg.MaxAfter > 0 {
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -77,7 +77,7 @@
 	UsualFailures float64                `json:"usual"`    // share of failures at the median server
 	LostShare     float64                `json:"lost"`     // share of overtaken attempts lost, 0 to 1
 	ConnKeep      float64                `json:"keep"`     // ms that idle connections are kept
-	FetchLimit    float64                `json:"fetches"`  // fetches in flight, per process
+	FetchLimit    float64                `json:"fetches"`  // fetches in flight, of one process if two run
 	FleetLatency  MovingAverage          `json:"jam"`      // ms per unit of work
 	FetchLatency  MovingAverage          `json:"fetch"`    // ms
 }
--- a/decide/state.go
+++ b/decide/state.go
@@ -16,7 +16,7 @@
 // Balancer makes the decisions of one router. It is not safe for concurrent use.
 type Balancer struct {
 	cfg            Config
-	tier           Tier               // known about the routers that share the servers
+	tier           Tier               // what is known of the routers that share the servers
 	tierKnown      bool               // routers announce themselves to each other
 	admission      AdmissionThreshold // admission threshold of the tier,
 	admissionAt    float64            // and when it was received, ms
@@ -337,8 +337,9 @@
 	return x ^ x>>31
 }
 
-// updateMedians recomputes the median capacity per unit of size, and returns the mean rate of the servers
-// that reported one, 0 if none did. Where a size is missing all servers count alike.
+// updateMedians recomputes the median capacities per unit of size and whether all sizes are known, and
+// returns the mean rate of the servers that reported one, 0 if none did. Where a size is missing all servers
+// count alike.
 func (b *Balancer) updateMedians() (mean float64) {
 	b.medianCapacity, b.medianFloor, b.sizesKnown = 0, 0, !slices.ContainsFunc(b.serverList,
 		func(s *server) bool { return !validFigure(s.Size) || s.Size == 0 })
--- a/decide/tier.go
+++ b/decide/tier.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// Tier describes the routers that share the servers' common capacity, as far as they coordinate.
+// Tier describes the routers that share the servers' common capacity, as far as they coordinate. Like the
+// server list, it is set from outside.
 type Tier struct {
 	Routers     int     // number of routers, this one included
 	Shares      float64 // this router has one of Shares equal shares of cold servers' budgets and of fetches
@@ -41,7 +42,8 @@
 	b.applyShares()
 }
 
-// applyShares recomputes this process's share and scales the fetch limit and the budgets to it.
+// applyShares recomputes this process's share and scales the fetch limit to it. The budgets are
+// scaled down only.
 func (b *Balancer) applyShares() {
 	if b.now > b.tier.Until {
 		b.tier.Shares, b.tier.Until = b.tier.SharesAfter, math.Inf(1)
