--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -260,8 +260,8 @@
 	}
 }
 
-// The retries of all routers of a fleet are at most a tenth of the first attempts, about that in any two
-// seconds too, however many attempts fail and however few requests each router has.
+// The retries of all routers of a fleet are at most a tenth of the first attempts, and about as few in any
+// two seconds, however many attempts fail and however few requests each router has.
 func TestRetriesOfAFleet(t *testing.T) {
 	for _, routers := range []int{6, 24} {
 		cfg := testConfig()
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -478,8 +478,8 @@
 	}
 }
 
-// A light request spends as much fixed time as a heavy one. Dividing that by its small work made small
-// servers seem to take 700 ms per unit of work.
+// Guards against overestimating the latency for a unit of work: a light request spends as much fixed time as
+// a heavy one, and that time over its small work made small servers seem to take 700 ms.
 func TestLatencyCountsForItsWork(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(1))
 	for i := range uint32(400) {
@@ -523,8 +523,9 @@
 	}
 }
 
-// A router of hundreds sees a key that is hot for the fleet once in eight seconds. Judged by its own rate,
-// all requests of the key would fit on one other server, and hundreds of routers moved them there together.
+// Guards against judging a hot key by a router's own rate. One router of hundreds sees such a key once in
+// eight seconds: at that rate all its requests would fit on one other server, and hundreds of routers moved
+// them there together.
 func TestKeyHotForTheFleetIsSplitAtTheFleetsRate(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers = 300
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -319,7 +319,8 @@
 
 // ---- Origin ----
 
-// Fetches that were sent too late timed out, and the fetch limit fell although the origin answered quickly.
+// Guards against a fetch limit that falls although the origin answers quickly: a fetch that is sent too late
+// times out, which is no sign of a slow origin.
 func TestLateFetchIsNoSignOfASlowOrigin(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -346,8 +347,8 @@
 	}
 }
 
-// In a lasting overload the latency floor rose to the latency of the overload, and writes were answered 100
-// ms late all day.
+// Guards against a latency floor that rises, in a lasting overload, to the latency of the overload: no fetch
+// counted as slow any more, and writes were answered 100 ms late all day.
 func TestRisenFloorDoesNotExcuseUselessFetches(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(2))
 	was := b.fetchLimit
@@ -380,8 +381,8 @@
 	}
 }
 
-// When fetches by servers failed, each request was retried elsewhere and fetched again, and the origin
-// stayed overloaded.
+// Guards against an overload of the origin that lasts because each request whose fetch failed is retried at
+// another server, which fetches again.
 func TestFailedFetchIsBlamedOnTheOrigin(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	for i := range uint32(40) { // 300 ms apart; the limit falls below one, and fetches are paced
@@ -414,8 +415,8 @@
 	}
 }
 
-// Keys whose fetches failed still counted as stored, so requests for them bypassed the fetch limit: a
-// stopped origin got 88 fetches a second.
+// Guards against counting a key as stored after its fetch failed: requests for such keys bypassed the fetch
+// limit, and a stopped origin got 88 fetches a second.
 func TestKeyWhoseFetchFailedCountsAsAFetch(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
@@ -429,8 +430,8 @@
 	}
 }
 
-// An overload raised the latency floor of servers that were idle afterwards. Requests were refused because
-// of the floor, so no request could correct it.
+// Guards against a latency floor that stays high after an overload: if requests for servers that are idle by
+// then are refused because of the floor, no answer can correct it.
 func TestLatencyFloorDecays(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	for _, s := range b.serverList {
@@ -444,8 +445,8 @@
 	}
 }
 
-// Without a report every expected wait was zero, and the first second overloaded all servers for half a
-// minute.
+// Guards against an expected wait of zero at servers that have not reported yet: the first second overloaded
+// all servers for half a minute.
 func TestUnreportedServersAreNotFlooded(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -461,8 +462,8 @@
 
 // ---- List ----
 
-// Requests that waited for fetches timed out, healthy servers were ejected for that, and their keys became
-// misses.
+// Guards against ejecting healthy servers, whose keys become misses elsewhere, because requests that wait
+// there for fetches time out.
 func TestTimeOutAtAnAnsweringServerIsNoFailure(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.serverList[0]
@@ -481,8 +482,8 @@
 	}
 }
 
-// Where servers fetch by themselves, the latency floor included a fetch, and requests for idle servers were
-// refused.
+// Guards against counting a fetch as a server's latency, where servers fetch by themselves: the floor
+// included it, and requests for idle servers were refused.
 func TestWaitForAFetchIsNotTheServersLatency(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
@@ -563,8 +564,8 @@
 	}
 }
 
-// With a bound on the age of reports, each router of a large fleet sent several probes for each of its
-// requests.
+// Guards against several probes for each request: a bound on the age of reports caused them in a large
+// fleet.
 func TestProbesAreBoundedByRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.ByProbe, cfg.Probes, cfg.Routers = true, true, 600
@@ -590,9 +591,9 @@
 	}
 }
 
-// While the origin was quick, the fetch limit rose to several times the fetches in flight. In an overload
-// of the origin, cuts of a fifth then left a queue there for seconds, and half of all fetches came too
-// late.
+// Guards against a fetch limit far above the fetches in flight, to which it rises while the origin is quick.
+// When the origin was overloaded, cuts of a fifth left a queue there for seconds, and half of all fetches
+// came too late.
 func TestBoundOnFetchesFallsBelowThoseThatQueue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -613,8 +614,8 @@
 	}
 }
 
-// A lower bound of one fetch in flight at each of hundreds of routers, at the start or after cuts,
-// overloaded the origin.
+// Guards against overloading the origin by one fetch in flight at each of hundreds of routers, at the start
+// or as the lower bound after cuts.
 func TestFetchLimitsOfManyRoutersAddUpToAFew(t *testing.T) {
 	for _, routers := range []int{4, 300} {
 		cfg := testConfig()
@@ -646,8 +647,8 @@
 	}
 }
 
-// Idle connections of hundreds of routers filled the servers' connection tables, and other attempts failed
-// to connect.
+// Guards against idle connections of hundreds of routers that fill the servers' connection tables, so that
+// other attempts fail to connect.
 func TestConnectErrorsShortenTheTimeThatConnectionsAreKept(t *testing.T) {
 	cfg := testConfig()
 	cfg.ConnIdle = 60000
@@ -682,8 +683,9 @@
 	}
 }
 
-// A router that uses each of many servers once in ten seconds saw no queue anywhere while the whole fleet
-// was overloaded, and shed nothing. One that uses each server often relies on that server's own latency.
+// Guards against a router that sheds nothing while the whole fleet is overloaded: if it uses each of many
+// servers once in ten seconds, it sees no queue at any of them. A router that uses each server often relies
+// on that server's own latency.
 func TestSeldomUsedServersAreAssumedAsLoadedAsTheFleet(t *testing.T) {
 	wait := func(perSecond int) float64 {
 		b, h := start(t, testConfig(), fleet(40))
@@ -709,8 +711,8 @@
 	}
 }
 
-// A few requests over a router's share of a quota are chance if the router sees little traffic. Counting
-// them as over the quota shed whole tenants in turn.
+// Guards against shedding whole tenants in turn. If a router sees little traffic, a few requests over its
+// share of a quota are chance and must not count as over the quota.
 func TestChanceDoesNotPutATenantOverItsQuota(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers, cfg.OverWorth = 100, 0.05
@@ -733,8 +735,8 @@
 	}
 }
 
-// An overloaded server that still answered a few requests in time looked idle by these, and got all others
-// too.
+// Guards against taking an overloaded server for idle because it still answers a few requests in time: it
+// got all others too.
 func TestTimeOutsRaiseTheWaitOfAServer(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
@@ -758,8 +760,8 @@
 	}
 }
 
-// Only answers and refusals counted, so with nine in ten attempts timing out the router learned nothing
-// about the fleet and sent everything to servers that no longer answered.
+// Guards against ignoring time-outs in the fleet's latency: when only answers and refusals counted and nine
+// in ten attempts timed out, the router sent everything to servers that no longer answered.
 func TestTimeOutsOfTheFleetShedWhereServersAreSeldomAsked(t *testing.T) {
 	cfg := testConfig()
 	cfg.Aside, cfg.OriginKind = true, "origin"
@@ -782,7 +784,7 @@
 	}
 }
 
-// A collapse was detected only by its time-outs, over a second late, when the servers were already
+// Guards against detecting a collapse only by its time-outs, over a second late, when the servers are already
 // overloaded.
 func TestStallsSignalOverloadBeforeTimeOuts(t *testing.T) {
 	cfg := testConfig()
@@ -802,8 +804,8 @@
 	}
 }
 
-// With all servers refusing and ejected, a busy router tried them as a last resort for each request, and
-// each of them refused.
+// Guards against a busy router that, with all servers refusing and ejected, tries them as a last resort for
+// each request, although each of them refuses.
 func TestLastResortIsAssumedAsLoadedAsTheFleet(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.serverList[0]
@@ -955,9 +957,9 @@
 	}
 }
 
-// A light request takes nearly as long as any other. If it is a server's first request, its latency for a
-// unit of work made the server look twenty times as slow as it is, and it was hardly used for half a
-// minute.
+// Guards against judging a server by a light first request, which takes nearly as long as any other: its
+// latency for a unit of work made the server look twenty times as slow as it is, and the server was hardly
+// used for half a minute.
 func TestFirstLatencyCountsForItsWork(t *testing.T) {
 	cfg := testConfig()
 	b, h := start(t, cfg, fleet(6))
@@ -983,8 +985,9 @@
 	}
 }
 
-// A part of the latency doesn't depend on a request's work. Light requests were given up after a few
-// milliseconds, and a pause of a server with four of them in flight looked like its death.
+// Guards against a patience in proportion to the work, although a part of the latency doesn't depend on it:
+// light requests were given up after a few milliseconds, and a pause of a server with four of them in flight
+// looked like its death.
 func TestLightRequestsGetThePatienceOfHalfAUnit(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	patience := func(id uint32, hint float64) float64 {
