--- a/decide/api.go
+++ b/decide/api.go
@@ -132,7 +132,7 @@
 	Retry  bool     // the client tries again after a refusal or failure
 	Write  bool     // changes the value of the key
 	Owners []uint32 // servers that may serve it, its key's home first; nil = any
-	Stores bool     // not a client's: stores what a fetch returned, before that one's Outcome
+	Stores bool     // not a client's: stores what a fetch returned, before the fetch's Outcome
 
 	Standing QuotaStatus // against its tenant's limits
 	Again    float64     // ms after which its quota status would be better; 0 = unknown
@@ -143,15 +143,15 @@
 
 // The ways an attempt can end.
 const (
-	OK Status = iota
-	Failed
-	QueueFull
+	OK        Status = iota
+	Failed           // the server answered with a failure
+	QueueFull        // the server refused it without running it
 	TimedOut
-	ConnectError
-	Reset
-	Canceled
-	Ignored
-	Miss
+	ConnectError  // no usable connection: it was not sent
+	Reset         // the connection ended before the answer
+	Canceled      // by the router
+	Ignored       // it did not run, which says nothing about the server
+	Miss          // the server does not have the key
 	InvalidAnswer // the attempt ran and the server works, but its answer can't be used
 )
 
@@ -188,12 +188,14 @@
 type Host interface {
 	// Send starts an attempt; the timeout is in ms, 0 = until the client gives up.
 	Send(id, server uint32, timeout float64)
+	// Cancel aborts an attempt.
 	Cancel(id uint32, attempt int)
 	// Refuse gives a final answer that makes a retry harmless; the client may wait so many ms first, 0 =
 	// unknown.
 	Refuse(id uint32, wait float64)
 	// Fail gives a final answer that does not say whether the request ran.
 	Fail(id uint32)
+	// Probe asks a server for its load; Balancer.ProbeResult takes the answer.
 	Probe(server uint32)
 	// Close closes the idle connections to a server.
 	Close(server uint32)
@@ -203,6 +205,7 @@
 	WatchList()
 	// Broadcast sends at most 256 bytes to every peer.
 	Broadcast(data []byte)
+	// Log records a message.
 	Log(text string)
 }
 
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -21,7 +21,7 @@
 	targetUtilisation    = 0.9   // utilisation to which the rates are scaled for solving, as in the paper
 	maxChannels          = 256   // channels of a modelled server: the cost of a delay grows with them
 	defaultChannelsTime  = 4000  // capacity times mean latency in ms, if capacity is unknown: four channels
-	minTrafficShare      = 0.5   // least share of an equal part taken as own traffic, whatever reports say
+	minTrafficShare      = 0.5   // least own traffic, as a part of an equal share, whatever reports say
 	housekeepInterval    = 100   // ms between two rounds of housekeeping
 	solveInterval        = 1000  // ms between two regular solves
 	minSolveInterval     = 250   // ms between two solves when one is requested: list updates come in bursts
@@ -107,7 +107,7 @@
 	minSlowAimShare           = 0.5  // share of the aim beyond which a fetch is too late: a lookup came first
 	maxSlowAimShare           = 0.8  // share of the aim that counts as a queue whatever the floor
 	minFetchLatency           = 100  // ms, least fetch latency assumed for pacing if the limit is below one
-	coldBudgetShare           = 0.4  // used share of a cold server's overload point: hints, reports are rough
+	coldBudgetShare           = 0.4  // share used of a cold server's overload: hints and reports are rough
 	coldPhaseFactor           = 1.5  // multiple of the cold phase, as the notice of a start may be late
 	coldBurstDivisor          = 6    // divisor of Config.FallFor: a burst may fill a sixth of that window
 	leastReportFactor         = 1.6  // multiple of recent least reports that bounds a cold server's capacity
