--- a/internal/engine/checks.go
+++ b/internal/engine/checks.go
@@ -36,9 +36,9 @@
 	timeLimitSlack = 50
 )
 
-// Begin implements AttemptHandler. Every attempt passes here on the goroutine that opened its connection, at
-// the last moment when its bytes can still be changed. It relies on nothing that was computed when the
-// attempt was decided.
+// Begin implements AttemptHandler. Every attempt passes here at the last moment when its bytes can still be
+// changed, on the goroutine that writes them: the engine's if an idle connection is used, else the one that
+// opened the connection. It relies on nothing that was computed when the attempt was decided.
 func (a *attempt) Begin() (Try, bool) {
 	now := a.engine.now()
 	if !a.mayBegin(now) {
@@ -76,7 +76,7 @@
 		g.CountCheck(guard.Abandoned)
 		if r.client.Closed() {
 			g.CountPrevented(guard.Abandoned, r.ID, "the client has disconnected")
-			// Its reader may not check for a while.
+			// The reader of the client's connection may notice the disconnection much later.
 			a.engine.events.postUnbounded(func() { a.engine.abandonRequest(r) })
 			return false
 		}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -226,7 +226,7 @@
 // SetProcesses sets the number of processes of this router that serve at the same time.
 func (e *Engine) SetProcesses(processes int) { e.balancer.SetProcesses(e.now(), processes) }
 
-// SetTier passes on what is known about the routers that share the common capacity, see decide.SetTier. until is
+// SetTier passes on what is known about the routers that share the common capacity, see decide.Tier. until is
 // a wall clock time; zero means no end.
 func (e *Engine) SetTier(routers int, shares float64, until time.Time, then float64) error {
 	t := decide.Tier{Routers: routers, Shares: shares, Until: math.Inf(1), SharesAfter: then}
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -117,12 +117,12 @@
 	e.startTimer(t, after)
 }
 
-// Watch asks discovery to report changes from now on.
+// WatchList asks discovery to report changes from now on.
 func (e host) WatchList() {
 	e.watchList()
 }
 
-// Tell sends nothing, as the Balancer has nothing to announce to other routers.
+// Broadcast sends nothing, as the Balancer has nothing to announce to other routers.
 func (e host) Broadcast([]byte) {}
 
 // Log writes a log line of the Balancer.
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -28,8 +28,8 @@
 			e.dropServer(listing.ID)
 			e.targets[listing.ID] = &server{Endpoint: e.backend.Endpoint(listing), addr: listing.Addr, started: listing.Started}
 			e.serversByAddr[listing.Addr] = append(e.serversByAddr[listing.Addr], listing.ID)
-		// Connections to the earlier process are dead, possibly without a FIN or RST.
 		case t.started != listing.Started:
+			// Connections to the earlier process are dead, possibly without a FIN or RST.
 			t.started = listing.Started
 			t.CloseIdle()
 		}
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -166,8 +166,8 @@
 type TenantLimiter interface {
 	// Arrived is called for each accepted client request with the time in ms and this router's share of all
 	// traffic. It returns the standing of the request and the ms after which a retry would have a better
-	// standing, 0 = unknown. A request that is decide.QuotaDenied is not counted, and Finished is not called for
-	// it.
+	// standing, 0 = unknown. A request that is decide.QuotaDenied is not counted, and Finished is not called
+	// for it.
 	Arrived(now, share float64, q *Request) (standing decide.QuotaStatus, retryAfter float64)
 	Finished(now float64, q *Request) // called when q has its final answer
 	// FetchStarted is called for each attempt at the origin that a counted request causes.
