--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -77,8 +77,8 @@
 const (
 	// Two heads of 16 KiB and two values, with room for chunk headers and 1xx responses.
 	maxAnswerBytes = 160 << 10
-	// answerTimeout is the time for the rest of an answer once its first byte is there. Aims are longer, so
-	// that a read is retried in time.
+	// answerTimeout is the time for the rest of an answer once its first byte is there. The aims of classes
+	// (decide.Class.Aim) are longer, so that a read is retried in time.
 	answerTimeout = 250 * time.Millisecond
 )
 
@@ -196,7 +196,8 @@
 // connReusable reports whether the connection is unaffected.
 func (r startResult) connReusable() bool { return r == canceled || r == unsupported }
 
-// start starts a task on a connection that was taken from the pool, without waiting for the socket.
+// start starts a task on a connection that was taken from the pool or has just been opened, without waiting
+// for the socket.
 func (c *conn) start(work task) startResult {
 	work.canceler.OnCancel(c.abort) // first, as the answer may be read before start returns
 	got := c.beginTask(work)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -260,7 +260,8 @@
 
 // maxPerTarget returns how many connections one server may have: three quarters of the limit if there are
 // other servers, as one that hangs would otherwise take all sockets. Even at the lowest limit on descriptors,
-// that leaves the origin more connections than the 64 fetches that the module allows. The caller holds mu.
+// that leaves the origin more connections than the 64 fetches in flight that package decide allows at most.
+// The caller holds mu.
 func (pool *Pool) maxPerTarget() int {
 	if len(pool.targets) < 2 {
 		return pool.limit
--- a/internal/backend/resp/cluster.go
+++ b/internal/backend/resp/cluster.go
@@ -34,7 +34,7 @@
 	mapInterval        = time.Second            // between full maps while the epoch stays the same
 	minRefreshDelay    = 25 * time.Millisecond  // least delay of a requested refresh
 	mapTimeout         = 500 * time.Millisecond
-	refreshDelayFactor = 10 // delay of a requested refresh / duration of the last: a large map takes ms
+	refreshDelayFactor = 10 // delay of a requested refresh / duration of the last: a large map costs ms
 	// maxNodes limits the number of servers of a cluster; maps and redirections can't add more.
 	maxNodes = 1000
 )
@@ -56,7 +56,7 @@
 	lastError       string // text of the last logged error; "" = none since a map was accepted
 }
 
-// slotOwners holds the owners of a slot as server ids of the module. It is immutable.
+// slotOwners holds the owners of a slot as the server ids used by package decide. It is immutable.
 type slotOwners struct {
 	write []uint32
 	read  []uint32
@@ -100,7 +100,7 @@
 	}
 }
 
-// serverID returns the module's id of the server at an address.
+// serverID returns the id that package decide uses for the server at an address.
 func serverID(addr string) uint32 { return member.ServerID(addr) }
 
 // HandleMoved implements Topology.
@@ -126,9 +126,9 @@
 	return []uint32{serverID(addr)}, true
 }
 
-// ensureListed adds the server at an address to the list if necessary, so that the module can send there. The
-// updated list is published before the outcome of the attempt that needs the server. It reports false for an
-// invalid address, or if the list is full. The caller holds mu.
+// ensureListed adds the server at an address to the list if necessary, so that the Balancer can send there.
+// The updated list is published before the outcome of the attempt that needs the server. It reports false for
+// an invalid address, or if the list is full. The caller holds mu.
 func (c *Cluster) ensureListed(addr string) bool {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return false
@@ -347,8 +347,8 @@
 	return r, nil
 }
 
-// applyMap replaces the current map. Servers that it adds count as started now, since maps contain no start
-// time; those of the first map have start time 0.
+// applyMap replaces the current map. Servers that it adds count as started now, or when a redirection first
+// named them, since maps contain no start time; those of the first map have start time 0 (long ago).
 func (c *Cluster) applyMap(m slots.Map) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/resp/protocol.go
+++ b/internal/backend/resp/protocol.go
@@ -1,6 +1,6 @@
 // Package resp implements the RESP client for the servers of a cluster. It sends one command at a time on a
 // connection and maps the reply to the outcome of the attempt, including whether the command has run. It
-// never follows redirections: a redirection is an outcome, and the module decides on the next attempt.
+// never follows redirections: a redirection is an outcome, and package decide chooses the next attempt.
 package resp
 
 import (
@@ -91,7 +91,7 @@
 	}
 }
 
-// Open returns the commands that start a connection: authentication, and READONLY if replicas may serve
+// Preamble returns the commands that start a connection: authentication, and READONLY if replicas may serve
 // reads.
 func (p Protocol) Preamble() (b []byte) {
 	if p.Password != "" {
@@ -107,8 +107,8 @@
 	return b
 }
 
-// Opened reads the replies to the commands of Open. It ignores error replies, because the command that
-// follows then fails as well.
+// ReadPreambleReply reads the replies to the commands of Preamble. It ignores error replies, because the
+// command that follows then fails as well.
 func (p Protocol) ReadPreambleReply(in *bufio.Reader) error {
 	n := 0
 	if p.Password != "" {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// Answer reads the reply to a command and maps it to the outcome of the attempt. An error means that the
+// ReadAnswer reads the reply to a command and maps it to the outcome of the attempt. An error means that the
 // connection can't be used any more.
 func (p Protocol) ReadAnswer(in *bufio.Reader, addr string, q *engine.Request, try engine.Try) (engine.Reply, bool, error) {
 	r := resp.NewReader(in)
@@ -158,11 +158,11 @@
 // Probe returns "", since RESP has no load report.
 func (Protocol) Probe(string) string { return "" }
 
-// Load is never called, since Probe returns "".
+// ReadLoad is never called, since Probe returns "".
 func (Protocol) ReadLoad(*bufio.Reader) (decide.Load, error) { return decide.NoLoad, nil }
 
-// Rest returns 0: a server sends one reply per command, and an extra one is detected as input on an idle
-// connection.
+// ReuseDelay returns 0: a server sends one reply per command, and an extra one is detected as input on an
+// idle connection.
 func (Protocol) ReuseDelay() time.Duration { return 0 }
 
 // errorOutcome is the meaning of an error reply.
--- a/internal/backend/resp/resp_test.go
+++ b/internal/backend/resp/resp_test.go
@@ -196,7 +196,7 @@
 		{"+OK", decide.OK, "", 0, false}, {":7", decide.OK, "", 0, false}, {"$-1", decide.OK, "", 0, false},
 		{"-ERR no such thing", decide.OK, "", 0, false}, {"-WRONGTYPE x", decide.OK, "", 0, false}, {"!5\r\nERR x", decide.OK, "", 0, false},
 		{"-MOVED 7 10.0.0.2:7000", decide.Ignored, "moved 7 10.0.0.2:7000", 1, false},
-		{"-MOVED 7 :7001", decide.Ignored, "moved 7 10.0.0.1:7001", 1, false}, // omitted host
+		{"-MOVED 7 :7001", decide.Ignored, "moved 7 10.0.0.1:7001", 1, false}, // omitted host: the server's
 		{"-MOVED 7 10.0.0.1:7000", decide.Ignored, "doubt", 0, false},         // to itself
 		{"-MOVED x 10.0.0.2:7000", decide.Ignored, "doubt", 0, false}, {"-MOVED", decide.Ignored, "doubt", 0, false}, {"-MOVED 7", decide.Ignored, "doubt", 0, false},
 		{"-ASK 7 10.0.0.2:7000", decide.Ignored, "asked 10.0.0.2:7000", 2, true}, {"-ASK 7 10.0.0.1:7000", decide.Ignored, "doubt", 0, false},
@@ -238,8 +238,8 @@
 	}
 }
 
-// ASKING precedes the command in the same write. The replies to ASKING and to the commands of Open are
-// skipped, and so are push messages.
+// ASKING precedes the command in the same write. The replies to ASKING and to the commands of Preamble
+// are skipped, and so are push messages.
 func TestCommandPreamble(t *testing.T) {
 	p := Protocol{Cluster: &fakeTopology{}, User: "u", Password: "p", Replicas: true}
 	r := &engine.Request{Args: [][]byte{[]byte("GET"), []byte("k")}}
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -20,8 +20,8 @@
 // chunkBuffers recycles the buffers of streamed values.
 var chunkBuffers = sync.Pool{New: func() any { b := make([]byte, chunkBytes); return &b }}
 
-// streamedValue is an unread value on a connection. It implements engine.Streamed. The goroutine that reads
-// from the connection waits until done is closed.
+// streamedValue is an unread value on a connection. It implements engine.StreamedValue. The goroutine that
+// reads from the connection waits until done is closed.
 type streamedValue struct {
 	conn    *conn
 	length  int
--- a/internal/proto/meta/meta_test.go
+++ b/internal/proto/meta/meta_test.go
@@ -59,6 +59,6 @@
 		if a, err := ReadAnswer(bufio.NewReaderSize(bytes.NewReader(in), MaxLine), c); err == nil && len(a.Body) > MaxValue {
 			t.Errorf("%d bytes of %q", len(a.Body), in)
 		}
-		ReadStats(bufio.NewReaderSize(bytes.NewReader(in), MaxLine)) //nolint:errcheck // it only must terminate
+		ReadStats(bufio.NewReaderSize(bytes.NewReader(in), MaxLine)) //nolint:errcheck // must terminate
 	})
 }
