--- a/internal/pure/admission/admission.go
+++ b/internal/pure/admission/admission.go
@@ -18,7 +18,8 @@
 	"mossproxy.example/mossproxy/internal/pure/quota"
 )
 
-// Demand counts the arrivals at a router so far, and Threshold is the admission threshold that results.
+// Demand counts the arrivals at a router so far. Threshold is the admission threshold computed from it and
+// from the demand at other routers.
 type (
 	Demand    = decide.Demand
 	Threshold = decide.AdmissionThreshold
@@ -26,11 +27,12 @@
 
 // Times in ms.
 const (
-	fastRateWindow = 300.0 // averaging window for arrival rates that may have changed
-	// Window for rates that have not; longer, as a router's random variation stays in its estimate until it
-	// is averaged.
+	fastRateWindow = 300.0 // averaging window that detects changes of the arrival rates
+	// Averaging window for steady rates. It is longer, because random variation of a router's arrivals stays
+	// in its estimate until exchanges with other routers average it out.
 	slowRateWindow = 1500.0
-	// For the estimate, where a local change stands out until two or three exchanges later.
+	// Smoothing window of the estimate, because a local change dominates the estimate until two or three
+	// exchanges later.
 	smoothingWindow      = 200.0
 	decayTime            = 5000.0 // time constant of the estimate's decay towards the local values
 	busyExchangeInterval = 200.0  // between exchanges started here, near overload
@@ -57,7 +59,7 @@
 
 // Host sends messages on behalf of a Machine.
 type Host interface {
-	// m has at most MaxMessage bytes; it may be lost, delayed, duplicated or reordered.
+	// Send sends m, of at most MaxMessage bytes, which may be lost, delayed, duplicated or reordered.
 	Send(to Peer, m []byte)
 }
 
--- a/internal/pure/admission/cases_test.go
+++ b/internal/pure/admission/cases_test.go
@@ -221,7 +221,7 @@
 	f.checkAdmitted("healed", 5000, 0.5)
 }
 
-// A router that reports far more demand than it has raises the threshold to the highest worth at most.
+// A router that reports a thousand times the normal demand raises the threshold to the highest worth at most.
 func TestOverreportingPeerRaisesThreshold(t *testing.T) {
 	f := newTestFleet(t, 24)
 	f.setDemand(1)
--- a/internal/pure/caller/caller.go
+++ b/internal/pure/caller/caller.go
@@ -144,7 +144,7 @@
 	Tenant       string
 	Roles        []string
 	Subjects     []Subject // token subjects that identify the principal
-	Certificates []string  // certificate names that do: uri:…, dns:… or sha256:… (certificate hash in hex)
+	Certificates []string  // names: uri:…, dns:… or sha256:… (hash of the whole certificate, in hex)
 }
 
 // Subject identifies a token's subject together with its issuer.
--- a/internal/pure/caller/store.go
+++ b/internal/pure/caller/store.go
@@ -54,6 +54,7 @@
 // key[2].id.
 type ValidationError struct{ Path, Message string }
 
+// Error returns the path and the message.
 func (e ValidationError) Error() string { return e.Path + ": " + e.Message }
 
 // maxValidationErrors limits the errors reported for one store.
@@ -305,7 +306,8 @@
 	case Retired:
 		return KeyRetired
 	case Announced:
-		if k.Lifecycle.Active == 0 || now+b.contents.Policy.Skew < k.Lifecycle.Active { // the signer's clock may be ahead
+		// The signer's clock may be ahead.
+		if k.Lifecycle.Active == 0 || now+b.contents.Policy.Skew < k.Lifecycle.Active {
 			return NotYetValid
 		}
 	}
@@ -409,7 +411,8 @@
 	if cred.kind == secretCredential {
 		return b.principals[k.Caller], k.Lifecycle.NextChange(now), None
 	}
-	if retiring := k.Lifecycle.Retiring; retiring > 0 && cred.issuedAt > retiring+b.contents.Policy.Skew { // signs no new tokens
+	// A retiring key must not sign new tokens.
+	if retiring := k.Lifecycle.Retiring; retiring > 0 && cred.issuedAt > retiring+b.contents.Policy.Skew {
 		return nil, 0, KeyRetired
 	}
 	caller := b.subjects[Subject{cred.issuer, cred.subject}]
--- a/internal/pure/fleet/machine.go
+++ b/internal/pure/fleet/machine.go
@@ -31,7 +31,7 @@
 	suspicionConfirmations = 3  // confirmations that shorten a suspicion to its minimum
 	maxHealthScore         = 8  // worst local health score
 	maxPingsPerTick        = 16 // besides probes
-	maxPendingProbes       = 16 // probes outside the probe order; scheduled ones may exceed it
+	maxPendingProbes       = 16 // outside the probe order; multiples of it hold for other probes
 	maxIndirectPings       = 64 // pending pings on behalf of others
 )
 
@@ -354,7 +354,9 @@
 	switch {
 	case padded:
 		length = limit - macBytes
-	case q.Type == ping: // an unverified sender gets no answer longer than its ping
+	case q.Type == ping:
+		// Leaves room for the ack's longer head: if the receiver has not verified this router's address, its
+		// ack is no longer than the ping.
 		length = min(len(q.head())+maxHeadGrowth, limit-macBytes)
 	}
 	return append(b, make([]byte, max(0, length-len(b)))...)
--- a/internal/pure/fleet/member.go
+++ b/internal/pure/fleet/member.go
@@ -50,6 +50,7 @@
 
 func (a Addr) isIPv4() bool { return [12]byte(a.IP[:12]) == ipv4Prefix }
 
+// String returns the address and port in text form. An IPv6 address is in brackets and not shortened.
 func (a Addr) String() string {
 	port := strconv.Itoa(int(a.Port))
 	if a.isIPv4() {
@@ -80,6 +81,7 @@
 
 var stateNames = [numStates]string{"joining", "alive", "suspect", "silent", "lost", "gone", "left"}
 
+// String returns the state's name in metrics and logs, which may differ from the name of the constant.
 func (s State) String() string {
 	if s < numStates {
 		return stateNames[s]
--- a/internal/pure/quota/cases_test.go
+++ b/internal/pure/quota/cases_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// A router that reports a rate far above its real one gets at most three quarters of the others' shares,
-// because each keeps a quarter.
+// A router that reports a rate just below maxRate, 100,000 times its real one, gets at most three quarters of
+// the others' shares, because each keeps a quarter.
 func TestOverreportingPeer(t *testing.T) {
 	f := newTestFleet(t, 8)
 	f.Nodes[1].Rate = 1e6 - 1
--- a/internal/pure/quota/quota.go
+++ b/internal/pure/quota/quota.go
@@ -23,7 +23,8 @@
 	// Fraction of the term that a lessee uses, as the clocks of two machines drift.
 	lesseeTermFactor     = 0.95
 	shortRequestInterval = 100.0 // between request rounds while the usable share is too small
-	// Otherwise, and after rounds in which no lease was granted; also tells peers the local rate.
+	// Otherwise, and after five rounds in a row in which no lease was granted. The requests also tell peers
+	// the local rate.
 	idleRequestInterval = 1000.0
 	renewalAge          = 400.0 // age at which a lease is renewed
 	rateReportTTL       = 10e3  // for which a peer's reported rate is used
@@ -61,7 +62,7 @@
 
 // Host sends messages on behalf of a Machine.
 type Host interface {
-	// m has at most MaxMessage bytes; it may be lost, delayed, duplicated or reordered.
+	// Send sends m, of at most MaxMessage bytes, which may be lost, delayed, duplicated or reordered.
 	Send(to Peer, m []byte)
 }
 
@@ -283,7 +284,8 @@
 }
 
 // requestLeases asks lessors whose leases are due for renewal and a few other peers for leases. It asks
-// more peers, and more often, while the usable share is below the fair share.
+// more peers, and more often, while the usable share is below the fair share, unless five rounds in a row
+// brought no lease.
 func (m *Machine) requestLeases(i int, res *resource) {
 	base := m.base.shareAt(m.now)
 	usable, fair := m.UsableShare(m.now, i), fairShare(base, res.rate, res.meanRate())
--- a/internal/pure/rights/rights.go
+++ b/internal/pure/rights/rights.go
@@ -88,6 +88,7 @@
 	Message      string
 }
 
+// Error returns the message, preceded by file, line and column.
 func (e ParseError) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
@@ -95,6 +96,7 @@
 // ParseErrors lists the errors in a rights file, in the order in which they were found.
 type ParseErrors []ParseError
 
+// Error returns the errors, one per line.
 func (errs ParseErrors) Error() string {
 	lines := make([]string, len(errs))
 	for i, e := range errs {
--- a/internal/pure/rights/rights_test.go
+++ b/internal/pure/rights/rights_test.go
@@ -48,7 +48,7 @@
 		{"dispatcher", "order-poll", "poll/1", caller.Write, "2026-12-01 05:59", 0, false},
 		{"dispatcher", "order-poll", "poll/1", caller.Write, "2026-12-01 22:00", 0, false},
 		{"dispatcher", "order-poll", "poll/1", caller.Write, "2026-12-05 23:00", 5, true}, // Saturday
-		{"dispatcher", "order-poll", "poll/1", caller.Write, "2026-12-06 01:59", 5, true}, // the night from Saturday to Sunday
+		{"dispatcher", "order-poll", "poll/1", caller.Write, "2026-12-06 01:59", 5, true}, // past midnight
 		{"dispatcher", "order-poll", "poll/1", caller.Write, "2026-12-06 02:00", 0, false},
 		{"dispatcher", "order-poll", "poll/1", caller.Read, "2026-12-01 12:00", 0, false},
 		{"reader", "whatever", "x", caller.Read, "2026-12-01 12:00", 7, true},
--- a/internal/pure/tier/group.go
+++ b/internal/pure/tier/group.go
@@ -65,7 +65,7 @@
 }
 
 // Assignment returns the current assignment. If no router serves, all of them get partitions, because each
-// knows the reason to refuse requests with.
+// knows why it has to refuse requests.
 func (g *Group) Assignment() Assignment {
 	routers := append(slices.Clone(g.peers), g.self)
 	slices.SortFunc(routers, func(a, b Router) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/pure/tier/tier.go
+++ b/internal/pure/tier/tier.go
@@ -79,7 +79,7 @@
 func (t *Table) Version() uint64 { return t.version }
 
 // ServedBy returns the serving router of each partition, indexed by the router that owns it. If no router
-// serves, each keeps its own, because it knows the reason to refuse requests with.
+// serves, each keeps its own, because the owner knows why requests have to be refused.
 func (t *Table) ServedBy() []int {
 	return t.assign(func(i int) bool { return t.peers[i].state == Serving })
 }
