--- a/internal/pure/caller/store.go
+++ b/internal/pure/caller/store.go
@@ -27,7 +27,7 @@
 	Keys         []Key
 	Tenants      []Tenant
 	Principals   []Principal
-	TrustAnchors [][32]byte         // SHA-256 of the certificates in the client bundle; nil = not checked
+	TrustAnchors [][32]byte         // SHA-256 of the certificates in the client bundle; empty = not checked
 	Roles        map[string]*Rights // compiled rules by role name; see Compile
 }
 
