--- a/internal/pure/fleet/view.go
+++ b/internal/pure/fleet/view.go
@@ -284,8 +284,9 @@
 // discredited reports whether a member made so many false accusations that its reports are ignored.
 func (m *Machine) discredited(by uint32) bool { return m.falseAccusationsBy(by) >= maxFalseAccusations }
 
-// pruneDeparted forgets members that departed or died long ago, and the oldest ones if there are too many. One
-// that is not verified to be down is still counted, so it and all later ones are kept for departedRetentionMS.
+// pruneDeparted forgets members that departed or died long ago, and the oldest ones if there are too many. A
+// member that is not verified to be down is still counted, so it and all later ones are kept for
+// departedRetentionMS.
 func (m *Machine) pruneDeparted() {
 	n := 0
 	for n < len(m.departed) && (len(m.departed)-n > maxDeparted || m.now-m.members[m.departed[n]].since > departedRetentionMS) {
