--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -95,8 +95,9 @@
 	Then    float64   // value of Parts after Until
 }
 
-// Counters holds totals since the start: messages and bytes sent and received, messages rejected (Refused),
-// work dropped at a limit or by a failed exchange, and member state changes.
+// Counters holds totals since the start: datagrams sent and received, bytes sent and received in datagrams
+// and streams, messages rejected (Refused), work dropped at a limit or by a failed exchange, and member state
+// changes.
 type Counters struct {
 	Sent, SentBytes, Received, ReceivedBytes, Refused, Dropped, Changes uint64
 }
--- a/internal/fleet/stream.go
+++ b/internal/fleet/stream.go
@@ -16,8 +16,8 @@
 
 // A stream carries frames: a length of two bytes and a message with a MAC. The connecting side either sends
 // one request and reads one answer, or exchanges views: each side sends the bucket digests of its view, the
-// connecting side first, and then the pages of the buckets that differ, ended by a frame of length 0. No side
-// writes before the other one waits to read.
+// connecting side first, and then, in the same order, the pages of the buckets that differ, ended by a frame
+// of length 0. Neither side writes before the other one waits to read.
 
 // writeFrame writes a message with its length.
 func writeFrame(w io.Writer, b []byte) error {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -24,7 +24,7 @@
 // Grant is what the old process grants to the new one while both run.
 type Grant struct {
 	Share        float64         `json:"part"`    // of the memory and descriptor limits, within 0.05 to 0.5
-	LearnedState json.RawMessage `json:"learned"` // module and server-list state; the reader checks it
+	LearnedState json.RawMessage `json:"learned"` // of the balancer and the server lists; the reader checks it
 	// StreamUpdates calls send with the current state after each change until ctx ends. The new process may
 	// receive only the latest update. nil = no updates.
 	StreamUpdates func(ctx context.Context, send func([]byte) error) `json:"-"`
@@ -117,7 +117,9 @@
 	return ln, nil
 }
 
-// handOver runs the old process's side of an exchange. It returns when the new process or this one ends.
+// handOver runs the old process's side of an exchange. It returns when the exchange fails, or when the new
+// process or this one ends. Refusals are best effort: a new process that receives none starts without a
+// predecessor.
 func handOver(ctx context.Context, c *net.UnixConn, listen string, sockets []syscall.Conn, old Predecessor) error {
 	c.SetDeadline(time.Now().Add(ExchangeTimeout))
 	if err := sameUser(c); err != nil {
--- a/internal/member/discovery.go
+++ b/internal/member/discovery.go
@@ -135,7 +135,8 @@
 		d.knownVersion = l.Version
 		d.onList(l)
 		if !l.Full && len(l.Servers) == 0 && time.Since(start) < minPollInterval {
-			// Avoid a busy loop with an agent that does not hold calls open. A delay of up to 200 ms does no harm.
+			// Avoid a busy loop with an agent that does not hold calls open. A delay of up to 200 ms does no
+			// harm.
 			select {
 			case <-time.After(minPollInterval):
 			case <-ctx.Done():
--- a/internal/member/filesource.go
+++ b/internal/member/filesource.go
@@ -88,6 +88,7 @@
 	reasons []string
 }
 
+// Error returns the reasons, one per line, each after the path of the file.
 func (r *refusedList) Error() string {
 	text := ""
 	for i, w := range r.reasons {
--- a/internal/member/filesource_test.go
+++ b/internal/member/filesource_test.go
@@ -301,8 +301,8 @@
 	}
 }
 
-// BenchmarkParseAndPlan measures the time and memory to parse and plan a list of 10,000 servers, which happens
-// outside the router's event loop.
+// BenchmarkParseAndPlan measures the time and memory to parse and plan a list of 10,000 servers, which
+// happens outside the router's event loop.
 func BenchmarkParseAndPlan(b *testing.B) {
 	s := newFileFixture(b, serverFileText("", append(fourServers(), manyServers(9995)...)...))
 	src := s.mustOpen()
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -52,8 +52,9 @@
 }
 
 // ServerID maps a server's id to the number that the balancer hashes. All routers must compute the same
-// number. For an id that ends in eight hex digits, after the last "-" if there is one, that is their value,
-// which is the number that the simulator uses on the wire; any other id is hashed with FNV-1a.
+// number. If the part after the last "-" (the whole id if it has none) consists of exactly eight hex digits,
+// that is their value, which is the number that the simulator uses on the wire. Any other id is hashed with
+// FNV-1a.
 func ServerID(id string) uint32 {
 	digits := id[strings.LastIndexByte(id, '-')+1:]
 	// Fewer digits are not unique, as in rades-01 and sfax-01.
