--- a/internal/front/callers.go
+++ b/internal/front/callers.go
@@ -14,9 +14,9 @@
 	Once(from, text string) (*caller.Identity, caller.Reason)  // for a single request
 	Secret(from, id string, secret []byte) (*caller.Identity, caller.Reason)
 	Certificate(from string, link *tls.ConnectionState) (*caller.Identity, caller.Reason)
-	Check(*caller.Identity) (*caller.Identity, caller.Reason) // returns the pass that now applies
+	Check(*caller.Identity) (*caller.Identity, caller.Reason) // returns the identity that now applies
 	Allow(from string, p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason)
-	Withdrawn(from string, p *caller.Identity, reason caller.Reason) // audits a revoked pass
+	Withdrawn(from string, p *caller.Identity, reason caller.Reason) // audits a revoked identity
 	Refused(from string, p *caller.Identity, reason caller.Reason)   // audits a rejected request
 }
 
@@ -34,7 +34,8 @@
 	state         atomic.Pointer[authState]
 }
 
-// authState is a pass, or the reason why there is none, and whether an earlier one was revoked.
+// authState is the caller's identity, or the reason why there is none, and whether an earlier one was
+// revoked.
 type authState struct {
 	pass    *caller.Identity
 	reason  caller.Reason
@@ -53,8 +54,8 @@
 	return c
 }
 
-// Pass returns the pass that now applies to the connection, or the reason why there is none. It does not
-// allocate while the pass remains valid.
+// Pass returns the identity that now applies to the connection, or the reason why there is none. It does not
+// allocate while the identity remains valid.
 func (c *ConnCaller) Pass() (*caller.Identity, caller.Reason) {
 	s := c.state.Load()
 	if s.pass == nil {
@@ -70,7 +71,7 @@
 	return p, reason
 }
 
-// Revoked reports whether there was a pass that is no longer valid.
+// Revoked reports whether the connection had an identity that is no longer valid.
 func (c *ConnCaller) Revoked() bool {
 	if c == nil {
 		return false
@@ -83,7 +84,7 @@
 }
 
 // Tenant returns the tenant of the connection, or "" if it is not identified. It does not check whether the
-// pass is still valid.
+// identity is still valid.
 func (c *ConnCaller) Tenant() string {
 	if c == nil {
 		return ""
@@ -112,7 +113,7 @@
 	return reason
 }
 
-// AuthenticateRequest returns the pass for a single request that carries its own token.
+// AuthenticateRequest returns the identity for a single request that carries its own token.
 func (c *ConnCaller) AuthenticateRequest(text string) (*caller.Identity, caller.Reason) {
 	return c.authenticator.Once(c.RemoteAddr, text)
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -128,7 +128,7 @@
 func (c *clientConn) idleState() (since time.Time, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Otherwise connections that send nothing would displace regular clients.
+	// Without the penalty, connections that send nothing would displace regular clients.
 	if since = c.idleSince; !c.commandSeen && time.Since(since) > silentGrace {
 		since = since.Add(-silentPenalty)
 	}
@@ -147,7 +147,8 @@
 	case c.reading:
 	// Commands that arrive before the last answer are still accepted; writing that answer wakes the reader.
 	case c.openCommands() > 0:
-	case !c.commandSeen && c.closingSince.Before(firstByteDeadline): // a new connection gets time for its first byte
+	// A new connection gets time for its first byte.
+	case !c.commandSeen && c.closingSince.Before(firstByteDeadline):
 		c.SetReadDeadline(firstByteDeadline)
 	default:
 		c.SetReadDeadline(time.Unix(1, 0))
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -30,7 +30,7 @@
 	commandTimeout = 2200 * time.Millisecond
 	// Added per byte of a long value: the minimum rate is 250 kB/s.
 	valueTimePerByte = 4 * time.Microsecond
-	// Minimum idle time before an active connection may be evicted.
+	// Minimum idle time of a connection that countActive may evict: one that was answered just now is kept.
 	minRestTime        = 100 * time.Millisecond
 	answerWriteTimeout = 5 * time.Second        // for each write of answers to a client
 	lingerTime         = 500 * time.Millisecond // for a client to close its side after it was rejected
@@ -168,7 +168,7 @@
 		select {
 		case m.slots <- struct{}{}:
 			return
-		case <-time.After(10 * time.Millisecond): // its connection may have got a request just then
+		case <-time.After(10 * time.Millisecond): // the chosen connection may have got a request just then
 		}
 	}
 }
@@ -262,8 +262,8 @@
 	}
 }
 
-// Ready reports whether clients may be sent to this router: the engine is ready and the router is
-// advertised.
+// Ready reports whether clients may be sent to this router: the engine has a list of servers and the router
+// is advertised.
 func (m *ConnManager) Ready() bool { return m.engine.Ready() && m.advertised.Load() }
 
 // DrainRevoked closes the connections whose credentials have been revoked, once their open commands are
--- a/internal/front/meta/callers.go
+++ b/internal/front/meta/callers.go
@@ -111,7 +111,7 @@
 		}
 		return meta.Served(q.Write, id, a.Body)
 	}
-	return render(q, a) // without an id
+	return render(q, a) // these answers contain no id
 }
 
 // Login returns the command that authenticates a connection by a token or, if id is set, by the secret of
--- a/internal/front/resp/callers.go
+++ b/internal/front/resp/callers.go
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// Crowded implements front.Session with the error text that Redis clients recognize.
+// TooManyConnections implements front.Session with the error text that Redis clients recognize.
 func (*session) TooManyConnections() []byte {
 	return resp.AppendError(nil, "ERR max number of clients reached: "+caller.Connections.String())
 }
@@ -54,7 +54,7 @@
 }
 
 // noAuthReply returns the error for a command on a connection whose caller is unknown or no longer valid.
-// Commands on a connection that never had a caller count towards the limit on unknown commands.
+// Commands on a connection that never had a caller count towards the limit of invalid commands.
 func noAuthReply(reason caller.Reason) front.Command {
 	if reason == caller.NoCaller {
 		return front.Command{Text: resp.AppendError(nil, "NOAUTH Authentication required."), Invalid: true}
--- a/internal/front/resp/commands.go
+++ b/internal/front/resp/commands.go
@@ -107,7 +107,8 @@
 	if c.name != "SET" {
 		return c.repeatable
 	}
-	for _, a := range args[3:] { // NX, XX and GET reply differently the second time; EX and similar options do not
+	// NX, XX and GET reply differently the second time; EX and similar options do not.
+	for _, a := range args[3:] {
 		switch strings.ToUpper(string(a)) {
 		case "NX", "XX", "GET":
 			return false
--- a/internal/front/resp/local.go
+++ b/internal/front/resp/local.go
@@ -115,7 +115,7 @@
 	if !loggedIn {
 		return resp.AppendError(nil, "NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and select the RESP protocol version at the same time")
 	}
-	if s.guest != nil { // the pass identifies the caller and tells whether it is still valid
+	if s.guest != nil { // guest identifies the caller and tells whether the login is still valid
 		loggedIn = true
 	}
 	s.respVersion, s.tenant, s.loggedIn, s.name = respVersion, tenant, loggedIn, name
--- a/internal/front/resp/peers.go
+++ b/internal/front/resp/peers.go
@@ -182,7 +182,8 @@
 		}
 		a.conn, a.reader = c, bufio.NewReaderSize(c, resp.MaxLine)
 	}
-	conn := a.conn                                                               // the poller may have dropped it by the time the callback runs
+	// The poller may have dropped its connection by the time the callback runs.
+	conn := a.conn
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })() //nolint:errcheck // a failure shows in the read
 	if _, err := a.conn.Write(stateCommand); err != nil {
 		return "", err
@@ -239,7 +240,8 @@
 	p.peers.update(func(t *tier.Table) bool { return t.RecordState(p.cfg.Self, state) })
 	p.peers.mu.Lock()
 	defer p.peers.mu.Unlock()
-	if g := p.peers.group; g != nil && drain && g.SetOwnState(state) { // UpdateRouters announces serving again, as it knows whether the router is ready
+	// UpdateRouters announces serving again, as it knows whether the router is ready.
+	if g := p.peers.group; g != nil && drain && g.SetOwnState(state) {
 		p.peers.publish()
 	}
 }
--- a/internal/front/resp/resp.go
+++ b/internal/front/resp/resp.go
@@ -38,15 +38,17 @@
 
 // Config configures a RESP front end.
 type Config struct {
-	ReadClass, WriteClass string                              // classes of reads and writes that no rule matches
-	Rules                 []Rule                              // the first match applies
-	Logins                []Login                             // empty = no AUTH required
-	DefaultTenant         string                              // tenant of clients that have not logged in
-	Peers                 []string                            // addresses of the tier's routers, by number; empty = only this one
-	Self                  int                                 // number of this router in Peers
-	RouterName            string                              // name of this router in the fleet view; "" = use Peers
-	Owners                func(slot int, write bool) []uint32 // IDs of the servers that may serve a slot
-	Callers               front.Authenticator                 // authenticates by AUTH, HELLO or certificate; nil = use Logins
+	ReadClass, WriteClass string   // classes of reads and writes that no rule matches
+	Rules                 []Rule   // the first match applies
+	Logins                []Login  // empty = no AUTH required
+	DefaultTenant         string   // tenant of clients that have not logged in
+	Peers                 []string // addresses of the tier's routers, by number; empty = only this one
+	Self                  int      // number of this router in Peers
+	RouterName            string   // name of this router in the fleet view; "" = use Peers
+	// Owners returns the IDs of the servers that may serve a slot.
+	Owners func(slot int, write bool) []uint32
+	// Callers authenticates by AUTH, HELLO or certificate; nil = use Logins.
+	Callers front.Authenticator
 	// ServerKey translates a caller's key to the key that servers store it under. Both are in the same slot.
 	ServerKey func(p *caller.Identity, key string) (string, error)
 }
@@ -86,7 +88,7 @@
 	return &session{protocol: p, id: p.lastID.Add(1), respVersion: 2, tenant: p.cfg.DefaultTenant, loggedIn: len(p.cfg.Logins) == 0, guest: front.NewConnCaller(p.cfg.Callers, peer)}
 }
 
-// Withdrawn implements front.Session.
+// Revoked implements front.Session.
 func (s *session) Revoked() bool { return s.guest.Revoked() }
 
 // session is the state of one connection. Only the connection's reader uses it.
@@ -99,7 +101,7 @@
 	loggedIn    bool // logged in, or no login required
 	asking      bool // the next command may address a slot of another router
 	name        []byte
-	throttled   bool              // the current command was a login rejected because of too many failed ones
+	throttled   bool              // the current command was a login, rejected after too many failures
 	guest       *front.ConnCaller // authentication state; nil = use Logins
 }
 
@@ -297,7 +299,7 @@
 
 // refusedReply returns the reply to a refused command. Cluster clients resend by themselves after TRYAGAIN,
 // which is harmless for a refusal, and keep their slot map; docs/design/resp.md has the table of errors
-// after which clients resend.
+// after which each client resends.
 func refusedReply(wait float64) []byte {
 	if wait < 1 {
 		return resp.AppendError(nil, "TRYAGAIN busy")
