--- a/internal/front/resp/peers_test.go
+++ b/internal/front/resp/peers_test.go
@@ -98,8 +98,8 @@
 	return -1
 }
 
-// A peer that drains, loads, does not reply or replies with garbage loses its slots to the next router. It
-// gets them back when it serves again.
+// A peer that drains, loads, does not reply or sends invalid RESP loses its slots to the next router. It gets
+// them back when it serves again. An error reply, as from a router of another version, counts as serving.
 func TestSlotsFollowPeerStates(t *testing.T) {
 	one, two := startFakePeer(t, "+serving"), startFakePeer(t, "+serving")
 	p := startPolling(t, one, two)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -24,7 +24,7 @@
 // Grant is what the old process grants to the new one while both run.
 type Grant struct {
 	Share        float64         `json:"part"`    // of the memory and descriptor limits, within 0.05 to 0.5
-	LearnedState json.RawMessage `json:"learned"` // of the balancer and the server lists; the reader checks it
+	LearnedState json.RawMessage `json:"learned"` // of balancer and server lists; the reader checks it
 	// StreamUpdates calls send with the current state after each change until ctx ends. The new process may
 	// receive only the latest update. nil = no updates.
 	StreamUpdates func(ctx context.Context, send func([]byte) error) `json:"-"`
--- a/internal/handover/updates_test.go
+++ b/internal/handover/updates_test.go
@@ -12,8 +12,9 @@
 	"mossproxy.example/mossproxy/internal/standin/standintest"
 )
 
-// Guards against losing datagrams that are queued at a socket during a handover, and against losing or
-// reordering updates: the last update of the old process arrives before its end is reported.
+// Guards against losing datagrams that are queued at a socket during a handover, and against losing the last
+// update of the old process: it arrives before the end of that process is reported. Later updates may replace
+// earlier ones.
 func TestDatagramsAndUpdatesAreHandedOver(t *testing.T) {
 	path, k, ln := testSocketPath(t), newFakePredecessor(), standintest.Listen(t)
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
