--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,8 +19,8 @@
 	ConnectTimeout float64  // a connection not established within these milliseconds has failed; 0 = not told
 }
 
-// object mirrors the settings object; unknown keys are ignored.
-type object struct {
+// wireObject mirrors the settings object; unknown keys are ignored.
+type wireObject struct {
 	Balancers  int `json:"balancers"`
 	MyNumber   int `json:"myNumber"`
 	Zone       string
@@ -64,17 +64,17 @@
 	}
 }
 
-var effects = map[string]decide.Effect{"repeatable": decide.Repeatable, "by_key": decide.Keyed, "once": decide.Once}
+var effectsByName = map[string]decide.Effect{"repeatable": decide.Repeatable, "by_key": decide.Keyed, "once": decide.Once}
 
-// EffectOf is the effect of that name.
-func EffectOf(name string) (decide.Effect, bool) {
-	e, ok := effects[name]
+// ParseEffect is the effect of that name.
+func ParseEffect(name string) (decide.Effect, bool) {
+	e, ok := effectsByName[name]
 	return e, ok
 }
 
 // Parse reads the settings of one instance.
 func Parse(text []byte) (Settings, error) {
-	var s object
+	var s wireObject
 	if err := json.Unmarshal(text, &s); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
@@ -96,7 +96,7 @@
 		c.OriginKind = s.Kinds[*k]
 	}
 	for _, k := range s.Categories {
-		e, ok := EffectOf(k.Effect)
+		e, ok := ParseEffect(k.Effect)
 		if !ok {
 			return Settings{}, fmt.Errorf("settings: categories[%s].effect: unknown value %q", k.Name, k.Effect)
 		}
