--- a/internal/keybook/tool.go
+++ b/internal/keybook/tool.go
@@ -22,7 +22,7 @@
 	State     string // folder of the store
 	Export    string // the book file that routers follow, written after each change; "" = none is
 	Pepper    string // file; needed for secrets
-	Actor     string // for the audit
+	Who       string // for the audit
 	IfVersion uint64 // of the book that a change is made on; 0 = whichever there is
 	JSON      bool
 	Out       io.Writer
@@ -42,7 +42,7 @@
 		return err
 	}
 	defer s.Close()
-	k := NewStore(s, t.Actor, nil)
+	k := NewStore(s, t.Who, nil)
 	before := s.Version()
 	if err := do(k); err != nil {
 		return err
