--- a/internal/service/callers.go
+++ b/internal/service/callers.go
@@ -77,7 +77,7 @@
 // openLink opens the material of a TLS listener.
 func openLink(t *config.TLS) (*identity.Link, error) {
 	f := identity.LinkFiles{Certificate: t.Certificate, Key: t.Key, Bundle: t.Bundle, Tickets: t.Tickets,
-		Clients: identity.ClientAuth(slices.Index(config.ClientChoices, t.Clients))}
+		Clients: identity.ClientAuth(slices.Index(config.ClientCertModes, t.Clients))}
 	if err := f.Check(); err != nil {
 		return nil, err
 	}
