--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -14,14 +14,14 @@
 	"mossproxy.example/mossproxy/internal/pure/tier"
 )
 
-// Fleet is how the router takes part in a view of the fleet that the routers keep themselves.
+// Fleet configures the membership of the router in the fleet, a view that the routers maintain themselves.
 type Fleet struct {
 	Listen, Advertise string
 	Join              []string
-	Key               []byte // nil = none
+	Key               []byte // shared key for messages; nil = none
 }
 
-// FleetReserve are the descriptors that the fleet's sockets and streams may hold.
+// FleetReserve is the number of descriptors reserved for the sockets and streams of the fleet.
 const FleetReserve = fleet.MaxDescriptors
 
 type fleetKeys struct {
@@ -35,7 +35,7 @@
 	return k.Listen == "" && k.Advertise == "" && len(k.Join) == 0 && k.KeyFile == ""
 }
 
-// checkFleet checks [checkFleet]; nil where there is none.
+// checkFleet checks [fleet]; it returns nil if the section is absent.
 func (c *checker) checkFleet(name, site string, addresses *[]string) *Fleet {
 	k := c.doc.Fleet
 	if k.isZero() {
@@ -65,7 +65,8 @@
 	return out
 }
 
-// checkFleetPeers checks the pools whose clients find all routers of the fleet: each is reached at the host by which the others reach the router.
+// checkFleetPeers checks the pools that have the routers of the fleet as peers. Clients are sent to such a pool at the
+// host by which the other routers reach this one, so the pool must listen there.
 func (c *checker) checkFleetPeers(out *File, name string) {
 	tags := map[uint16]int{}
 	for i, p := range out.Pools {
@@ -88,29 +89,30 @@
 	}
 }
 
-// host is that by which the others reach the router.
+// host returns the host at which the other routers reach this one.
 func (f *Fleet) host() string {
 	at := f.Advertise
 	if at == "" {
 		at = f.Listen
 	}
-	host, _, _ := net.SplitHostPort(at) // checked before
+	host, _, _ := net.SplitHostPort(at) // already checked
 	return host
 }
 
-// sameHost says whether who listens at a host can be reached at another.
+// sameHost reports whether a listener on one host can be reached at another.
 func sameHost(listens, reached string) bool {
 	ip, err := netip.ParseAddr(listens)
 	return listens == "" || err == nil && ip.IsUnspecified() || listens == reached
 }
 
-// checkReachable checks an address by which routers reach each other. Without a key anybody who reaches it could speak as one of them.
+// checkReachable checks an address by which routers reach each other. Without a key only loopback is allowed, because
+// anybody who reaches the address could impersonate a router.
 func (c *checker) checkReachable(key, v string, secret []byte) {
 	host, _, err := net.SplitHostPort(v)
 	ip, perr := netip.ParseAddr(host)
 	switch {
 	case err != nil:
-		return // said before
+		return // already reported
 	case perr == nil && ip.IsUnspecified():
 		c.addFault(key, "%q is no address that others can reach; name one, or set advertise", v)
 	case secret == nil && !(perr == nil && ip.IsLoopback()):
@@ -118,7 +120,7 @@
 	}
 }
 
-// fleetKey reads the key that messages are proven by.
+// fleetKey reads the key that authenticates messages.
 func (c *checker) fleetKey(path string) []byte {
 	if path == "" {
 		return nil
@@ -136,7 +138,7 @@
 	return key
 }
 
-// sameFleet says whether two differ at most in what a running router can change.
+// sameFleet reports whether two configurations differ at most in join, which a running router can change.
 func sameFleet(a, b *Fleet) bool {
 	if a == nil || b == nil {
 		return a == b
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -8,20 +8,20 @@
 	"mossproxy.example/mossproxy/internal/pure/tenant"
 )
 
-// Tenants are the limits of all tenants.
+// Tenants holds the limits of all tenants.
 type Tenants struct {
-	Capacity float64 // requests a second that the service can do; 0 = the sum of the floors
+	Capacity float64 // capacity of the service in requests per second; 0 = the sum of the floors
 	Tenants  []TenantLimits
-	Costs    []float64 // of a request of each class, by its number, against rates and floors
-	Fetch    float64   // what each way of a request to the origin counts beside that
-	Off      bool      // none has limits: requests are counted, and held to nothing
+	Costs    []float64 // cost of a request by class index, counted against rates and floors
+	Fetch    float64   // additional cost of each fetch from the origin
+	Off      bool      // no limits are enforced; requests are only counted
 }
 
-// TenantLimits are one tenant's.
+// TenantLimits holds the limits of one tenant.
 type TenantLimits struct {
 	Name       string
-	Generation uint32 // 0 = the configuration knows of none
-	Suspended  bool   // here: nothing of it is taken
+	Generation uint32 // 0 = the configuration has none
+	Suspended  bool   // this router rejects all requests of the tenant
 	tenant.Limits
 }
 
@@ -31,12 +31,12 @@
 	Open  *int     `toml:"open"`
 }
 
-// hasLimits says whether a tenant's row has any limit beside its share.
+// hasLimits reports whether any limit other than share_per_s is set.
 func (t *tenantKeys) hasLimits() bool {
 	return t.Floor != nil || t.Weight != nil || t.Burst != nil || t.Most != nil || t.Open != nil || t.Bytes != nil || t.Conns != nil || t.Suspended || len(t.Classes) > 0
 }
 
-// checkTenantLimits checks the limits of tenants; nil where none has any. What they hold to counts instead of share_per_s.
+// checkTenantLimits checks the limits of tenants, which replace share_per_s; it returns nil if no tenant has any.
 func (c *checker) checkTenantLimits(classes []decide.Class) *Tenants {
 	if !slices.ContainsFunc(c.doc.Tenants, func(t tenantKeys) bool { return t.hasLimits() }) {
 		if c.doc.Capacity != nil {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// costs gives what a request of each class counts.
+// costs returns the cost of a request by class index.
 func (c *checker) costs() (out []float64) {
 	for i, k := range c.doc.Classes {
 		out = append(out, boundedNumber(c, fmt.Sprintf("class[%d].cost", i), k.Cost, 1, 0.01, 1000, ""))
@@ -71,12 +71,12 @@
 	return out
 }
 
-// fetchCost gives what each way to the origin counts.
+// fetchCost returns the cost of a fetch from the origin.
 func (c *checker) fetchCost() float64 {
 	return boundedNumber(c, "fetch_cost", c.doc.FetchCost, 3, 0, 1000, "")
 }
 
-// classLimits gives a tenant's limits of classes by their numbers.
+// classLimits returns the per-class limits of a tenant by class index.
 func (c *checker) classLimits(at string, t *tenantKeys, classes []decide.Class) (out []tenant.ClassLimits) {
 	for j, r := range t.Classes {
 		here := fmt.Sprintf("%slimit[%d].", at, j)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads what an instance is told at its start: the same object on the simulator's wire and in a real
-// router's configuration.
+// Package settings parses the settings of an instance. The simulator's protocol and the configuration of a real router
+// use the same JSON object.
 package settings
 
 import (
@@ -12,14 +12,14 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// Settings is the settings object in the terms of the decide package, with what only its host needs.
+// Settings holds the settings converted for the decide package, and those that only its host needs.
 type Settings struct {
 	Config         decide.Config
-	Columns        []string // of the load reports on the simulator's wire
-	ConnectTimeout float64  // a connection not established within these milliseconds has failed; 0 = not told
+	Columns        []string // names of the columns in the simulator's load reports
+	ConnectTimeout float64  // in milliseconds; 0 = not set
 }
 
-// object mirrors the settings object; unknown keys are ignored.
+// object is the JSON form of the settings; unknown keys are ignored. Decoding errors contain its name.
 type object struct {
 	Balancers  int `json:"balancers"`
 	MyNumber   int `json:"myNumber"`
@@ -66,13 +66,13 @@
 
 var effectsByName = map[string]decide.Effect{"repeatable": decide.Repeatable, "by_key": decide.Keyed, "once": decide.Once}
 
-// ParseEffect is the effect of that name.
+// ParseEffect returns the effect with the given name and reports whether it exists.
 func ParseEffect(name string) (decide.Effect, bool) {
 	e, ok := effectsByName[name]
 	return e, ok
 }
 
-// Parse reads the settings of one instance.
+// Parse parses and checks the settings of one instance.
 func Parse(text []byte) (Settings, error) {
 	var s object
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -112,8 +112,8 @@
 	return Settings{Config: c, Columns: s.LoadInfo.Columns, ConnectTimeout: s.Caps.ConnectTimeout}, nil
 }
 
-// SetLoad puts one figure of a load report in its place. Sockets and the simulator's wire have a name each for the
-// same figure; other figures have no use and are passed over.
+// SetLoad stores one metric of a load report. Reports over sockets and from the simulator name the same metric
+// differently; unknown metrics are ignored.
 func SetLoad(l *decide.Load, name string, v float64) {
 	switch name {
 	case "rps", "qps":
@@ -129,13 +129,14 @@
 	}
 }
 
-// ParseLoad reads a load report. One with a figure that can't be read is absent: the rest is no better.
+// ParseLoad parses a load report. If any value is invalid, it returns decide.NoLoad, because the other values of such a
+// report can't be trusted either.
 func ParseLoad(text string) decide.Load {
 	l := decide.NoLoad
 	for f := range strings.SplitSeq(text, ",") {
 		name, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(n >= 0) || math.IsInf(n, 0) || strings.ContainsAny(v, "xXpP_") { // or hexadecimal
+		if err != nil || !(n >= 0) || math.IsInf(n, 0) || strings.ContainsAny(v, "xXpP_") { // ParseFloat also accepts hexadecimal and underscores
 			return decide.NoLoad
 		}
 		SetLoad(&l, name, n)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML strictly: every fault names its file, line and key, and what would be right. Unknown
-// keys, doubled keys and half a file are faults.
+// Package tomlfile decodes TOML strictly: every fault names its file, line and key, and the accepted values.
+// Unknown keys, duplicate keys and truncated files are faults.
 package tomlfile
 
 import (
@@ -12,15 +12,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is one thing that is wrong in a file.
+// Fault describes one error in a file.
 type Fault struct {
 	File string
-	Line int    // counted from 1; 0 where the fault lies in no line
-	Key  string // dotted, with places in arrays from 0: class[2].aim_ms; "" where no key is at fault
-	What string // what is wrong and what would be right
+	Line int    // 1-based; 0 if the fault has no line
+	Key  string // dotted path with 0-based array indexes, as in class[2].aim_ms; "" if the fault has no key
+	What string // what is wrong and what is accepted
 }
 
-// Error is the fault as file:line: key: what.
+// Error formats the fault as "file:line: key: what".
 func (f Fault) Error() string {
 	at := f.File
 	if f.Line > 0 {
@@ -32,10 +32,10 @@
 	return at + ": " + f.What
 }
 
-// Faults are all that is wrong in a file, in the order in which it was found.
+// Faults lists the errors of a file in the order in which they were found.
 type Faults []Fault
 
-// Error holds a line for each fault.
+// Error returns one line per fault.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -44,7 +44,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err is the faults as an error, nil where there are none.
+// Err returns the faults as an error, or nil if there are none.
 func (fs Faults) Err() error {
 	if len(fs) == 0 {
 		return nil
@@ -52,18 +52,18 @@
 	return fs
 }
 
-// Doc is a file that was read: it knows the lines of its keys.
+// Doc is a decoded file that maps its keys to line numbers.
 type Doc struct {
 	File  string
 	text  []byte
-	lines map[string]int // of each key; made when the first fault asks for it
+	lines map[string]int // line of each key; built on the first lookup
 }
 
-// maxFaults bounds what is said about one file.
+// maxFaults is the maximum number of unknown keys reported per file.
 const maxFaults = 100
 
-// Decode reads text into the struct that into points to. Syntax and types end at the first fault, unknown keys are all
-// told.
+// Decode decodes text into the struct that into points to. It stops at the first syntax or type error and reports
+// unknown keys up to maxFaults.
 func Decode(file string, text []byte, into any) (*Doc, Faults) {
 	d := &Doc{File: file, text: text}
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
@@ -93,12 +93,12 @@
 	return d, Faults{{File: file, What: strings.TrimPrefix(err.Error(), "toml: ")}}
 }
 
-// Fault is a fault at a key, or at the nearest key above it that the file has.
+// Fault returns a fault located at a key, or at its nearest ancestor that is in the file.
 func (d *Doc) Fault(key, format string, args ...any) Fault {
 	return Fault{d.File, d.Line(key), key, fmt.Sprintf(format, args...)}
 }
 
-// Line is the line of a key, or of the nearest key above it; 0 where there is none.
+// Line returns the line of a key or of its nearest ancestor in the file; 0 if there is none.
 func (d *Doc) Line(key string) int {
 	if d.lines == nil {
 		d.indexLines()
@@ -112,10 +112,10 @@
 	return 0
 }
 
-// indexLines finds the line of each key.
+// indexLines records the line of each key.
 func (d *Doc) indexLines() {
 	d.lines = map[string]int{}
-	seen := map[string]int{} // elements of arrays of tables
+	seen := map[string]int{} // number of elements so far in each array of tables
 	table := ""
 	var p unstable.Parser
 	p.Reset(d.text)
@@ -135,7 +135,7 @@
 	}
 }
 
-// recordKey books the line of a key within a table, and returns its path.
+// recordKey records the line of a key within a table and returns the path of the key.
 func (d *Doc) recordKey(it unstable.Iterator, within string, seen map[string]int) string {
 	path, at := within, 0
 	for it.Next() {
@@ -144,7 +144,7 @@
 			path += "."
 		}
 		path, at = path+string(n.Data), int(n.Raw.Offset)
-		if k := seen[path]; k > 0 && !it.IsLast() { // a table within the last element of an array of tables
+		if k := seen[path]; k > 0 && !it.IsLast() { // a table inside the last element of an array of tables
 			path = fmt.Sprintf("%s[%d]", path, k-1)
 		}
 	}
@@ -154,7 +154,7 @@
 	return path
 }
 
-// recordValue books the lines of the keys within a value.
+// recordValue records the lines of the keys inside a value.
 func (d *Doc) recordValue(path string, v *unstable.Node, seen map[string]int) {
 	it := v.Children()
 	switch v.Kind {
