--- a/internal/config/callers.go
+++ b/internal/config/callers.go
@@ -7,29 +7,29 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// Callers is where a router learns who may call, and what it holds callers to.
+// Callers configures the authentication and authorization of callers.
 type Callers struct {
-	Book, Rights, Pepper, Bundle string // paths; no pepper: no secrets are taken; no bundle: no certificates
+	Book, Rights, Pepper, Bundle string // paths; Book is the credentials store; without Pepper no secrets are accepted, without Bundle no certificates
 	Policy                       caller.Policy
-	Remember                     int     // tokens
-	Share                        float64 // of one core that checking may take
+	Remember                     int     // capacity of the cache of checked tokens
+	Share                        float64 // largest fraction of one core spent on checks
 }
 
-// TLS is a pool's listener of its own for links with TLS, beside the plain one.
+// TLS configures the TLS listener of a pool, in addition to the plain one.
 type TLS struct {
 	Listen                    string
-	Certificate, Key, Tickets string // paths; no tickets: their keys are drawn
-	Clients                   string // none, may or required
-	Bundle                    string // path
+	Certificate, Key, Tickets string // paths; without Tickets the ticket keys are random
+	Clients                   string // one of ClientCertModes
+	Bundle                    string // path of the CA bundle for client certificates
 }
 
-// ServerTLS is the TLS of the links to a pool's servers and origin.
+// ServerTLS configures TLS for the connections to the servers and origin of a pool.
 type ServerTLS struct {
-	Bundle, Certificate, Key string // paths; the last two may be empty
-	Name                     string // that servers must prove; "" = the host of their address
+	Bundle, Certificate, Key string // paths; Certificate and Key may be empty
+	Name                     string // name expected in server certificates; "" = the host of the address
 }
 
-// ClientCertModes are what a listener can ask of client certificates.
+// ClientCertModes lists the client certificate modes of a listener.
 var ClientCertModes = []string{"none", "may", "required"}
 
 type callersKeys struct {
@@ -46,7 +46,7 @@
 	Share     *float64 `toml:"checks_share"`
 }
 
-// Admin is where the administration API is served, and the store that it changes.
+// Admin holds the listening address of the administration API and the path of the store that it changes.
 type Admin struct{ Listen, State string }
 
 type adminKeys struct {
@@ -54,7 +54,7 @@
 	State  string `toml:"state"`
 }
 
-// checkAdmin checks [checkAdmin]; nil where there is none.
+// checkAdmin checks [admin]; it returns nil if the section is absent.
 func (c *checker) checkAdmin(callers *Callers, addresses *[]string) *Admin {
 	k := c.doc.Admin
 	if k == (adminKeys{}) {
@@ -90,7 +90,7 @@
 	Level  string `toml:"level"`
 }
 
-// Log is how the program's log is written.
+// Log configures the format and level of the log.
 type Log struct {
 	JSON  bool
 	Level string // debug, info, warn or error
@@ -98,7 +98,7 @@
 
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// checkLog checks [checkLog].
+// checkLog checks [log].
 func (c *checker) checkLog() Log {
 	k := c.doc.Log
 	if k.Format != "" && k.Format != "text" && k.Format != "json" {
@@ -113,7 +113,7 @@
 	return Log{k.Format == "json", k.Level}
 }
 
-// checkCallers checks [checkCallers]; nil where no pool has callers.
+// checkCallers checks [callers]; it returns nil if no pool authenticates callers.
 func (c *checker) checkCallers() *Callers {
 	k := &c.doc.Callers
 	used := slices.ContainsFunc(c.doc.Pools, func(p poolKeys) bool { return p.Callers })
@@ -151,7 +151,7 @@
 	return out
 }
 
-// checkTLS checks [pool.tls]; nil where there is none.
+// checkTLS checks [pool.tls]; it returns nil if the section is absent.
 func (c *checker) checkTLS(at string, p *poolKeys, callers *Callers, addresses *[]string) *TLS {
 	k, in := p.TLS, at+".tls"
 	if k == (tlsKeys{}) {
@@ -180,7 +180,7 @@
 	return out
 }
 
-// checkServerTLS checks [pool.server_tls]; nil where there is none.
+// checkServerTLS checks [pool.server_tls]; it returns nil if the section is absent.
 func (c *checker) checkServerTLS(at string, p *poolKeys) *ServerTLS {
 	k, in := p.ServerTLS, at+".server_tls"
 	if k == (serverTLSKeys{}) {
@@ -199,7 +199,7 @@
 	return out
 }
 
-// Classes are the names of the classes that clients may use.
+// Classes returns the names of the classes that clients may use.
 func (f *File) Classes() (names []string) {
 	for _, p := range f.Pools {
 		for _, c := range p.Checked.Config.Classes {
@@ -211,7 +211,7 @@
 	return names
 }
 
-// PoolNames are the names of the pools.
+// PoolNames returns the names of the pools.
 func (f *File) PoolNames() (names []string) {
 	for _, p := range f.Pools {
 		names = append(names, p.Pool)
--- a/internal/config/doors_test.go
+++ b/internal/config/doors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// doorsFile is a configuration with a fleet and a RESP pool, changed by replacements.
+// doorsFile returns a configuration with a fleet and a RESP pool, after the given replacements.
 func doorsFile(t *testing.T, changes ...string) (path string, text []byte) {
 	t.Helper()
 	path, text = fleetFile(t, "listen = \"127.0.0.2:7946\"\nadvertise = \"127.0.0.1:7950\"\n")
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -21,32 +21,32 @@
 	"mossproxy.example/mossproxy/internal/watch"
 )
 
-// File is a router's own configuration: one checked configuration for each pool, of the same type that the platform's
-// becomes.
+// File is the checked configuration file of a router. Each pool has a Config, the type that the platform's
+// configuration also has.
 type File struct {
 	Name  string
 	Cores int
 	Pools []*Config
 	Log   Log
-	// Callers is where the pools learn who may call; nil = none of them asks.
+	// Callers configures the authentication of callers; nil = no pool authenticates them.
 	Callers *Callers
-	// Costs are what requests of each class count against limits of tenants.
+	// Costs holds the cost of a request by class index, counted against limits of tenants.
 	Costs []float64
-	// FetchCost is what each way of a request to the origin counts beside that.
+	// FetchCost is the additional cost of each fetch from the origin.
 	FetchCost float64
-	// Admin is the administration API; nil = there is none.
+	// Admin configures the administration API; nil = none.
 	Admin *Admin
-	// Operator is where operators call; "" = nowhere.
+	// Operator is the listening address for operators; "" = none.
 	Operator string
-	// Handover is the path of the socket by which another process of this router takes over; "" = none does.
+	// Handover is the path of the socket through which a new process of this router takes over; "" = no handover.
 	Handover string
-	// Fleet is this router's part in the fleet; nil = it keeps no view of it.
+	// Fleet configures the membership of this router in the fleet; nil = it is not a member.
 	Fleet *Fleet
-	// Site is where the router stands.
+	// Site is the site of the router.
 	Site string
 }
 
-// MaxFileBytes is the longest configuration that is read, in bytes.
+// MaxFileBytes is the maximum size of a configuration file.
 const MaxFileBytes = 1 << 20
 
 // document mirrors the configuration file. deploy/cottonyoke.toml explains each key.
@@ -74,10 +74,10 @@
 	End       *struct{}    `toml:"end"`
 }
 
-// endMarker is the last line of a whole file: one that was cut short, also where what is there would parse, lacks it.
+// endMarker matches the required last line of a file. A truncated file lacks it, even if the rest parses.
 var endMarker = regexp.MustCompile(`^\s*\[end\]\s*(#.*)?$`)
 
-// lastSignificantLine is the last line that holds more than a comment.
+// lastSignificantLine returns the last line that is neither blank nor a comment.
 func lastSignificantLine(text []byte) []byte {
 	lines := bytes.Split(text, []byte("\n"))
 	for _, l := range slices.Backward(lines) {
@@ -168,8 +168,7 @@
 	Notices   *bool    `toml:"notices"`
 }
 
-// ReadFile reads a configuration file and checks it whole. An error is of type tomlfile.Faults where the file could be
-// read.
+// ReadFile reads and checks a configuration file. The error is of type tomlfile.Faults if the file could be read.
 func ReadFile(path string) (*File, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -192,7 +191,7 @@
 	return c, faults.Err()
 }
 
-// ParseFile checks a configuration. Names of files in it are relative to the folder of path.
+// ParseFile parses and checks a configuration. Paths in it are relative to the directory of path.
 func ParseFile(path string, text []byte) (*File, tomlfile.Faults) {
 	var doc document
 	d, faults := tomlfile.Decode(path, text, &doc)
@@ -210,7 +209,7 @@
 	return out, nil
 }
 
-// checker checks a configuration and gathers what is wrong.
+// checker checks a configuration and collects the faults.
 type checker struct {
 	d      *tomlfile.Doc
 	doc    *document
@@ -218,7 +217,7 @@
 	faults tomlfile.Faults
 }
 
-// maxFaults bounds what is said about one file.
+// maxFaults is the maximum number of faults reported per file.
 const maxFaults = 100
 
 func (c *checker) addFault(key, format string, args ...any) {
@@ -227,7 +226,7 @@
 	}
 }
 
-// boundedNumber is a key's value, its default where it is missing; out of range it is a fault.
+// boundedNumber returns the value of a key, or its default if it is missing. A value out of range is a fault.
 func boundedNumber[T int | int64 | float64](c *checker, key string, v *T, def, lo, hi T, unit string) T {
 	if v == nil {
 		return def
@@ -246,7 +245,7 @@
 	return *v
 }
 
-// checkName checks a name, which must stand once among those seen.
+// checkName checks the form of a name and that it is unique among those seen.
 func (c *checker) checkName(key, v string, seen *[]string) {
 	if v == "" || len(v) > 64 || strings.Trim(v, ".") == "" || strings.ContainsFunc(v, func(r rune) bool { return r <= ' ' || r > '~' || strings.ContainsRune(`,=/\`, r) }) {
 		c.addFault(key, "%.40q is no name; up to 64 letters, digits and signs but , = / and \\ are", v)
@@ -256,13 +255,13 @@
 	*seen = append(*seen, v)
 }
 
-// maxCores bounds the engines of a pool: each has its part of all limits.
+// maxCores is the maximum number of engines of a pool. Each has an equal share of all limits.
 const maxCores = 64
 
-// hourMS bounds times, in milliseconds.
+// hourMS is an hour in milliseconds, the upper bound of most durations.
 const hourMS = 3600e3
 
-// checkFile checks all of it.
+// checkFile checks the whole configuration.
 func (c *checker) checkFile() *File {
 	doc := c.doc
 	var none []string
@@ -335,7 +334,7 @@
 	return out
 }
 
-// validate lets the module check what it is given: its bounds hold whatever this file thinks.
+// validate applies the checks of the decide package, whose bounds hold regardless of those in this package.
 func (c *checker) validate(f *File) {
 	for i, p := range f.Pools {
 		if err := p.Checked.Config.Validate(); err != nil {
@@ -346,7 +345,7 @@
 
 func (c *checker) parseSeed() uint64 {
 	if c.doc.Seed == "" {
-		return 0 // the program draws one
+		return 0 // the program chooses a random seed
 	}
 	n, err := strconv.ParseUint(c.doc.Seed, 16, 64)
 	if err != nil || n == 0 {
@@ -355,7 +354,7 @@
 	return n
 }
 
-// balancerConfig is what all pools tell the module alike.
+// balancerConfig returns the settings of the decide package that all pools share.
 func (c *checker) balancerConfig() decide.Config {
 	d := c.doc
 	if d.Site == "" {
@@ -438,10 +437,10 @@
 	return out
 }
 
-// originModes are the ways of a pool to values that no cache server has.
+// originModes lists who fetches values that no cache server has.
 var originModes = []string{"router", "servers"}
 
-// checkPool checks one pool. Names and addresses are those of the pools before it.
+// checkPool checks one pool. Names and addresses are those already in use.
 func (c *checker) checkPool(at string, p *poolKeys, base decide.Config, names, addresses *[]string) *Config {
 	c.checkName(at+".name", p.Name, names)
 	cfg := &Config{Listen: p.Listen, Standalone: true}
@@ -485,7 +484,7 @@
 	}
 }
 
-// checkListen checks an address for clients, which must be nobody else's.
+// checkListen checks a listening address, which must be unique.
 func (c *checker) checkListen(key, v string, addresses *[]string) {
 	c.checkAddress(key, v, true)
 	if slices.Contains(*addresses, v) && !strings.HasSuffix(v, ":0") {
@@ -494,7 +493,7 @@
 	*addresses = append(*addresses, v)
 }
 
-// checkSource checks where a pool's servers come from.
+// checkSource checks the source of a pool's server list.
 func (c *checker) checkSource(at string, p *poolKeys, origin bool) member.FileConfig {
 	s := &p.Servers
 	out := member.FileConfig{SettleMS: boundedNumber(c, at+".settle_ms", s.Settle, watch.DefaultSettleMS, 0, 200, " ms"),
@@ -519,7 +518,7 @@
 	return out
 }
 
-// resolvePath takes a path from the folder of the configuration.
+// resolvePath resolves a path relative to the directory of the configuration.
 func (c *checker) resolvePath(path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -527,10 +526,10 @@
 	return filepath.Join(c.dir, path)
 }
 
-// maxSocketPathBytes is the longest name of a Unix socket, with room for the process's number behind it.
+// maxSocketPathBytes is the maximum length of a Unix socket path that leaves space for a process ID as suffix.
 const maxSocketPathBytes = 96
 
-// checkHandover checks the way from one process of the router to the next.
+// checkHandover checks the socket path for the handover to a new process and returns it.
 func (c *checker) checkHandover(admin *Admin) string {
 	if c.doc.Handover == "" {
 		return ""
@@ -545,8 +544,8 @@
 	return path
 }
 
-// NeedsRestart names the settings that differ and that a running router can't change: it has opened or shared out what
-// they say. An empty list means that next can take over from f.
+// NeedsRestart returns the differing settings that a running router can't change, because they determine resources that
+// it has already opened or divided. An empty list means that next can replace f without a restart.
 func (f *File) NeedsRestart(next *File) []string {
 	var keys []string
 	differs := func(key string, is bool) {
@@ -588,7 +587,7 @@
 	return slices.Compact(keys)
 }
 
-// sameBalancerConfig compares what is no list.
+// sameBalancerConfig compares two configurations whose lists have been cleared.
 func sameBalancerConfig(a, b decide.Config) bool {
 	return fmt.Sprint(a) == fmt.Sprint(b) && !math.IsNaN(a.Cold)
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,6 +1,4 @@
-// Package router is a router in front of cache servers on real sockets. It hosts one decide.Balancer and decides
-// nothing itself.
-// Package config reads what a router is told at its start, and checks it.
+// Package config reads and checks the configuration with which a router starts.
 package config
 
 import (
@@ -15,12 +13,12 @@
 	"mossproxy.example/mossproxy/internal/settings"
 )
 
-// Config is what a router is told at its start.
+// Config is the configuration of one pool: that of the platform, or a [[pool]] of a File.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Operator  string `json:"operator"` // where operators call; "" = nowhere
+	Operator  string `json:"operator"` // listening address for operators; "" = none
 	Seed      string `json:"seed"`
 	Limits    struct {
 		MemoryMB int64 `json:"memory_mb"`
@@ -29,34 +27,35 @@
 	Known    member.List     `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	SeedNumber uint64            `json:"-"` // Seed, read
-	Checked    settings.Settings `json:"-"` // Settings, read and checked
+	SeedNumber uint64            `json:"-"` // Seed, parsed
+	Checked    settings.Settings `json:"-"` // Settings, parsed and checked
 
-	Pool       string            `json:"-"` // of the program's own configuration
-	Standalone bool              `json:"-"` // comes from the program's own configuration, not from the platform's
-	RESP       *RESP             `json:"-"` // the pool speaks RESP; nil = the meta commands
-	Cores      int               `json:"-"` // engines that share the pool; 0 counts as 1
-	Callers    *Callers          `json:"-"` // who may call; nil = nobody is asked
-	TLS        *TLS              `json:"-"` // a listener for links with TLS; nil = there is none
-	Tenants    *Tenants          `json:"-"` // their limits; nil = they have none but the module's quotas
-	ServerTLS  *ServerTLS        `json:"-"` // of links to servers and origin; nil = they are plain
-	Grace      time.Duration     `json:"-"` // how long connections are taken once the router is told to stop
-	Source     member.FileConfig `json:"-"` // the server file; without a path, Discovery tells of servers
+	Pool       string            `json:"-"` // name of the pool in a File
+	Standalone bool              `json:"-"` // comes from a File, not from the platform
+	RESP       *RESP             `json:"-"` // set if the pool speaks RESP; nil = the meta commands
+	Cores      int               `json:"-"` // number of engines that share the pool; 0 means 1
+	Callers    *Callers          `json:"-"` // authentication of callers; nil = none
+	TLS        *TLS              `json:"-"` // additional TLS listener; nil = none
+	Tenants    *Tenants          `json:"-"` // limits of tenants; nil = only the quotas of the decide package apply
+	ServerTLS  *ServerTLS        `json:"-"` // TLS of connections to servers and origin; nil = plain
+	Grace      time.Duration     `json:"-"` // how long connections are still accepted after the stop signal
+	Source     member.FileConfig `json:"-"` // the server file; without a path, Discovery supplies the servers
 }
 
-// FDReserve is what the process holds beside connections: standard streams, the listener, the poller, discovery.
+// FDReserve is the number of descriptors reserved for other uses than connections: standard streams, the listener,
+// the poller and discovery.
 const FDReserve = 32
 
-// OperatorReserve is what operators' calls may hold beside that, where they have an address: as many calls at once, their listener and the
-// call that has come before another one gives way.
+// OperatorReserve is the number of descriptors reserved for operators, if they have an address: the concurrent calls,
+// the listener, and one call accepted before another is closed for it.
 const OperatorReserve = 18
 
-// platformDrainGrace is for how long connections are taken on the platform once the router is told to stop: for 0.4 s new
-// ones still come.
+// platformDrainGrace is how long the router accepts connections on the platform after the stop signal: new ones still
+// arrive for 0.4 s.
 const platformDrainGrace = 500 * time.Millisecond
 
-// Load reads the configuration at path; getenv fills in what the file leaves out. An error is one line that
-// names the setting.
+// Load reads the configuration of the platform at path; getenv supplies values that the file omits. An error is one
+// line that names the setting.
 func Load(path string, getenv func(string) string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/resp.go
+++ b/internal/config/resp.go
@@ -10,33 +10,33 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// RESP is what a pool that speaks the cluster dialect of RESP works by.
+// RESP configures a pool that speaks the cluster dialect of RESP.
 type RESP struct {
 	Seeds       []string
 	User        string
-	Password    string // for the servers; "" = none
-	Replicas    bool   // may answer reads
-	Read, Write string // classes of what no rule maps
+	Password    string // for authentication at the servers; "" = none
+	Replicas    bool   // whether replicas may answer reads
+	Read, Write string // classes of commands that no rule matches
 	Rules       []RESPRule
 	Logins      []RESPLogin
-	Tenant      string // of clients that need not log in
+	Tenant      string // tenant of clients that need not log in
 	Peers       []string
-	Fleet       bool // the routers of [checkFleet] are the peers; this one is FleetName there, and reached by FleetHost
+	Fleet       bool // the peers are the routers of [fleet], in which this one has FleetName and FleetHost
 	FleetName   string
 	FleetHost   string
-	Meta        string // where clients that speak the meta commands come to; "" = nowhere
-	Origin      string // address of the origin; "" = what the servers hold is all there is
-	KeepMS      int64  // for which a value of the origin is stored
+	Meta        string // listening address for the meta commands; "" = none
+	Origin      string // address of the origin; "" = the pool has no origin
+	KeepMS      int64  // time to live of values fetched from the origin, in milliseconds
 }
 
-// RESPRule maps commands, on keys with a prefix, to a class.
+// RESPRule maps commands on keys with a prefix to a class.
 type RESPRule struct {
 	Commands []string
 	Prefix   string
 	Class    string
 }
 
-// RESPLogin is a user's way to a tenant.
+// RESPLogin maps a user, with the hash of the password, to a tenant.
 type RESPLogin struct {
 	User   string
 	SHA256 [32]byte
@@ -75,15 +75,15 @@
 	Tenant string `toml:"tenant"`
 }
 
-// checkRESP checks a pool that speaks RESP.
+// checkRESP checks the settings of a pool that speaks RESP.
 func (c *checker) checkRESP(at string, p *poolKeys, cfg *Config, addresses *[]string) {
 	k, in := &p.RESP, at+".resp"
 	m := &cfg.Checked.Config
-	// A server that speaks RESP says LOADING until it has its data, and a replica that takes over has them: none is cold.
+	// A RESP server answers LOADING until it has its data, and a promoted replica already has them: no server is cold.
 	m.Cold = 0
 	m.Aside, m.OriginKind, m.Alone, m.Probes, m.Weighted = false, "", true, false, false
 	if p.Origin != "" && p.Origin != "none" {
-		// The default has been filled in by now.
+		// Origin already holds its default here, so its line tells whether the file sets it.
 		if c.d.Line(at+".origin") != c.d.Line(at) {
 			c.addFault(at+".origin", "belongs to pools that speak the meta commands; [pool.resp.origin] names one with its address")
 		}
@@ -128,10 +128,10 @@
 	cfg.RESP = out
 }
 
-// fleetPeersKeyword stands in place of peers' addresses for the routers of [checkFleet].
+// fleetPeersKeyword, in place of the addresses of peers, selects the routers of [fleet].
 const fleetPeersKeyword = "fleet"
 
-// checkRESPPeers checks the other routers that a pool's clients are sent to.
+// checkRESPPeers checks the routers to which clients of a pool are redirected.
 func (c *checker) checkRESPPeers(in string, peers []string, routers int) {
 	if slices.Contains(peers, fleetPeersKeyword) {
 		if len(peers) > 1 {
@@ -153,10 +153,10 @@
 	}
 }
 
-// OriginKind is how the origin of a pool that speaks RESP stands on its list.
+// OriginKind is the kind of the origin in the server list of a RESP pool.
 const OriginKind = "origin"
 
-// checkRESPOrigin checks the origin behind a cluster.
+// checkRESPOrigin checks [pool.resp.origin].
 func (c *checker) checkRESPOrigin(in string, k *respKeys, m *decide.Config, out *RESP) {
 	if k.Origin == (behindKeys{}) {
 		return
@@ -169,7 +169,7 @@
 	m.Alone, m.Aside, m.OriginKind = false, true, OriginKind
 }
 
-// checkRESPClass checks that a class is there, and that RESP servers can keep what it asks.
+// checkRESPClass checks that a class exists and that RESP servers support its effect.
 func (c *checker) checkRESPClass(key, name string, m *decide.Config) string {
 	for _, cl := range m.Classes {
 		if cl.Name == name {
@@ -212,7 +212,7 @@
 	}
 }
 
-// requiresCallers says whether the pool of a key like pool[2].resp asks who calls.
+// requiresCallers reports whether the pool of a key such as pool[2].resp authenticates callers.
 func (c *checker) requiresCallers(in string) bool {
 	for i, p := range c.doc.Pools {
 		if fmt.Sprintf("pool[%d].resp", i) == in {
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -6,7 +6,7 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// A report with a figure that can't be read, or that no load can have, is absent.
+// A report with an invalid or impossible value counts as absent.
 func TestUnreadableReportIsAbsent(t *testing.T) {
 	for _, text := range []string{"", "qps", "qps=x,util=1", "qps=NaN,util=1", "qps=1,util=+Inf", "qps=-1,util=1", "qps=0x1p3,util=1", "qps=1_0"} {
 		if got := ParseLoad(text); got != decide.NoLoad {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// What a listed size means: registered sizes share the keys, rough ones and loads don't.
+// Only nominal sizes are weights for the distribution of keys; rough sizes and loads are not.
 func TestSizesAreWeightsWhereTheyAreNominal(t *testing.T) {
 	for weights, want := range map[string]struct{ weighted, vary bool }{"nominal": {true, false}, "rough": {}, "live": {false, true}, "none": {}} {
 		s, err := Parse([]byte(`{"weights":"` + weights + `"}`))
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// Whatever the bytes are, finding lines ends and names a line of the text.
+// For any input, the line lookup terminates and faults have a line within the text.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(text))
 	f.Add([]byte("a.b = {c = [1, {d = 2}]}\n[x]\n[[x.y]]\n"))
