--- a/internal/config/callers.go
+++ b/internal/config/callers.go
@@ -116,8 +116,8 @@
 // checkCallers checks [callers]; it returns nil if no pool authenticates callers.
 func (c *checker) checkCallers() *Callers {
 	k := &c.doc.Callers
-	used := slices.ContainsFunc(c.doc.Pools, func(p poolKeys) bool { return p.Callers })
-	if !used {
+	required := slices.ContainsFunc(c.doc.Pools, func(p poolKeys) bool { return p.Callers })
+	if !required {
 		if k.Book != "" {
 			c.addFault("callers", "no pool has callers = true, so nobody is asked; set it, or take [callers] away")
 		}
@@ -125,12 +125,12 @@
 	}
 	out := &Callers{Remember: boundedNumber(c, "callers.remembered_tokens", k.Remember, 16384, 16, 1<<20, " tokens"),
 		Share: boundedNumber(c, "callers.checks_share", k.Share, 0.2, 0.01, 1, " of a core")}
-	second := func(key string, v *float64, def, hi float64) float64 {
+	secondsAsMS := func(key string, v *float64, def, hi float64) float64 {
 		return 1000 * boundedNumber(c, key, v, def, 0, hi, " s")
 	}
 	out.Policy = caller.Policy{Audiences: k.Audiences, Skew: boundedNumber(c, "callers.skew_ms", k.Skew, 30e3, 0, 600e3, " ms"),
-		Longest:  second("callers.longest_token_s", k.Longest, 3600, 30*86400),
-		StaleNew: second("callers.stale_new_s", k.StaleNew, 0, 365*86400), StaleAll: second("callers.stale_all_s", k.StaleAll, 0, 365*86400)}
+		Longest:  secondsAsMS("callers.longest_token_s", k.Longest, 3600, 30*86400),
+		StaleNew: secondsAsMS("callers.stale_new_s", k.StaleNew, 0, 365*86400), StaleAll: secondsAsMS("callers.stale_all_s", k.StaleAll, 0, 365*86400)}
 	for _, p := range []struct {
 		key, value string
 		needed     bool
@@ -152,14 +152,14 @@
 }
 
 // checkTLS checks [pool.tls]; it returns nil if the section is absent.
-func (c *checker) checkTLS(at string, p *poolKeys, callers *Callers, addresses *[]string) *TLS {
-	k, in := p.TLS, at+".tls"
+func (c *checker) checkTLS(poolKey string, p *poolKeys, callers *Callers, addresses *[]string) *TLS {
+	k, section := p.TLS, poolKey+".tls"
 	if k == (tlsKeys{}) {
 		return nil
 	}
-	c.checkListen(in+".listen", k.Listen, addresses)
+	c.checkListen(section+".listen", k.Listen, addresses)
 	if k.Certificate == "" || k.Key == "" {
-		c.addFault(in+".certificate", "certificate and key are both needed")
+		c.addFault(section+".certificate", "certificate and key are both needed")
 	}
 	if k.Clients == "" {
 		k.Clients = "none"
@@ -170,10 +170,10 @@
 	}
 	switch {
 	case !slices.Contains(ClientCertModes, k.Clients):
-		c.addFault(in+".clients", "%.20q is no choice; %s are", k.Clients, strings.Join(ClientCertModes, ", "))
+		c.addFault(section+".clients", "%.20q is no choice; %s are", k.Clients, strings.Join(ClientCertModes, ", "))
 	case k.Clients == "none":
 	case callers == nil || callers.Bundle == "":
-		c.addFault(in+".clients", "certificates are asked for, and callers.client_bundle, to check them by, is missing")
+		c.addFault(section+".clients", "certificates are asked for, and callers.client_bundle, to check them by, is missing")
 	default:
 		out.Bundle = callers.Bundle
 	}
@@ -181,16 +181,16 @@
 }
 
 // checkServerTLS checks [pool.server_tls]; it returns nil if the section is absent.
-func (c *checker) checkServerTLS(at string, p *poolKeys) *ServerTLS {
-	k, in := p.ServerTLS, at+".server_tls"
+func (c *checker) checkServerTLS(poolKey string, p *poolKeys) *ServerTLS {
+	k, section := p.ServerTLS, poolKey+".server_tls"
 	if k == (serverTLSKeys{}) {
 		return nil
 	}
 	if k.Bundle == "" {
-		c.addFault(in+".bundle", "missing; without it any server would do")
+		c.addFault(section+".bundle", "missing; without it any server would do")
 	}
 	if (k.Certificate == "") != (k.Key == "") {
-		c.addFault(in+".certificate", "certificate and key go together")
+		c.addFault(section+".certificate", "certificate and key go together")
 	}
 	out := &ServerTLS{Bundle: c.resolvePath(k.Bundle), Name: k.Name}
 	if k.Certificate != "" {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -38,7 +38,8 @@
 	Admin *Admin
 	// Operator is the listening address for operators; "" = none.
 	Operator string
-	// Handover is the path of the socket through which a new process of this router takes over; "" = no handover.
+	// Handover is the path of the socket through which a new process of this router takes over; "" = no
+	// handover.
 	Handover string
 	// Fleet configures the membership of this router in the fleet; nil = it is not a member.
 	Fleet *Fleet
@@ -168,7 +169,8 @@
 	Notices   *bool    `toml:"notices"`
 }
 
-// ReadFile reads and checks a configuration file. The error is of type tomlfile.Faults if the file could be read.
+// ReadFile reads and checks a configuration file. The error is of type tomlfile.Faults if the file could be
+// read.
 func ReadFile(path string) (*File, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -264,11 +266,11 @@
 // checkFile checks the whole configuration.
 func (c *checker) checkFile() *File {
 	doc := c.doc
-	var none []string
+	var seen []string
 	if doc.Name == "" {
 		doc.Name = "cottonyoke"
 	}
-	c.checkName("name", doc.Name, &none)
+	c.checkName("name", doc.Name, &seen)
 	out := &File{Name: doc.Name, Cores: boundedNumber(c, "limits.cores", doc.Limits.Cores, 1, 1, maxCores, " cores")}
 	out.Log, out.Callers = c.checkLog(), c.checkCallers()
 	base := c.balancerConfig()
@@ -388,32 +390,32 @@
 	var names []string
 	var out []decide.Class
 	for i := range c.doc.Classes {
-		k, at := &c.doc.Classes[i], fmt.Sprintf("class[%d].", i)
-		c.checkName(at+"name", k.Name, &names)
+		k, keyPrefix := &c.doc.Classes[i], fmt.Sprintf("class[%d].", i)
+		c.checkName(keyPrefix+"name", k.Name, &names)
 		if k.Aim == nil || k.Deadline == nil {
-			c.addFault(at+"aim_ms", "aim_ms and deadline_ms are needed; a class has no usual time")
+			c.addFault(keyPrefix+"aim_ms", "aim_ms and deadline_ms are needed; a class has no usual time")
 		}
 		e, ok := settings.ParseEffect(k.Effect)
 		if !ok {
-			c.addFault(at+"effect", "%.40q is no effect; repeatable, by_key and once are", k.Effect)
+			c.addFault(keyPrefix+"effect", "%.40q is no effect; repeatable, by_key and once are", k.Effect)
 		}
 		cl := decide.Class{Name: k.Name, Effect: e, Scope: k.Scope,
-			Aim:      boundedNumber(c, at+"aim_ms", k.Aim, 1, 1, hourMS, " ms"),
-			Deadline: boundedNumber(c, at+"deadline_ms", k.Deadline, hourMS, 1, hourMS, " ms"),
-			Window:   boundedNumber(c, at+"window_ms", k.Window, 0, 0, 24*hourMS, " ms"),
-			Stretch:  boundedNumber(c, at+"aim_stretch", k.Stretch, 0, 0, 100, ""),
-			Worth:    boundedNumber(c, at+"worth", k.Worth, 1, 0, 1e6, ""),
-			Late:     boundedNumber(c, at+"late_worth", k.Late, 0, 0, 1, "")}
+			Aim:      boundedNumber(c, keyPrefix+"aim_ms", k.Aim, 1, 1, hourMS, " ms"),
+			Deadline: boundedNumber(c, keyPrefix+"deadline_ms", k.Deadline, hourMS, 1, hourMS, " ms"),
+			Window:   boundedNumber(c, keyPrefix+"window_ms", k.Window, 0, 0, 24*hourMS, " ms"),
+			Stretch:  boundedNumber(c, keyPrefix+"aim_stretch", k.Stretch, 0, 0, 100, ""),
+			Worth:    boundedNumber(c, keyPrefix+"worth", k.Worth, 1, 0, 1e6, ""),
+			Late:     boundedNumber(c, keyPrefix+"late_worth", k.Late, 0, 0, 1, "")}
 		if cl.Aim > cl.Deadline {
-			c.addFault(at+"aim_ms", "%v is later than the deadline of %v", cl.Aim, cl.Deadline)
+			c.addFault(keyPrefix+"aim_ms", "%v is later than the deadline of %v", cl.Aim, cl.Deadline)
 		}
 		switch keyed := ok && e == decide.Keyed; {
 		case keyed && !slices.Contains(keyScopes, cl.Scope):
-			c.addFault(at+"scope", "%.40q is no scope; %s are", cl.Scope, strings.Join(keyScopes, ", "))
+			c.addFault(keyPrefix+"scope", "%.40q is no scope; %s are", cl.Scope, strings.Join(keyScopes, ", "))
 		case keyed && k.Window == nil:
-			c.addFault(at+"window_ms", "missing; how long does the group that drops repeats remember a key?")
+			c.addFault(keyPrefix+"window_ms", "missing; how long does the group that drops repeats remember a key?")
 		case ok && !keyed && (cl.Scope != "" || k.Window != nil):
-			c.addFault(at+"scope", "scope and window_ms belong to the effect by_key alone")
+			c.addFault(keyPrefix+"scope", "scope and window_ms belong to the effect by_key alone")
 		}
 		out = append(out, cl)
 	}
@@ -424,15 +426,15 @@
 	var names []string
 	var out []decide.Tenant
 	for i, t := range c.doc.Tenants {
-		at := fmt.Sprintf("tenant[%d].", i)
-		c.checkName(at+"name", t.Name, &names)
+		keyPrefix := fmt.Sprintf("tenant[%d].", i)
+		c.checkName(keyPrefix+"name", t.Name, &names)
 		if t.Share == nil && slices.ContainsFunc(c.doc.Tenants, func(t tenantKeys) bool { return t.hasLimits() }) {
 			continue
 		}
 		if t.Share == nil {
-			c.addFault(at+"share_per_s", "missing; how many requests a second over all routers count in full?")
+			c.addFault(keyPrefix+"share_per_s", "missing; how many requests a second over all routers count in full?")
 		}
-		out = append(out, decide.Tenant{Name: t.Name, Quota: boundedNumber(c, at+"share_per_s", t.Share, 0, 0, 1e9, " requests a second")})
+		out = append(out, decide.Tenant{Name: t.Name, Quota: boundedNumber(c, keyPrefix+"share_per_s", t.Share, 0, 0, 1e9, " requests a second")})
 	}
 	return out
 }
@@ -441,45 +443,45 @@
 var originModes = []string{"router", "servers"}
 
 // checkPool checks one pool. Names and addresses are those already in use.
-func (c *checker) checkPool(at string, p *poolKeys, base decide.Config, names, addresses *[]string) *Config {
-	c.checkName(at+".name", p.Name, names)
+func (c *checker) checkPool(poolKey string, p *poolKeys, base decide.Config, names, addresses *[]string) *Config {
+	c.checkName(poolKey+".name", p.Name, names)
 	cfg := &Config{Listen: p.Listen, Standalone: true}
-	c.checkListen(at+".listen", p.Listen, addresses)
+	c.checkListen(poolKey+".listen", p.Listen, addresses)
 	if p.Origin == "" {
 		p.Origin = "router"
 	}
 	if !slices.Contains(originModes, p.Origin) {
-		c.addFault(at+".origin", "%.40q is no way to the origin; router (asks it after a miss) and servers (fetch by themselves) are", p.Origin)
+		c.addFault(poolKey+".origin", "%.40q is no way to the origin; router (asks it after a miss) and servers (fetch by themselves) are", p.Origin)
 	}
 	m := base
 	if m.Aside = p.Origin == "router"; m.Aside {
 		m.OriginKind = "origin"
 	}
 	if len(p.Sites) > 0 && m.Zone != "" && !slices.Contains(p.Sites, m.Zone) {
-		c.addFault(at+".sites", "the router's own site %q is not among them", m.Zone)
+		c.addFault(poolKey+".sites", "the router's own site %q is not among them", m.Zone)
 	}
 	cfg.Checked = settings.Settings{Config: m, ConnectTimeout: boundedNumber(c, "attempts.connect_timeout_ms", c.doc.Attempts.Connect, 250, 1, 60e3, " ms")}
 	switch p.Protocol {
 	case "", "meta":
 		if len(p.RESP.Seeds) > 0 {
-			c.addFault(at+".resp", `belongs to a pool with protocol = "resp"`)
+			c.addFault(poolKey+".resp", `belongs to a pool with protocol = "resp"`)
 		}
 	case "resp":
-		c.checkRESP(at, p, cfg, addresses)
+		c.checkRESP(poolKey, p, cfg, addresses)
 		return cfg
 	default:
-		c.addFault(at+".protocol", "%.40q is no protocol; meta and resp are", p.Protocol)
+		c.addFault(poolKey+".protocol", "%.40q is no protocol; meta and resp are", p.Protocol)
 	}
-	cfg.Source = c.checkSource(at+".servers", p, m.Aside)
+	cfg.Source = c.checkSource(poolKey+".servers", p, m.Aside)
 	cfg.Discovery = p.Servers.Discovery
 	return cfg
 }
 
 // checkAddress checks HOST:PORT.
-func (c *checker) checkAddress(key, v string, zero bool) {
+func (c *checker) checkAddress(key, v string, allowPortZero bool) {
 	host, port, err := net.SplitHostPort(v)
 	n, perr := strconv.ParseUint(port, 10, 16)
-	if err != nil || host == "" || perr != nil || n == 0 && !zero {
+	if err != nil || host == "" || perr != nil || n == 0 && !allowPortZero {
 		c.addFault(key, "%.60q is no address; HOST:PORT is", v)
 	}
 }
@@ -494,19 +496,19 @@
 }
 
 // checkSource checks the source of a pool's server list.
-func (c *checker) checkSource(at string, p *poolKeys, origin bool) member.FileConfig {
+func (c *checker) checkSource(section string, p *poolKeys, hasOrigin bool) member.FileConfig {
 	s := &p.Servers
-	out := member.FileConfig{SettleMS: boundedNumber(c, at+".settle_ms", s.Settle, watch.DefaultSettleMS, 0, 200, " ms"),
+	out := member.FileConfig{SettleMS: boundedNumber(c, section+".settle_ms", s.Settle, watch.DefaultSettleMS, 0, 200, " ms"),
 		NoNotices: !boolOrDefault(s.Notices, true),
-		Rules: member.Rules{Sites: p.Sites, Kinds: p.Kinds, Origin: origin,
-			GoneShare: boundedNumber(c, at+".gone_share", s.Gone, member.DefaultGoneShare, 0.01, 1, "")}}
+		Rules: member.Rules{Sites: p.Sites, Kinds: p.Kinds, Origin: hasOrigin,
+			GoneShare: boundedNumber(c, section+".gone_share", s.Gone, member.DefaultGoneShare, 0.01, 1, "")}}
 	switch {
 	case (s.File == "") == (s.Discovery == ""):
-		c.addFault(at, "takes one of the two: file = PATH or discovery = HOST:PORT")
+		c.addFault(section, "takes one of the two: file = PATH or discovery = HOST:PORT")
 	case s.Discovery != "":
-		c.checkAddress(at+".discovery", s.Discovery, false)
+		c.checkAddress(section+".discovery", s.Discovery, false)
 		if s.Gone != nil || s.Settle != nil || s.Notices != nil {
-			c.addFault(at, "gone_share, settle_ms and notices belong to a file alone")
+			c.addFault(section, "gone_share, settle_ms and notices belong to a file alone")
 		}
 		return member.FileConfig{}
 	default:
@@ -526,7 +528,8 @@
 	return filepath.Join(c.dir, path)
 }
 
-// maxSocketPathBytes is the maximum length of a Unix socket path that leaves space for a process ID as suffix.
+// maxSocketPathBytes is the maximum length of a Unix socket path that leaves space for a process ID as
+// suffix.
 const maxSocketPathBytes = 96
 
 // checkHandover checks the socket path for the handover to a new process and returns it.
@@ -544,45 +547,46 @@
 	return path
 }
 
-// NeedsRestart returns the differing settings that a running router can't change, because they determine resources that
-// it has already opened or divided. An empty list means that next can replace f without a restart.
+// NeedsRestart returns the differing settings that a running router can't change, because they determine
+// resources that it has already opened or divided. An empty list means that next can replace f without a
+// restart.
 func (f *File) NeedsRestart(next *File) []string {
 	var keys []string
-	differs := func(key string, is bool) {
-		if is {
+	addIfChanged := func(key string, changed bool) {
+		if changed {
 			keys = append(keys, key)
 		}
 	}
-	differs("name", f.Name != next.Name)
-	differs("limits.cores", f.Cores != next.Cores)
-	differs("log", f.Log != next.Log)
-	differs("operator", f.Operator != next.Operator)
-	differs("handover", f.Handover != next.Handover)
-	differs("fleet (all but join)", !sameFleet(f.Fleet, next.Fleet))
-	differs("admin", !reflect.DeepEqual(f.Admin, next.Admin))
-	differs("callers", !reflect.DeepEqual(f.Callers, next.Callers))
+	addIfChanged("name", f.Name != next.Name)
+	addIfChanged("limits.cores", f.Cores != next.Cores)
+	addIfChanged("log", f.Log != next.Log)
+	addIfChanged("operator", f.Operator != next.Operator)
+	addIfChanged("handover", f.Handover != next.Handover)
+	addIfChanged("fleet (all but join)", !sameFleet(f.Fleet, next.Fleet))
+	addIfChanged("admin", !reflect.DeepEqual(f.Admin, next.Admin))
+	addIfChanged("callers", !reflect.DeepEqual(f.Callers, next.Callers))
 	if len(f.Pools) != len(next.Pools) {
 		return append(keys, "pool (their number)")
 	}
 	for i, p := range f.Pools {
 		q := next.Pools[i]
-		at := fmt.Sprintf("pool[%d].", i)
-		differs(at+"name", p.Name != q.Name)
-		differs("rules.drain_grace_ms", p.Grace != q.Grace)
-		differs(at+"listen", p.Listen != q.Listen)
-		differs(at+"tenant (limits, where there were none)", (p.Tenants == nil) != (q.Tenants == nil))
-		differs(at+"callers", (p.Callers == nil) != (q.Callers == nil))
-		differs(at+"tls", !reflect.DeepEqual(p.TLS, q.TLS))
-		differs(at+"server_tls", !reflect.DeepEqual(p.ServerTLS, q.ServerTLS))
-		differs(at+"protocol or resp", !reflect.DeepEqual(p.RESP, q.RESP))
-		differs(at+"origin", p.Checked.Config.Aside != q.Checked.Config.Aside)
-		differs(at+"servers.discovery (another kind of source)", (p.Source.Path == "") != (q.Source.Path == ""))
-		differs("limits", p.Limits != q.Limits)
-		differs("attempts", p.Checked.ConnectTimeout != q.Checked.ConnectTimeout)
+		keyPrefix := fmt.Sprintf("pool[%d].", i)
+		addIfChanged(keyPrefix+"name", p.Name != q.Name)
+		addIfChanged("rules.drain_grace_ms", p.Grace != q.Grace)
+		addIfChanged(keyPrefix+"listen", p.Listen != q.Listen)
+		addIfChanged(keyPrefix+"tenant (limits, where there were none)", (p.Tenants == nil) != (q.Tenants == nil))
+		addIfChanged(keyPrefix+"callers", (p.Callers == nil) != (q.Callers == nil))
+		addIfChanged(keyPrefix+"tls", !reflect.DeepEqual(p.TLS, q.TLS))
+		addIfChanged(keyPrefix+"server_tls", !reflect.DeepEqual(p.ServerTLS, q.ServerTLS))
+		addIfChanged(keyPrefix+"protocol or resp", !reflect.DeepEqual(p.RESP, q.RESP))
+		addIfChanged(keyPrefix+"origin", p.Checked.Config.Aside != q.Checked.Config.Aside)
+		addIfChanged(keyPrefix+"servers.discovery (another kind of source)", (p.Source.Path == "") != (q.Source.Path == ""))
+		addIfChanged("limits", p.Limits != q.Limits)
+		addIfChanged("attempts", p.Checked.ConnectTimeout != q.Checked.ConnectTimeout)
 		a, b := p.Checked.Config, q.Checked.Config
 		a.Classes, a.Tenants, a.OverWorth, a.Aside, a.OriginKind = nil, nil, 0, false, ""
 		b.Classes, b.Tenants, b.OverWorth, b.Aside, b.OriginKind = nil, nil, 0, false, ""
-		differs("site, tier, attempts or rules", !sameBalancerConfig(a, b))
+		addIfChanged("site, tier, attempts or rules", !sameBalancerConfig(a, b))
 	}
 	return slices.Compact(keys)
 }
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -29,7 +29,8 @@
 	return f
 }
 
-// The example is whole and good, becomes what the module takes, and its defaults are those that count without it.
+// The example is valid, yields settings that the decide package accepts, and states the actual default
+// values.
 func TestExample(t *testing.T) {
 	f := parse(t, example(t))
 	p := f.Pools[0]
@@ -39,7 +40,7 @@
 	c := p.Checked.Config
 	if c.Zone != "rades" || !c.Aside || c.OriginKind != "origin" || len(c.Classes) != 3 || c.Classes[1].Effect != decide.Keyed ||
 		c.Classes[2].Effect != decide.Once || c.Tenants[0].Quota != 1000 || !c.Weighted {
-		t.Errorf("module gets %+v", c)
+		t.Errorf("decide configuration: %+v", c)
 	}
 	if p.Source.Path != filepath.Join("dir", "servers.toml") || !p.Source.Rules.Origin || p.Source.Rules.GoneShare != 0.5 {
 		t.Errorf("source %+v", p.Source)
@@ -47,7 +48,7 @@
 	if _, err := decide.New(c, 1, nil); err != nil {
 		t.Error(err)
 	}
-	var short []string // without every line that says a default
+	var short []string // the example without the lines that state defaults
 	needed := regexp.MustCompile(`^(\[|name|site =|effect|aim_ms|deadline_ms|worth = [35]|scope|window_ms|share_per_s|listen|file|sites|kinds)`)
 	for line := range strings.Lines(example(t)) {
 		if needed.MatchString(line) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// Every key of the file stands in the example.
+// Every key of the configuration file appears in the example.
 func TestExampleHasEveryKey(t *testing.T) {
 	text := example(t)
 	var walk func(reflect.Type)
@@ -81,18 +82,18 @@
 	walk(reflect.TypeFor[document]())
 }
 
-// Half a configuration, cut at any byte, never passes for a whole one, also where the rest would parse.
+// A configuration truncated at any byte is rejected, even if the rest parses.
 func TestHalfAConfigurationIsRefused(t *testing.T) {
 	text := example(t)
 	whole := strings.Index(text, "\n[end]") + len("\n[end]")
 	for cut := range whole {
 		if _, faults := ParseFile("c.toml", []byte(text[:cut])); faults == nil {
-			t.Fatalf("cut at byte %d of %d: taken", cut, len(text))
+			t.Fatalf("cut at byte %d of %d: accepted", cut, len(text))
 		}
 	}
 	for cut := whole; cut <= len(text); cut++ {
 		if _, faults := ParseFile("c.toml", []byte(text[:cut])); faults != nil && !strings.Contains(text[whole:cut], "#") {
-			t.Errorf("cut within what follows the end: %v", faults)
+			t.Errorf("cut after the end marker: %v", faults)
 		}
 	}
 }
@@ -191,7 +192,7 @@
 		if c != nil {
 			for _, p := range c.Pools {
 				if _, err := decide.New(p.Checked.Config, 1, nil); err != nil {
-					t.Errorf("passed, but the module says %v", err)
+					t.Errorf("accepted, but decide.New returns: %v", err)
 				}
 			}
 		}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -65,37 +65,37 @@
 	return out
 }
 
-// checkFleetPeers checks the pools that have the routers of the fleet as peers. Clients are sent to such a pool at the
-// host by which the other routers reach this one, so the pool must listen there.
+// checkFleetPeers checks the pools that have the routers of the fleet as peers. Clients are sent to such a
+// pool at the host by which the other routers reach this one, so the pool must listen there.
 func (c *checker) checkFleetPeers(out *File, name string) {
 	tags := map[uint16]int{}
 	for i, p := range out.Pools {
 		if p.RESP == nil || !slices.Contains(p.RESP.Peers, fleetPeersKeyword) || out.Fleet == nil {
 			continue
 		}
-		at := fmt.Sprintf("pool[%d]", i)
+		poolKey := fmt.Sprintf("pool[%d]", i)
 		p.RESP.Fleet, p.RESP.Peers, p.RESP.FleetName, p.RESP.FleetHost = true, nil, name, out.Fleet.host()
 		tag := tier.PoolTag(p.Pool)
 		if j, taken := tags[tag]; taken {
-			c.addFault(at+".name", "%q and that of pool[%d] are the same to the other routers; name one otherwise", p.Pool, j)
+			c.addFault(poolKey+".name", "%q and that of pool[%d] are the same to the other routers; name one otherwise", p.Pool, j)
 		}
 		tags[tag] = i
 		if len(tags) == tier.MaxEndpoints+1 {
-			c.addFault(at+".resp.peers", "%d pools at most can have the routers of [fleet] as peers", tier.MaxEndpoints)
+			c.addFault(poolKey+".resp.peers", "%d pools at most can have the routers of [fleet] as peers", tier.MaxEndpoints)
 		}
 		if host, _, err := net.SplitHostPort(p.Listen); err == nil && !sameHost(host, p.RESP.FleetHost) {
-			c.addFault(at+".listen", "%q: the others reach this router at %s, by [fleet], and send clients there; listen there, or on all addresses", p.Listen, p.RESP.FleetHost)
+			c.addFault(poolKey+".listen", "%q: the others reach this router at %s, by [fleet], and send clients there; listen there, or on all addresses", p.Listen, p.RESP.FleetHost)
 		}
 	}
 }
 
 // host returns the host at which the other routers reach this one.
 func (f *Fleet) host() string {
-	at := f.Advertise
-	if at == "" {
-		at = f.Listen
+	address := f.Advertise
+	if address == "" {
+		address = f.Listen
 	}
-	host, _, _ := net.SplitHostPort(at) // already checked
+	host, _, _ := net.SplitHostPort(address) // already checked
 	return host
 }
 
@@ -105,9 +105,9 @@
 	return listens == "" || err == nil && ip.IsUnspecified() || listens == reached
 }
 
-// checkReachable checks an address by which routers reach each other. Without a key only loopback is allowed, because
-// anybody who reaches the address could impersonate a router.
-func (c *checker) checkReachable(key, v string, secret []byte) {
+// checkReachable checks an address by which routers reach each other. Without a key only loopback is allowed,
+// because anybody who reaches the address could impersonate a router.
+func (c *checker) checkReachable(key, v string, sharedKey []byte) {
 	host, _, err := net.SplitHostPort(v)
 	ip, perr := netip.ParseAddr(host)
 	switch {
@@ -115,7 +115,7 @@
 		return // already reported
 	case perr == nil && ip.IsUnspecified():
 		c.addFault(key, "%q is no address that others can reach; name one, or set advertise", v)
-	case secret == nil && !(perr == nil && ip.IsLoopback()):
+	case sharedKey == nil && !(perr == nil && ip.IsLoopback()):
 		c.addFault(key, "%q is no loopback address, and without key_file anybody could speak as a router; make one: head -c 32 /dev/urandom | base64", v)
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -42,20 +42,20 @@
 	Source     member.FileConfig `json:"-"` // the server file; without a path, Discovery supplies the servers
 }
 
-// FDReserve is the number of descriptors reserved for other uses than connections: standard streams, the listener,
-// the poller and discovery.
+// FDReserve is the number of descriptors reserved for other uses than connections: standard streams, the
+// listener, the poller and discovery.
 const FDReserve = 32
 
-// OperatorReserve is the number of descriptors reserved for operators, if they have an address: the concurrent calls,
-// the listener, and one call accepted before another is closed for it.
+// OperatorReserve is the number of descriptors reserved for operators, if they have an address: the
+// concurrent calls, the listener, and one call accepted before another is closed for it.
 const OperatorReserve = 18
 
-// platformDrainGrace is how long the router accepts connections on the platform after the stop signal: new ones still
-// arrive for 0.4 s.
+// platformDrainGrace is how long the router accepts connections on the platform after the stop signal: new
+// ones still arrive for 0.4 s.
 const platformDrainGrace = 500 * time.Millisecond
 
-// Load reads the configuration of the platform at path; getenv supplies values that the file omits. An error is one
-// line that names the setting.
+// Load reads the configuration of the platform at path; getenv supplies values that the file omits. An error
+// is one line that names the setting.
 func Load(path string, getenv func(string) string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/resp.go
+++ b/internal/config/resp.go
@@ -76,55 +76,56 @@
 }
 
 // checkRESP checks the settings of a pool that speaks RESP.
-func (c *checker) checkRESP(at string, p *poolKeys, cfg *Config, addresses *[]string) {
-	k, in := &p.RESP, at+".resp"
+func (c *checker) checkRESP(poolKey string, p *poolKeys, cfg *Config, addresses *[]string) {
+	k, section := &p.RESP, poolKey+".resp"
 	m := &cfg.Checked.Config
-	// A RESP server answers LOADING until it has its data, and a promoted replica already has them: no server is cold.
+	// A RESP server answers LOADING until it has its data, and a promoted replica already has them: no server
+	// is cold.
 	m.Cold = 0
 	m.Aside, m.OriginKind, m.Alone, m.Probes, m.Weighted = false, "", true, false, false
 	if p.Origin != "" && p.Origin != "none" {
 		// Origin already holds its default here, so its line tells whether the file sets it.
-		if c.d.Line(at+".origin") != c.d.Line(at) {
-			c.addFault(at+".origin", "belongs to pools that speak the meta commands; [pool.resp.origin] names one with its address")
+		if c.d.Line(poolKey+".origin") != c.d.Line(poolKey) {
+			c.addFault(poolKey+".origin", "belongs to pools that speak the meta commands; [pool.resp.origin] names one with its address")
 		}
 	}
 	if p.Servers != (serversKeys{}) {
-		c.addFault(at+".servers", "the servers of a pool that speaks RESP come from its cluster; name resp.seeds alone")
+		c.addFault(poolKey+".servers", "the servers of a pool that speaks RESP come from its cluster; name resp.seeds alone")
 	}
 	if len(k.Seeds) == 0 {
-		c.addFault(in+".seeds", "missing; name one server of the cluster at least, HOST:PORT")
+		c.addFault(section+".seeds", "missing; name one server of the cluster at least, HOST:PORT")
 	}
 	for i, s := range k.Seeds {
-		c.checkAddress(fmt.Sprintf("%s.seeds[%d]", in, i), s, false)
+		c.checkAddress(fmt.Sprintf("%s.seeds[%d]", section, i), s, false)
 	}
 	out := &RESP{Seeds: k.Seeds, User: k.User, Replicas: k.Replicas, Tenant: k.Tenant, Peers: k.Peers}
-	out.Read, out.Write = c.checkRESPClass(in+".read_class", k.Read, m), c.checkRESPClass(in+".write_class", k.Write, m)
+	out.Read, out.Write = c.checkRESPClass(section+".read_class", k.Read, m), c.checkRESPClass(section+".write_class", k.Write, m)
 	for _, cl := range m.Classes {
 		if cl.Name == k.Write && cl.Effect == decide.Repeatable {
-			c.addFault(in+".write_class", "%q may run twice, and INCR must not: name a class with the effect once", k.Write)
+			c.addFault(section+".write_class", "%q may run twice, and INCR must not: name a class with the effect once", k.Write)
 		}
 	}
 	for i, r := range k.Rules {
-		here := fmt.Sprintf("%s.rule[%d]", in, i)
+		entryKey := fmt.Sprintf("%s.rule[%d]", section, i)
 		for j, n := range r.Commands {
 			r.Commands[j] = strings.ToUpper(n)
 		}
-		out.Rules = append(out.Rules, RESPRule{r.Commands, r.Prefix, c.checkRESPClass(here+".class", r.Class, m)})
+		out.Rules = append(out.Rules, RESPRule{r.Commands, r.Prefix, c.checkRESPClass(entryKey+".class", r.Class, m)})
 	}
-	c.checkLogins(in, k, out)
-	c.checkRESPOrigin(in, k, m, out)
+	c.checkLogins(section, k, out)
+	c.checkRESPOrigin(section, k, m, out)
 	if k.Meta != "" {
-		c.checkListen(in+".meta_listen", k.Meta, addresses)
+		c.checkListen(section+".meta_listen", k.Meta, addresses)
 		out.Meta = k.Meta
 	}
 	if k.PasswordFile != "" {
 		text, err := os.ReadFile(c.resolvePath(k.PasswordFile))
 		if err != nil {
-			c.addFault(in+".password_file", "can't be read: %v", err)
+			c.addFault(section+".password_file", "can't be read: %v", err)
 		}
 		out.Password = strings.TrimSpace(string(text))
 	}
-	c.checkRESPPeers(in, k.Peers, m.Routers)
+	c.checkRESPPeers(section, k.Peers, m.Routers)
 	cfg.RESP = out
 }
 
@@ -132,24 +133,24 @@
 const fleetPeersKeyword = "fleet"
 
 // checkRESPPeers checks the routers to which clients of a pool are redirected.
-func (c *checker) checkRESPPeers(in string, peers []string, routers int) {
+func (c *checker) checkRESPPeers(section string, peers []string, routers int) {
 	if slices.Contains(peers, fleetPeersKeyword) {
 		if len(peers) > 1 {
-			c.addFault(in+".peers", "%q stands alone: it names all routers of [fleet]", fleetPeersKeyword)
+			c.addFault(section+".peers", "%q stands alone: it names all routers of [fleet]", fleetPeersKeyword)
 		}
 		if c.doc.Fleet.isZero() {
-			c.addFault(in+".peers", "%q names the routers of [fleet], and there is none", fleetPeersKeyword)
+			c.addFault(section+".peers", "%q names the routers of [fleet], and there is none", fleetPeersKeyword)
 		}
 		return
 	}
 	if len(peers) > 0 && !c.doc.Fleet.isZero() {
-		c.addFault(in+".peers", "where there is a [fleet] it says which routers there are: write peers = [%q], or [] for this one alone", fleetPeersKeyword)
+		c.addFault(section+".peers", "where there is a [fleet] it says which routers there are: write peers = [%q], or [] for this one alone", fleetPeersKeyword)
 	}
 	if len(peers) > 0 && len(peers) != routers {
-		c.addFault(in+".peers", "%d addresses, and tier.routers says %d; name each router's, in the order of their numbers", len(peers), routers)
+		c.addFault(section+".peers", "%d addresses, and tier.routers says %d; name each router's, in the order of their numbers", len(peers), routers)
 	}
 	for i, s := range peers {
-		c.checkAddress(fmt.Sprintf("%s.peers[%d]", in, i), s, false)
+		c.checkAddress(fmt.Sprintf("%s.peers[%d]", section, i), s, false)
 	}
 }
 
@@ -157,15 +158,15 @@
 const OriginKind = "origin"
 
 // checkRESPOrigin checks [pool.resp.origin].
-func (c *checker) checkRESPOrigin(in string, k *respKeys, m *decide.Config, out *RESP) {
+func (c *checker) checkRESPOrigin(section string, k *respKeys, m *decide.Config, out *RESP) {
 	if k.Origin == (behindKeys{}) {
 		return
 	}
-	c.checkAddress(in+".origin.address", k.Origin.Address, false)
+	c.checkAddress(section+".origin.address", k.Origin.Address, false)
 	if k.Origin.Keep == nil {
-		c.addFault(in+".origin.keep_ms", "missing; for how long may the servers give a value that the origin has changed since?")
+		c.addFault(section+".origin.keep_ms", "missing; for how long may the servers give a value that the origin has changed since?")
 	}
-	out.Origin, out.KeepMS = k.Origin.Address, boundedNumber(c, in+".origin.keep_ms", k.Origin.Keep, 1, 1, 365*24*hourMS, " ms")
+	out.Origin, out.KeepMS = k.Origin.Address, boundedNumber(c, section+".origin.keep_ms", k.Origin.Keep, 1, 1, 365*24*hourMS, " ms")
 	m.Alone, m.Aside, m.OriginKind = false, true, OriginKind
 }
 
@@ -183,8 +184,8 @@
 	return name
 }
 
-func (c *checker) checkLogins(in string, k *respKeys, out *RESP) {
-	tenant := func(key, name string) {
+func (c *checker) checkLogins(section string, k *respKeys, out *RESP) {
+	checkTenant := func(key, name string) {
 		for _, t := range c.doc.Tenants {
 			if t.Name == name {
 				return
@@ -193,19 +194,19 @@
 		c.addFault(key, "%.40q is no tenant", name)
 	}
 	if len(k.Logins) == 0 && k.Tenant != "" {
-		tenant(in+".tenant", k.Tenant)
+		checkTenant(section+".tenant", k.Tenant)
 	}
-	if p := len(k.Logins); p > 0 && c.requiresCallers(in) {
-		c.addFault(in+".login", "logins and callers = true don't go together: the book of callers has the keys")
+	if p := len(k.Logins); p > 0 && c.requiresCallers(section) {
+		c.addFault(section+".login", "logins and callers = true don't go together: the book of callers has the keys")
 	}
 	var users []string
 	for i, l := range k.Logins {
-		here := fmt.Sprintf("%s.login[%d]", in, i)
-		c.checkName(here+".user", l.User, &users)
-		tenant(here+".tenant", l.Tenant)
+		entryKey := fmt.Sprintf("%s.login[%d]", section, i)
+		c.checkName(entryKey+".user", l.User, &users)
+		checkTenant(entryKey+".tenant", l.Tenant)
 		sum, err := hex.DecodeString(l.SHA256)
 		if err != nil || len(sum) != 32 {
-			c.addFault(here+".password_sha256", "not the 64 hex digits of a SHA-256")
+			c.addFault(entryKey+".password_sha256", "not the 64 hex digits of a SHA-256")
 			continue
 		}
 		out.Logins = append(out.Logins, RESPLogin{l.User, [32]byte(sum), l.Tenant})
@@ -213,9 +214,9 @@
 }
 
 // requiresCallers reports whether the pool of a key such as pool[2].resp authenticates callers.
-func (c *checker) requiresCallers(in string) bool {
+func (c *checker) requiresCallers(section string) bool {
 	for i, p := range c.doc.Pools {
-		if fmt.Sprintf("pool[%d].resp", i) == in {
+		if fmt.Sprintf("pool[%d].resp", i) == section {
 			return p.Callers
 		}
 	}
--- a/internal/config/resp_test.go
+++ b/internal/config/resp_test.go
@@ -8,7 +8,7 @@
 	"mossproxy.example/mossproxy/decide"
 )
 
-// withRESP is the example with its second pool, which is commented out there.
+// withRESP returns the example with its second pool, which speaks RESP, uncommented.
 func withRESP(t *testing.T) string {
 	t.Helper()
 	text := example(t)
@@ -70,7 +70,7 @@
 	}
 }
 
-// Without an origin, what the servers hold is all there is.
+// A RESP pool without an origin runs standalone (Alone) and fetches nothing after a miss.
 func TestRESPPoolAlone(t *testing.T) {
 	text := regexp.MustCompile(`(?m)^\[pool.resp.origin\][^\n]*\n.*\n.*\n`).ReplaceAllString(withRESP(t), "")
 	if c := parse(t, text).Pools[1].Checked.Config; !c.Alone || c.Aside || c.OriginKind != "" {
@@ -78,7 +78,7 @@
 	}
 }
 
-// The parts of the limits are shared over both kinds of pools, and a changed cluster takes a restart.
+// Limits are divided among pools of both protocols, and changed seeds require a restart.
 func TestRESPNeedsRestart(t *testing.T) {
 	old := parse(t, withRESP(t))
 	next := parse(t, strings.Replace(withRESP(t), "127.0.0.1:7000", "127.0.0.1:7001", 1))
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -36,7 +36,8 @@
 	return t.Floor != nil || t.Weight != nil || t.Burst != nil || t.Most != nil || t.Open != nil || t.Bytes != nil || t.Conns != nil || t.Suspended || len(t.Classes) > 0
 }
 
-// checkTenantLimits checks the limits of tenants, which replace share_per_s; it returns nil if no tenant has any.
+// checkTenantLimits checks the limits of tenants, which replace share_per_s; it returns nil if no tenant has
+// any.
 func (c *checker) checkTenantLimits(classes []decide.Class) *Tenants {
 	if !slices.ContainsFunc(c.doc.Tenants, func(t tenantKeys) bool { return t.hasLimits() }) {
 		if c.doc.Capacity != nil {
@@ -46,17 +47,17 @@
 	}
 	out := &Tenants{Capacity: boundedNumber(c, "capacity_per_s", c.doc.Capacity, 0, 0, 1e9, " requests a second")}
 	for i := range c.doc.Tenants {
-		t, at := &c.doc.Tenants[i], fmt.Sprintf("tenant[%d].", i)
+		t, keyPrefix := &c.doc.Tenants[i], fmt.Sprintf("tenant[%d].", i)
 		if t.Share != nil {
-			c.addFault(at+"share_per_s", "stands beside limits of tenants; floor_per_s takes its place")
+			c.addFault(keyPrefix+"share_per_s", "stands beside limits of tenants; floor_per_s takes its place")
 		}
-		l := tenant.Limits{Floor: boundedNumber(c, at+"floor_per_s", t.Floor, 0, 0, 1e9, " requests a second"),
-			Weight: boundedNumber(c, at+"weight", t.Weight, 1, 0.001, 1000, ""), Burst: boundedNumber(c, at+"burst_s", t.Burst, 1, 0.01, 60, " s"),
-			Most: boundedNumber(c, at+"most_per_s", t.Most, 0, 0, 1e9, " requests a second"), Open: boundedNumber(c, at+"open", t.Open, 0, 0, 1e6, " requests"),
-			Bytes: int64(boundedNumber(c, at+"bytes_mb", t.Bytes, 0, 0, 1<<20, " MB") * (1 << 20)),
-			Conns: boundedNumber(c, at+"connections", t.Conns, 0, 0, 1e6, " connections"), Classes: c.classLimits(at, t, classes)}
+		l := tenant.Limits{Floor: boundedNumber(c, keyPrefix+"floor_per_s", t.Floor, 0, 0, 1e9, " requests a second"),
+			Weight: boundedNumber(c, keyPrefix+"weight", t.Weight, 1, 0.001, 1000, ""), Burst: boundedNumber(c, keyPrefix+"burst_s", t.Burst, 1, 0.01, 60, " s"),
+			Most: boundedNumber(c, keyPrefix+"most_per_s", t.Most, 0, 0, 1e9, " requests a second"), Open: boundedNumber(c, keyPrefix+"open", t.Open, 0, 0, 1e6, " requests"),
+			Bytes: int64(boundedNumber(c, keyPrefix+"bytes_mb", t.Bytes, 0, 0, 1<<20, " MB") * (1 << 20)),
+			Conns: boundedNumber(c, keyPrefix+"connections", t.Conns, 0, 0, 1e6, " connections"), Classes: c.classLimits(keyPrefix, t, classes)}
 		if err := l.Check(); err != nil {
-			c.addFault(at+"most_per_s", "%v", err)
+			c.addFault(keyPrefix+"most_per_s", "%v", err)
 		}
 		out.Tenants = append(out.Tenants, TenantLimits{Name: t.Name, Suspended: t.Suspended, Limits: l})
 	}
@@ -77,18 +78,18 @@
 }
 
 // classLimits returns the per-class limits of a tenant by class index.
-func (c *checker) classLimits(at string, t *tenantKeys, classes []decide.Class) (out []tenant.ClassLimits) {
+func (c *checker) classLimits(keyPrefix string, t *tenantKeys, classes []decide.Class) (out []tenant.ClassLimits) {
 	for j, r := range t.Classes {
-		here := fmt.Sprintf("%slimit[%d].", at, j)
+		entryKey := fmt.Sprintf("%slimit[%d].", keyPrefix, j)
 		n := slices.IndexFunc(classes, func(k decide.Class) bool { return k.Name == r.Class })
 		if n < 0 {
-			c.addFault(here+"class", "%.40q is no class", r.Class)
+			c.addFault(entryKey+"class", "%.40q is no class", r.Class)
 			continue
 		}
 		for len(out) <= n {
 			out = append(out, tenant.ClassLimits{})
 		}
-		out[n] = tenant.ClassLimits{Most: boundedNumber(c, here+"most_per_s", r.Most, 0, 0, 1e9, " requests a second"), Open: boundedNumber(c, here+"open", r.Open, 0, 0, 1e6, " requests")}
+		out[n] = tenant.ClassLimits{Most: boundedNumber(c, entryKey+"most_per_s", r.Most, 0, 0, 1e9, " requests a second"), Open: boundedNumber(c, entryKey+"open", r.Open, 0, 0, 1e6, " requests")}
 	}
 	return out
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings parses the settings of an instance. The simulator's protocol and the configuration of a real router
-// use the same JSON object.
+// Package settings parses the settings of an instance. The simulator's protocol and the configuration of a
+// real router use the same JSON object.
 package settings
 
 import (
@@ -112,8 +112,8 @@
 	return Settings{Config: c, Columns: s.LoadInfo.Columns, ConnectTimeout: s.Caps.ConnectTimeout}, nil
 }
 
-// SetLoad stores one metric of a load report. Reports over sockets and from the simulator name the same metric
-// differently; unknown metrics are ignored.
+// SetLoad stores one metric of a load report. Reports over sockets and from the simulator name the same
+// metric differently; unknown metrics are ignored.
 func SetLoad(l *decide.Load, name string, v float64) {
 	switch name {
 	case "rps", "qps":
@@ -129,8 +129,8 @@
 	}
 }
 
-// ParseLoad parses a load report. If any value is invalid, it returns decide.NoLoad, because the other values of such a
-// report can't be trusted either.
+// ParseLoad parses a load report. If any value is invalid, it returns decide.NoLoad, because the other values
+// of such a report can't be trusted either.
 func ParseLoad(text string) decide.Load {
 	l := decide.NoLoad
 	for f := range strings.SplitSeq(text, ",") {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -62,8 +62,8 @@
 // maxFaults is the maximum number of unknown keys reported per file.
 const maxFaults = 100
 
-// Decode decodes text into the struct that into points to. It stops at the first syntax or type error and reports
-// unknown keys up to maxFaults.
+// Decode decodes text into the struct that into points to. It stops at the first syntax or type error and
+// reports unknown keys up to maxFaults.
 func Decode(file string, text []byte, into any) (*Doc, Faults) {
 	d := &Doc{File: file, text: text}
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
