--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,7 +16,7 @@
 type Settings struct {
 	Config         decide.Config
 	Columns        []string // names of the columns in the simulator's load reports
-	ConnectTimeout float64  // in milliseconds; 0 = not set
+	ConnectTimeout float64  // for establishing a connection, after which the attempt to connect has failed; in ms, 0 = not set
 }
 
 // object is the JSON form of the settings; unknown keys are ignored. Decoding errors contain its name.
