--- a/internal/config/callers.go
+++ b/internal/config/callers.go
@@ -7,46 +7,46 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// Callers is where a router learns who may call, and what it holds callers to.
+// Callers configures the authentication and authorization of callers.
 type Callers struct {
-	Book, Rights, Pepper, Bundle string // paths; no pepper: no secrets are taken; no bundle: no certificates
+	Book, Rights, Pepper, Bundle string // paths; Book is the credentials store; without Pepper no secrets are accepted, without Bundle no certificates
 	Policy                       caller.Policy
-	Remember                     int     // tokens
-	Share                        float64 // of one core that checking may take
+	Remember                     int     // capacity of the cache of checked tokens
+	Share                        float64 // largest fraction of one core spent on checks
 }
 
-// TLS is a pool's listener of its own for links with TLS, beside the plain one.
+// TLS configures the TLS listener of a pool, in addition to the plain one.
 type TLS struct {
 	Listen                    string
-	Certificate, Key, Tickets string // paths; no tickets: their keys are drawn
-	Clients                   string // none, may or required
-	Bundle                    string // path
+	Certificate, Key, Tickets string // paths; without Tickets the ticket keys are random
+	Clients                   string // one of ClientCertModes
+	Bundle                    string // path of the CA bundle for client certificates
 }
 
-// ServerTLS is the TLS of the links to a pool's servers and origin.
+// ServerTLS configures TLS for the connections to the servers and origin of a pool.
 type ServerTLS struct {
-	Bundle, Certificate, Key string // paths; the last two may be empty
-	Name                     string // that servers must prove; "" = the host of their address
+	Bundle, Certificate, Key string // paths; Certificate and Key may be empty
+	Name                     string // name expected in server certificates; "" = the host of the address
 }
 
-// ClientCertModes are what a listener can ask of client certificates.
+// ClientCertModes lists the client certificate modes of a listener.
 var ClientCertModes = []string{"none", "may", "required"}
 
 type callersKeys struct {
-	Book             string   `toml:"book"`
-	Rights           string   `toml:"rights"`
-	Pepper           string   `toml:"pepper_file"`
-	Bundle           string   `toml:"client_bundle"`
-	Audiences        []string `toml:"audiences"`
-	Skew             *float64 `toml:"skew_ms"`
-	Longest          *float64 `toml:"longest_token_s"`
-	StaleNew         *float64 `toml:"stale_new_s"`
-	StaleAll         *float64 `toml:"stale_all_s"`
-	RememberedTokens *int     `toml:"remembered_tokens"`
-	ChecksShare      *float64 `toml:"checks_share"`
-}
-
-// Admin is where the administration API is served, and the store that it changes.
+	Book      string   `toml:"book"`
+	Rights    string   `toml:"rights"`
+	Pepper    string   `toml:"pepper_file"`
+	Bundle    string   `toml:"client_bundle"`
+	Audiences []string `toml:"audiences"`
+	Skew      *float64 `toml:"skew_ms"`
+	Longest   *float64 `toml:"longest_token_s"`
+	StaleNew  *float64 `toml:"stale_new_s"`
+	StaleAll  *float64 `toml:"stale_all_s"`
+	Remember  *int     `toml:"remembered_tokens"`
+	Share     *float64 `toml:"checks_share"`
+}
+
+// Admin holds the listening address of the administration API and the path of the store that it changes.
 type Admin struct{ Listen, State string }
 
 type adminKeys struct {
@@ -54,7 +54,7 @@
 	State  string `toml:"state"`
 }
 
-// checkAdmin checks [checkAdmin]; nil where there is none.
+// checkAdmin checks [admin]; it returns nil if the section is absent.
 func (c *checker) checkAdmin(callers *Callers, addresses *[]string) *Admin {
 	k := c.doc.Admin
 	if k == (adminKeys{}) {
@@ -90,7 +90,7 @@
 	Level  string `toml:"level"`
 }
 
-// Log is how the program's log is written.
+// Log configures the format and level of the log.
 type Log struct {
 	JSON  bool
 	Level string // debug, info, warn or error
@@ -98,7 +98,7 @@
 
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// checkLog checks [checkLog].
+// checkLog checks [log].
 func (c *checker) checkLog() Log {
 	k := c.doc.Log
 	if k.Format != "" && k.Format != "text" && k.Format != "json" {
@@ -113,24 +113,24 @@
 	return Log{k.Format == "json", k.Level}
 }
 
-// checkCallers checks [checkCallers]; nil where no pool has callers.
+// checkCallers checks [callers]; it returns nil if no pool authenticates callers.
 func (c *checker) checkCallers() *Callers {
 	k := &c.doc.Callers
-	used := slices.ContainsFunc(c.doc.Pools, func(p poolKeys) bool { return p.Callers })
-	if !used {
+	required := slices.ContainsFunc(c.doc.Pools, func(p poolKeys) bool { return p.Callers })
+	if !required {
 		if k.Book != "" {
 			c.addFault("callers", "no pool has callers = true, so nobody is asked; set it, or take [callers] away")
 		}
 		return nil
 	}
-	out := &Callers{Remember: boundedNumber(c, "callers.remembered_tokens", k.RememberedTokens, 16384, 16, 1<<20, " tokens"),
-		Share: boundedNumber(c, "callers.checks_share", k.ChecksShare, 0.2, 0.01, 1, " of a core")}
-	second := func(key string, v *float64, def, hi float64) float64 {
+	out := &Callers{Remember: boundedNumber(c, "callers.remembered_tokens", k.Remember, 16384, 16, 1<<20, " tokens"),
+		Share: boundedNumber(c, "callers.checks_share", k.Share, 0.2, 0.01, 1, " of a core")}
+	secondsAsMS := func(key string, v *float64, def, hi float64) float64 {
 		return 1000 * boundedNumber(c, key, v, def, 0, hi, " s")
 	}
 	out.Policy = caller.Policy{Audiences: k.Audiences, Skew: boundedNumber(c, "callers.skew_ms", k.Skew, 30e3, 0, 600e3, " ms"),
-		Longest:  second("callers.longest_token_s", k.Longest, 3600, 30*86400),
-		StaleNew: second("callers.stale_new_s", k.StaleNew, 0, 365*86400), StaleAll: second("callers.stale_all_s", k.StaleAll, 0, 365*86400)}
+		Longest:  secondsAsMS("callers.longest_token_s", k.Longest, 3600, 30*86400),
+		StaleNew: secondsAsMS("callers.stale_new_s", k.StaleNew, 0, 365*86400), StaleAll: secondsAsMS("callers.stale_all_s", k.StaleAll, 0, 365*86400)}
 	for _, p := range []struct {
 		key, value string
 		needed     bool
@@ -151,15 +151,15 @@
 	return out
 }
 
-// checkTLS checks [pool.tls]; nil where there is none.
-func (c *checker) checkTLS(at string, p *poolKeys, callers *Callers, addresses *[]string) *TLS {
-	k, in := p.TLS, at+".tls"
+// checkTLS checks [pool.tls]; it returns nil if the section is absent.
+func (c *checker) checkTLS(poolKey string, p *poolKeys, callers *Callers, addresses *[]string) *TLS {
+	k, section := p.TLS, poolKey+".tls"
 	if k == (tlsKeys{}) {
 		return nil
 	}
-	c.checkListen(in+".listen", k.Listen, addresses)
+	c.checkListen(section+".listen", k.Listen, addresses)
 	if k.Certificate == "" || k.Key == "" {
-		c.addFault(in+".certificate", "certificate and key are both needed")
+		c.addFault(section+".certificate", "certificate and key are both needed")
 	}
 	if k.Clients == "" {
 		k.Clients = "none"
@@ -170,27 +170,27 @@
 	}
 	switch {
 	case !slices.Contains(ClientCertModes, k.Clients):
-		c.addFault(in+".clients", "%.20q is no choice; %s are", k.Clients, strings.Join(ClientCertModes, ", "))
+		c.addFault(section+".clients", "%.20q is no choice; %s are", k.Clients, strings.Join(ClientCertModes, ", "))
 	case k.Clients == "none":
 	case callers == nil || callers.Bundle == "":
-		c.addFault(in+".clients", "certificates are asked for, and callers.client_bundle, to check them by, is missing")
+		c.addFault(section+".clients", "certificates are asked for, and callers.client_bundle, to check them by, is missing")
 	default:
 		out.Bundle = callers.Bundle
 	}
 	return out
 }
 
-// checkServerTLS checks [pool.server_tls]; nil where there is none.
-func (c *checker) checkServerTLS(at string, p *poolKeys) *ServerTLS {
-	k, in := p.ServerTLS, at+".server_tls"
+// checkServerTLS checks [pool.server_tls]; it returns nil if the section is absent.
+func (c *checker) checkServerTLS(poolKey string, p *poolKeys) *ServerTLS {
+	k, section := p.ServerTLS, poolKey+".server_tls"
 	if k == (serverTLSKeys{}) {
 		return nil
 	}
 	if k.Bundle == "" {
-		c.addFault(in+".bundle", "missing; without it any server would do")
+		c.addFault(section+".bundle", "missing; without it any server would do")
 	}
 	if (k.Certificate == "") != (k.Key == "") {
-		c.addFault(in+".certificate", "certificate and key go together")
+		c.addFault(section+".certificate", "certificate and key go together")
 	}
 	out := &ServerTLS{Bundle: c.resolvePath(k.Bundle), Name: k.Name}
 	if k.Certificate != "" {
@@ -199,7 +199,7 @@
 	return out
 }
 
-// Classes are the names of the classes that clients may use.
+// Classes returns the names of the classes that clients may use.
 func (f *File) Classes() (names []string) {
 	for _, p := range f.Pools {
 		for _, c := range p.Checked.Config.Classes {
@@ -211,7 +211,7 @@
 	return names
 }
 
-// PoolNames are the names of the pools.
+// PoolNames returns the names of the pools.
 func (f *File) PoolNames() (names []string) {
 	for _, p := range f.Pools {
 		names = append(names, p.Pool)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -21,63 +21,64 @@
 	"mossproxy.example/mossproxy/internal/watch"
 )
 
-// File is a router's own configuration: one checked configuration for each pool, of the same type that the platform's
-// becomes.
+// File is the checked configuration file of a router. Each pool has a Config, the type that the platform's
+// configuration also has.
 type File struct {
 	Name  string
 	Cores int
 	Pools []*Config
 	Log   Log
-	// Callers is where the pools learn who may call; nil = none of them asks.
+	// Callers configures the authentication of callers; nil = no pool authenticates them.
 	Callers *Callers
-	// Costs are what requests of each class count against limits of tenants.
+	// Costs holds the cost of a request by class index, counted against limits of tenants.
 	Costs []float64
-	// FetchCost is what each way of a request to the origin counts beside that.
+	// FetchCost is the additional cost of each fetch from the origin.
 	FetchCost float64
-	// Admin is the administration API; nil = there is none.
+	// Admin configures the administration API; nil = none.
 	Admin *Admin
-	// Operator is where operators call; "" = nowhere.
+	// Operator is the listening address for operators; "" = none.
 	Operator string
-	// Handover is the path of the socket by which another process of this router takes over; "" = none does.
+	// Handover is the path of the socket through which a new process of this router takes over; "" = no
+	// handover.
 	Handover string
-	// Fleet is this router's part in the fleet; nil = it keeps no view of it.
+	// Fleet configures the membership of this router in the fleet; nil = it is not a member.
 	Fleet *Fleet
-	// Site is where the router stands.
+	// Site is the site of the router.
 	Site string
 }
 
-// MaxFileBytes is the longest configuration that is read, in bytes.
+// MaxFileBytes is the maximum size of a configuration file.
 const MaxFileBytes = 1 << 20
 
 // document mirrors the configuration file. deploy/cottonyoke.toml explains each key.
 type document struct {
-	Name           string       `toml:"name"`
-	Site           string       `toml:"site"`
-	Seed           string       `toml:"seed"`
-	StateDir       string       `toml:"state_dir"`
-	Limits         limitKeys    `toml:"limits"`
-	Tier           tierKeys     `toml:"tier"`
-	Attempts       attemptKeys  `toml:"attempts"`
-	Rules          ruleKeys     `toml:"rules"`
-	Classes        []classKeys  `toml:"class"`
-	Tenants        []tenantKeys `toml:"tenant"`
-	OverShareWorth *float64     `toml:"over_share_worth"`
-	Capacity       *float64     `toml:"capacity_per_s"`
-	FetchCost      *float64     `toml:"fetch_cost"`
-	Pools          []poolKeys   `toml:"pool"`
-	Callers        callersKeys  `toml:"callers"`
-	Admin          adminKeys    `toml:"admin"`
-	Operator       string       `toml:"operator"`
-	Handover       string       `toml:"handover"`
-	Fleet          fleetKeys    `toml:"fleet"`
-	Log            logKeys      `toml:"log"`
-	End            *struct{}    `toml:"end"`
-}
-
-// endMarker is the last line of a whole file: one that was cut short, also where what is there would parse, lacks it.
+	Name      string       `toml:"name"`
+	Site      string       `toml:"site"`
+	Seed      string       `toml:"seed"`
+	StateDir  string       `toml:"state_dir"`
+	Limits    limitKeys    `toml:"limits"`
+	Tier      tierKeys     `toml:"tier"`
+	Attempts  attemptKeys  `toml:"attempts"`
+	Rules     ruleKeys     `toml:"rules"`
+	Classes   []classKeys  `toml:"class"`
+	Tenants   []tenantKeys `toml:"tenant"`
+	Over      *float64     `toml:"over_share_worth"`
+	Capacity  *float64     `toml:"capacity_per_s"`
+	FetchCost *float64     `toml:"fetch_cost"`
+	Pools     []poolKeys   `toml:"pool"`
+	Callers   callersKeys  `toml:"callers"`
+	Admin     adminKeys    `toml:"admin"`
+	Operator  string       `toml:"operator"`
+	Handover  string       `toml:"handover"`
+	Fleet     fleetKeys    `toml:"fleet"`
+	Log       logKeys      `toml:"log"`
+	End       *struct{}    `toml:"end"`
+}
+
+// endMarker matches the required last line of a file. A truncated file lacks it, even if the rest parses.
 var endMarker = regexp.MustCompile(`^\s*\[end\]\s*(#.*)?$`)
 
-// lastSignificantLine is the last line that holds more than a comment.
+// lastSignificantLine returns the last line that is neither blank nor a comment.
 func lastSignificantLine(text []byte) []byte {
 	lines := bytes.Split(text, []byte("\n"))
 	for _, l := range slices.Backward(lines) {
@@ -89,9 +90,9 @@
 }
 
 type limitKeys struct {
-	Memory      *int64 `toml:"memory_mb"`
-	Descriptors *int   `toml:"descriptors"`
-	Cores       *int   `toml:"cores"`
+	Memory  *int64 `toml:"memory_mb"`
+	Sockets *int   `toml:"descriptors"`
+	Cores   *int   `toml:"cores"`
 }
 
 type tierKeys struct {
@@ -100,7 +101,7 @@
 }
 
 type attemptKeys struct {
-	Max     *int     `toml:"max"`
+	Most    *int     `toml:"max"`
 	Connect *float64 `toml:"connect_timeout_ms"`
 	Idle    *float64 `toml:"server_idle_ms"`
 	Cancel  *bool    `toml:"cancel"`
@@ -108,11 +109,11 @@
 }
 
 type ruleKeys struct {
-	Cold           *float64 `toml:"cold_ms"`
-	ColdFrom       *float64 `toml:"cold_from"`
-	OverloadFactor *float64 `toml:"overload_factor"`
-	OverloadFor    *float64 `toml:"overload_for_ms"`
-	Grace          *float64 `toml:"drain_grace_ms"`
+	Cold     *float64 `toml:"cold_ms"`
+	ColdFrom *float64 `toml:"cold_from"`
+	Factor   *float64 `toml:"overload_factor"`
+	For      *float64 `toml:"overload_for_ms"`
+	Grace    *float64 `toml:"drain_grace_ms"`
 }
 
 type classKeys struct {
@@ -132,21 +133,21 @@
 	Name  string   `toml:"name"`
 	Share *float64 `toml:"share_per_s"`
 
-	Floor     *float64          `toml:"floor_per_s"`
-	Weight    *float64          `toml:"weight"`
-	Burst     *float64          `toml:"burst_s"`
-	Max       *float64          `toml:"most_per_s"`
-	Open      *int              `toml:"open"`
-	Bytes     *float64          `toml:"bytes_mb"`
-	Conns     *int              `toml:"connections"`
-	Suspended bool              `toml:"suspended"`
-	Classes   []tenantClassKeys `toml:"limit"`
+	Floor     *float64         `toml:"floor_per_s"`
+	Weight    *float64         `toml:"weight"`
+	Burst     *float64         `toml:"burst_s"`
+	Most      *float64         `toml:"most_per_s"`
+	Open      *int             `toml:"open"`
+	Bytes     *float64         `toml:"bytes_mb"`
+	Conns     *int             `toml:"connections"`
+	Suspended bool             `toml:"suspended"`
+	Classes   []tenantClassRow `toml:"limit"`
 }
 
 type poolKeys struct {
 	Name    string      `toml:"name"`
 	Listen  string      `toml:"listen"`
-	Share   *float64    `toml:"part"`
+	Part    *float64    `toml:"part"`
 	Origin  string      `toml:"origin"`
 	Sites   []string    `toml:"sites"`
 	Kinds   []string    `toml:"kinds"`
@@ -163,12 +164,12 @@
 type serversKeys struct {
 	File      string   `toml:"file"`
 	Discovery string   `toml:"discovery"`
-	GoneShare *float64 `toml:"gone_share"`
+	Gone      *float64 `toml:"gone_share"`
 	Settle    *float64 `toml:"settle_ms"`
 	Notices   *bool    `toml:"notices"`
 }
 
-// ReadFile reads a configuration file and checks it whole. An error is of type tomlfile.Faults where the file could be
+// ReadFile reads and checks a configuration file. The error is of type tomlfile.Faults if the file could be
 // read.
 func ReadFile(path string) (*File, error) {
 	f, err := os.Open(path)
@@ -192,7 +193,7 @@
 	return c, faults.Err()
 }
 
-// ParseFile checks a configuration. Names of files in it are relative to the folder of path.
+// ParseFile parses and checks a configuration. Paths in it are relative to the directory of path.
 func ParseFile(path string, text []byte) (*File, tomlfile.Faults) {
 	var doc document
 	d, faults := tomlfile.Decode(path, text, &doc)
@@ -210,7 +211,7 @@
 	return out, nil
 }
 
-// checker checks a configuration and gathers what is wrong.
+// checker checks a configuration and collects the faults.
 type checker struct {
 	d      *tomlfile.Doc
 	doc    *document
@@ -218,7 +219,7 @@
 	faults tomlfile.Faults
 }
 
-// maxFaults bounds what is said about one file.
+// maxFaults is the maximum number of faults reported per file.
 const maxFaults = 100
 
 func (c *checker) addFault(key, format string, args ...any) {
@@ -227,7 +228,7 @@
 	}
 }
 
-// boundedNumber is a key's value, its default where it is missing; out of range it is a fault.
+// boundedNumber returns the value of a key, or its default if it is missing. A value out of range is a fault.
 func boundedNumber[T int | int64 | float64](c *checker, key string, v *T, def, lo, hi T, unit string) T {
 	if v == nil {
 		return def
@@ -246,7 +247,7 @@
 	return *v
 }
 
-// checkName checks a name, which must stand once among those seen.
+// checkName checks the form of a name and that it is unique among those seen.
 func (c *checker) checkName(key, v string, seen *[]string) {
 	if v == "" || len(v) > 64 || strings.Trim(v, ".") == "" || strings.ContainsFunc(v, func(r rune) bool { return r <= ' ' || r > '~' || strings.ContainsRune(`,=/\`, r) }) {
 		c.addFault(key, "%.40q is no name; up to 64 letters, digits and signs but , = / and \\ are", v)
@@ -256,20 +257,20 @@
 	*seen = append(*seen, v)
 }
 
-// maxCores bounds the engines of a pool: each has its part of all limits.
+// maxCores is the maximum number of engines of a pool. Each has an equal share of all limits.
 const maxCores = 64
 
-// hourMS bounds times, in milliseconds.
+// hourMS is an hour in milliseconds, the upper bound of most durations.
 const hourMS = 3600e3
 
-// checkFile checks all of it.
+// checkFile checks the whole configuration.
 func (c *checker) checkFile() *File {
 	doc := c.doc
-	var none []string
+	var seen []string
 	if doc.Name == "" {
 		doc.Name = "cottonyoke"
 	}
-	c.checkName("name", doc.Name, &none)
+	c.checkName("name", doc.Name, &seen)
 	out := &File{Name: doc.Name, Cores: boundedNumber(c, "limits.cores", doc.Limits.Cores, 1, 1, maxCores, " cores")}
 	out.Log, out.Callers = c.checkLog(), c.checkCallers()
 	base := c.balancerConfig()
@@ -280,7 +281,7 @@
 		limits.Costs, limits.Fetch = out.Costs, out.FetchCost
 	}
 	memory := boundedNumber(c, "limits.memory_mb", doc.Limits.Memory, 192, 16, 1<<20, " MB")
-	sockets := boundedNumber(c, "limits.descriptors", doc.Limits.Descriptors, 1024, 2*FDReserve, 1<<20, "")
+	sockets := boundedNumber(c, "limits.descriptors", doc.Limits.Sockets, 1024, 2*FDReserve, 1<<20, "")
 	seed := c.parseSeed()
 	if len(doc.Pools) == 0 {
 		c.addFault("pool", "there is none; add [[pool]] with a name, listen and servers")
@@ -298,8 +299,8 @@
 	}
 	total := 0.0
 	for i := range doc.Pools {
-		part := boundedNumber(c, fmt.Sprintf("pool[%d].part", i), doc.Pools[i].Share, 1, 0.01, 100, "")
-		doc.Pools[i].Share = &part
+		part := boundedNumber(c, fmt.Sprintf("pool[%d].part", i), doc.Pools[i].Part, 1, 0.01, 100, "")
+		doc.Pools[i].Part = &part
 		total += part
 	}
 	for i := range doc.Pools {
@@ -316,8 +317,8 @@
 			cfg.Name += "/" + p.Name
 		}
 		cfg.Grace = time.Duration(boundedNumber(c, "rules.drain_grace_ms", doc.Rules.Grace, 500, 0, 60e3, " ms") * float64(time.Millisecond))
-		cfg.Limits.MemoryMB = int64(float64(memory) * *p.Share / total)
-		cfg.Limits.Sockets = int(float64(sockets) * *p.Share / total)
+		cfg.Limits.MemoryMB = int64(float64(memory) * *p.Part / total)
+		cfg.Limits.Sockets = int(float64(sockets) * *p.Part / total)
 		if cfg.Limits.MemoryMB < 16 || cfg.Limits.Sockets < 2*FDReserve {
 			c.addFault(fmt.Sprintf("pool[%d].part", i), "leaves the pool %d MB and %d descriptors; it takes 16 and %d at least: raise limits, or the part",
 				cfg.Limits.MemoryMB, cfg.Limits.Sockets, 2*FDReserve)
@@ -335,7 +336,7 @@
 	return out
 }
 
-// validate lets the module check what it is given: its bounds hold whatever this file thinks.
+// validate applies the checks of the decide package, whose bounds hold regardless of those in this package.
 func (c *checker) validate(f *File) {
 	for i, p := range f.Pools {
 		if err := p.Checked.Config.Validate(); err != nil {
@@ -346,7 +347,7 @@
 
 func (c *checker) parseSeed() uint64 {
 	if c.doc.Seed == "" {
-		return 0 // the program draws one
+		return 0 // the program chooses a random seed
 	}
 	n, err := strconv.ParseUint(c.doc.Seed, 16, 64)
 	if err != nil || n == 0 {
@@ -355,7 +356,7 @@
 	return n
 }
 
-// balancerConfig is what all pools tell the module alike.
+// balancerConfig returns the settings of the decide package that all pools share.
 func (c *checker) balancerConfig() decide.Config {
 	d := c.doc
 	if d.Site == "" {
@@ -364,15 +365,15 @@
 	m := decide.Config{Zone: d.Site, Weighted: true,
 		Routers:     boundedNumber(c, "tier.routers", d.Tier.Routers, 1, 1, 4096, " routers"),
 		Me:          boundedNumber(c, "tier.me", d.Tier.Me, 0, 0, 4095, ""),
-		OverWorth:   boundedNumber(c, "over_share_worth", d.OverShareWorth, 0.25, 0, 1, ""),
-		MaxAttempts: boundedNumber(c, "attempts.max", d.Attempts.Max, 4, 1, 5, " attempts"),
+		OverWorth:   boundedNumber(c, "over_share_worth", d.Over, 0.25, 0, 1, ""),
+		MaxAttempts: boundedNumber(c, "attempts.max", d.Attempts.Most, 4, 1, 5, " attempts"),
 		ConnIdle:    boundedNumber(c, "attempts.server_idle_ms", d.Attempts.Idle, 10000, 1000, hourMS, " ms"),
 		Cancel:      boolOrDefault(d.Attempts.Cancel, true),
 		Probes:      boolOrDefault(d.Attempts.Probes, true),
 		Cold:        boundedNumber(c, "rules.cold_ms", d.Rules.Cold, 8000, 0, hourMS, " ms"),
 		ColdFrom:    boundedNumber(c, "rules.cold_from", d.Rules.ColdFrom, 0.3, 0.01, 1, ""),
-		FallMult:    boundedNumber(c, "rules.overload_factor", d.Rules.OverloadFactor, 3, 1, 100, ""),
-		FallFor:     boundedNumber(c, "rules.overload_for_ms", d.Rules.OverloadFor, 2000, 1, hourMS, " ms"),
+		FallMult:    boundedNumber(c, "rules.overload_factor", d.Rules.Factor, 3, 1, 100, ""),
+		FallFor:     boundedNumber(c, "rules.overload_for_ms", d.Rules.For, 2000, 1, hourMS, " ms"),
 	}
 	if m.Me >= m.Routers {
 		c.addFault("tier.me", "%d is no number of a tier of %d; they count from 0", m.Me, m.Routers)
@@ -389,32 +390,32 @@
 	var names []string
 	var out []decide.Class
 	for i := range c.doc.Classes {
-		k, at := &c.doc.Classes[i], fmt.Sprintf("class[%d].", i)
-		c.checkName(at+"name", k.Name, &names)
+		k, keyPrefix := &c.doc.Classes[i], fmt.Sprintf("class[%d].", i)
+		c.checkName(keyPrefix+"name", k.Name, &names)
 		if k.Aim == nil || k.Deadline == nil {
-			c.addFault(at+"aim_ms", "aim_ms and deadline_ms are needed; a class has no usual time")
+			c.addFault(keyPrefix+"aim_ms", "aim_ms and deadline_ms are needed; a class has no usual time")
 		}
 		e, ok := settings.ParseEffect(k.Effect)
 		if !ok {
-			c.addFault(at+"effect", "%.40q is no effect; repeatable, by_key and once are", k.Effect)
+			c.addFault(keyPrefix+"effect", "%.40q is no effect; repeatable, by_key and once are", k.Effect)
 		}
 		cl := decide.Class{Name: k.Name, Effect: e, Scope: k.Scope,
-			Aim:      boundedNumber(c, at+"aim_ms", k.Aim, 1, 1, hourMS, " ms"),
-			Deadline: boundedNumber(c, at+"deadline_ms", k.Deadline, hourMS, 1, hourMS, " ms"),
-			Window:   boundedNumber(c, at+"window_ms", k.Window, 0, 0, 24*hourMS, " ms"),
-			Stretch:  boundedNumber(c, at+"aim_stretch", k.Stretch, 0, 0, 100, ""),
-			Worth:    boundedNumber(c, at+"worth", k.Worth, 1, 0, 1e6, ""),
-			Late:     boundedNumber(c, at+"late_worth", k.Late, 0, 0, 1, "")}
+			Aim:      boundedNumber(c, keyPrefix+"aim_ms", k.Aim, 1, 1, hourMS, " ms"),
+			Deadline: boundedNumber(c, keyPrefix+"deadline_ms", k.Deadline, hourMS, 1, hourMS, " ms"),
+			Window:   boundedNumber(c, keyPrefix+"window_ms", k.Window, 0, 0, 24*hourMS, " ms"),
+			Stretch:  boundedNumber(c, keyPrefix+"aim_stretch", k.Stretch, 0, 0, 100, ""),
+			Worth:    boundedNumber(c, keyPrefix+"worth", k.Worth, 1, 0, 1e6, ""),
+			Late:     boundedNumber(c, keyPrefix+"late_worth", k.Late, 0, 0, 1, "")}
 		if cl.Aim > cl.Deadline {
-			c.addFault(at+"aim_ms", "%v is later than the deadline of %v", cl.Aim, cl.Deadline)
+			c.addFault(keyPrefix+"aim_ms", "%v is later than the deadline of %v", cl.Aim, cl.Deadline)
 		}
 		switch keyed := ok && e == decide.Keyed; {
 		case keyed && !slices.Contains(keyScopes, cl.Scope):
-			c.addFault(at+"scope", "%.40q is no scope; %s are", cl.Scope, strings.Join(keyScopes, ", "))
+			c.addFault(keyPrefix+"scope", "%.40q is no scope; %s are", cl.Scope, strings.Join(keyScopes, ", "))
 		case keyed && k.Window == nil:
-			c.addFault(at+"window_ms", "missing; how long does the group that drops repeats remember a key?")
+			c.addFault(keyPrefix+"window_ms", "missing; how long does the group that drops repeats remember a key?")
 		case ok && !keyed && (cl.Scope != "" || k.Window != nil):
-			c.addFault(at+"scope", "scope and window_ms belong to the effect by_key alone")
+			c.addFault(keyPrefix+"scope", "scope and window_ms belong to the effect by_key alone")
 		}
 		out = append(out, cl)
 	}
@@ -425,67 +426,67 @@
 	var names []string
 	var out []decide.Tenant
 	for i, t := range c.doc.Tenants {
-		at := fmt.Sprintf("tenant[%d].", i)
-		c.checkName(at+"name", t.Name, &names)
+		keyPrefix := fmt.Sprintf("tenant[%d].", i)
+		c.checkName(keyPrefix+"name", t.Name, &names)
 		if t.Share == nil && slices.ContainsFunc(c.doc.Tenants, func(t tenantKeys) bool { return t.hasLimits() }) {
 			continue
 		}
 		if t.Share == nil {
-			c.addFault(at+"share_per_s", "missing; how many requests a second over all routers count in full?")
+			c.addFault(keyPrefix+"share_per_s", "missing; how many requests a second over all routers count in full?")
 		}
-		out = append(out, decide.Tenant{Name: t.Name, Quota: boundedNumber(c, at+"share_per_s", t.Share, 0, 0, 1e9, " requests a second")})
+		out = append(out, decide.Tenant{Name: t.Name, Quota: boundedNumber(c, keyPrefix+"share_per_s", t.Share, 0, 0, 1e9, " requests a second")})
 	}
 	return out
 }
 
-// originModes are the ways of a pool to values that no cache server has.
+// originModes lists who fetches values that no cache server has.
 var originModes = []string{"router", "servers"}
 
-// checkPool checks one pool. Names and addresses are those of the pools before it.
-func (c *checker) checkPool(at string, p *poolKeys, base decide.Config, names, addresses *[]string) *Config {
-	c.checkName(at+".name", p.Name, names)
+// checkPool checks one pool. Names and addresses are those already in use.
+func (c *checker) checkPool(poolKey string, p *poolKeys, base decide.Config, names, addresses *[]string) *Config {
+	c.checkName(poolKey+".name", p.Name, names)
 	cfg := &Config{Listen: p.Listen, Standalone: true}
-	c.checkListen(at+".listen", p.Listen, addresses)
+	c.checkListen(poolKey+".listen", p.Listen, addresses)
 	if p.Origin == "" {
 		p.Origin = "router"
 	}
 	if !slices.Contains(originModes, p.Origin) {
-		c.addFault(at+".origin", "%.40q is no way to the origin; router (asks it after a miss) and servers (fetch by themselves) are", p.Origin)
+		c.addFault(poolKey+".origin", "%.40q is no way to the origin; router (asks it after a miss) and servers (fetch by themselves) are", p.Origin)
 	}
 	m := base
 	if m.Aside = p.Origin == "router"; m.Aside {
 		m.OriginKind = "origin"
 	}
 	if len(p.Sites) > 0 && m.Zone != "" && !slices.Contains(p.Sites, m.Zone) {
-		c.addFault(at+".sites", "the router's own site %q is not among them", m.Zone)
+		c.addFault(poolKey+".sites", "the router's own site %q is not among them", m.Zone)
 	}
 	cfg.Checked = settings.Settings{Config: m, ConnectTimeout: boundedNumber(c, "attempts.connect_timeout_ms", c.doc.Attempts.Connect, 250, 1, 60e3, " ms")}
 	switch p.Protocol {
 	case "", "meta":
 		if len(p.RESP.Seeds) > 0 {
-			c.addFault(at+".resp", `belongs to a pool with protocol = "resp"`)
+			c.addFault(poolKey+".resp", `belongs to a pool with protocol = "resp"`)
 		}
 	case "resp":
-		c.checkRESP(at, p, cfg, addresses)
+		c.checkRESP(poolKey, p, cfg, addresses)
 		return cfg
 	default:
-		c.addFault(at+".protocol", "%.40q is no protocol; meta and resp are", p.Protocol)
+		c.addFault(poolKey+".protocol", "%.40q is no protocol; meta and resp are", p.Protocol)
 	}
-	cfg.Source = c.checkSource(at+".servers", p, m.Aside)
+	cfg.Source = c.checkSource(poolKey+".servers", p, m.Aside)
 	cfg.Discovery = p.Servers.Discovery
 	return cfg
 }
 
 // checkAddress checks HOST:PORT.
-func (c *checker) checkAddress(key, v string, zero bool) {
+func (c *checker) checkAddress(key, v string, allowPortZero bool) {
 	host, port, err := net.SplitHostPort(v)
 	n, perr := strconv.ParseUint(port, 10, 16)
-	if err != nil || host == "" || perr != nil || n == 0 && !zero {
+	if err != nil || host == "" || perr != nil || n == 0 && !allowPortZero {
 		c.addFault(key, "%.60q is no address; HOST:PORT is", v)
 	}
 }
 
-// checkListen checks an address for clients, which must be nobody else's.
+// checkListen checks a listening address, which must be unique.
 func (c *checker) checkListen(key, v string, addresses *[]string) {
 	c.checkAddress(key, v, true)
 	if slices.Contains(*addresses, v) && !strings.HasSuffix(v, ":0") {
@@ -494,20 +495,20 @@
 	*addresses = append(*addresses, v)
 }
 
-// checkSource checks where a pool's servers come from.
-func (c *checker) checkSource(at string, p *poolKeys, origin bool) member.FileConfig {
+// checkSource checks the source of a pool's server list.
+func (c *checker) checkSource(section string, p *poolKeys, hasOrigin bool) member.FileConfig {
 	s := &p.Servers
-	out := member.FileConfig{SettleMS: boundedNumber(c, at+".settle_ms", s.Settle, watch.DefaultSettleMS, 0, 200, " ms"),
+	out := member.FileConfig{SettleMS: boundedNumber(c, section+".settle_ms", s.Settle, watch.DefaultSettleMS, 0, 200, " ms"),
 		NoNotices: !boolOrDefault(s.Notices, true),
-		Rules: member.Rules{Sites: p.Sites, Kinds: p.Kinds, Origin: origin,
-			GoneShare: boundedNumber(c, at+".gone_share", s.GoneShare, member.DefaultGoneShare, 0.01, 1, "")}}
+		Rules: member.Rules{Sites: p.Sites, Kinds: p.Kinds, Origin: hasOrigin,
+			GoneShare: boundedNumber(c, section+".gone_share", s.Gone, member.DefaultGoneShare, 0.01, 1, "")}}
 	switch {
 	case (s.File == "") == (s.Discovery == ""):
-		c.addFault(at, "takes one of the two: file = PATH or discovery = HOST:PORT")
+		c.addFault(section, "takes one of the two: file = PATH or discovery = HOST:PORT")
 	case s.Discovery != "":
-		c.checkAddress(at+".discovery", s.Discovery, false)
-		if s.GoneShare != nil || s.Settle != nil || s.Notices != nil {
-			c.addFault(at, "gone_share, settle_ms and notices belong to a file alone")
+		c.checkAddress(section+".discovery", s.Discovery, false)
+		if s.Gone != nil || s.Settle != nil || s.Notices != nil {
+			c.addFault(section, "gone_share, settle_ms and notices belong to a file alone")
 		}
 		return member.FileConfig{}
 	default:
@@ -519,7 +520,7 @@
 	return out
 }
 
-// resolvePath takes a path from the folder of the configuration.
+// resolvePath resolves a path relative to the directory of the configuration.
 func (c *checker) resolvePath(path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -527,10 +528,11 @@
 	return filepath.Join(c.dir, path)
 }
 
-// maxSocketPathBytes is the longest name of a Unix socket, with room for the process's number behind it.
+// maxSocketPathBytes is the maximum length of a Unix socket path that leaves space for a process ID as
+// suffix.
 const maxSocketPathBytes = 96
 
-// checkHandover checks the way from one process of the router to the next.
+// checkHandover checks the socket path for the handover to a new process and returns it.
 func (c *checker) checkHandover(admin *Admin) string {
 	if c.doc.Handover == "" {
 		return ""
@@ -545,50 +547,51 @@
 	return path
 }
 
-// NeedsRestart names the settings that differ and that a running router can't change: it has opened or shared out what
-// they say. An empty list means that next can take over from f.
+// NeedsRestart returns the differing settings that a running router can't change, because they determine
+// resources that it has already opened or divided. An empty list means that next can replace f without a
+// restart.
 func (f *File) NeedsRestart(next *File) []string {
 	var keys []string
-	differs := func(key string, is bool) {
-		if is {
+	addIfChanged := func(key string, changed bool) {
+		if changed {
 			keys = append(keys, key)
 		}
 	}
-	differs("name", f.Name != next.Name)
-	differs("limits.cores", f.Cores != next.Cores)
-	differs("log", f.Log != next.Log)
-	differs("operator", f.Operator != next.Operator)
-	differs("handover", f.Handover != next.Handover)
-	differs("fleet (all but join)", !sameFleet(f.Fleet, next.Fleet))
-	differs("admin", !reflect.DeepEqual(f.Admin, next.Admin))
-	differs("callers", !reflect.DeepEqual(f.Callers, next.Callers))
+	addIfChanged("name", f.Name != next.Name)
+	addIfChanged("limits.cores", f.Cores != next.Cores)
+	addIfChanged("log", f.Log != next.Log)
+	addIfChanged("operator", f.Operator != next.Operator)
+	addIfChanged("handover", f.Handover != next.Handover)
+	addIfChanged("fleet (all but join)", !sameFleet(f.Fleet, next.Fleet))
+	addIfChanged("admin", !reflect.DeepEqual(f.Admin, next.Admin))
+	addIfChanged("callers", !reflect.DeepEqual(f.Callers, next.Callers))
 	if len(f.Pools) != len(next.Pools) {
 		return append(keys, "pool (their number)")
 	}
 	for i, p := range f.Pools {
 		q := next.Pools[i]
-		at := fmt.Sprintf("pool[%d].", i)
-		differs(at+"name", p.Name != q.Name)
-		differs("rules.drain_grace_ms", p.Grace != q.Grace)
-		differs(at+"listen", p.Listen != q.Listen)
-		differs(at+"tenant (limits, where there were none)", (p.Tenants == nil) != (q.Tenants == nil))
-		differs(at+"callers", (p.Callers == nil) != (q.Callers == nil))
-		differs(at+"tls", !reflect.DeepEqual(p.TLS, q.TLS))
-		differs(at+"server_tls", !reflect.DeepEqual(p.ServerTLS, q.ServerTLS))
-		differs(at+"protocol or resp", !reflect.DeepEqual(p.RESP, q.RESP))
-		differs(at+"origin", p.Checked.Config.Aside != q.Checked.Config.Aside)
-		differs(at+"servers.discovery (another kind of source)", (p.Source.Path == "") != (q.Source.Path == ""))
-		differs("limits", p.Limits != q.Limits)
-		differs("attempts", p.Checked.ConnectTimeout != q.Checked.ConnectTimeout)
+		keyPrefix := fmt.Sprintf("pool[%d].", i)
+		addIfChanged(keyPrefix+"name", p.Name != q.Name)
+		addIfChanged("rules.drain_grace_ms", p.Grace != q.Grace)
+		addIfChanged(keyPrefix+"listen", p.Listen != q.Listen)
+		addIfChanged(keyPrefix+"tenant (limits, where there were none)", (p.Tenants == nil) != (q.Tenants == nil))
+		addIfChanged(keyPrefix+"callers", (p.Callers == nil) != (q.Callers == nil))
+		addIfChanged(keyPrefix+"tls", !reflect.DeepEqual(p.TLS, q.TLS))
+		addIfChanged(keyPrefix+"server_tls", !reflect.DeepEqual(p.ServerTLS, q.ServerTLS))
+		addIfChanged(keyPrefix+"protocol or resp", !reflect.DeepEqual(p.RESP, q.RESP))
+		addIfChanged(keyPrefix+"origin", p.Checked.Config.Aside != q.Checked.Config.Aside)
+		addIfChanged(keyPrefix+"servers.discovery (another kind of source)", (p.Source.Path == "") != (q.Source.Path == ""))
+		addIfChanged("limits", p.Limits != q.Limits)
+		addIfChanged("attempts", p.Checked.ConnectTimeout != q.Checked.ConnectTimeout)
 		a, b := p.Checked.Config, q.Checked.Config
 		a.Classes, a.Tenants, a.OverWorth, a.Aside, a.OriginKind = nil, nil, 0, false, ""
 		b.Classes, b.Tenants, b.OverWorth, b.Aside, b.OriginKind = nil, nil, 0, false, ""
-		differs("site, tier, attempts or rules", !sameBalancerConfig(a, b))
+		addIfChanged("site, tier, attempts or rules", !sameBalancerConfig(a, b))
 	}
 	return slices.Compact(keys)
 }
 
-// sameBalancerConfig compares what is no list.
+// sameBalancerConfig compares two configurations whose lists have been cleared.
 func sameBalancerConfig(a, b decide.Config) bool {
 	return fmt.Sprint(a) == fmt.Sprint(b) && !math.IsNaN(a.Cold)
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -14,14 +14,14 @@
 	"mossproxy.example/mossproxy/internal/pure/tier"
 )
 
-// Fleet is how the router takes part in a view of the fleet that the routers keep themselves.
+// Fleet configures the membership of the router in the fleet, a view that the routers maintain themselves.
 type Fleet struct {
 	Listen, Advertise string
 	Join              []string
-	Key               []byte // nil = none
+	Key               []byte // shared key for messages; nil = none
 }
 
-// FleetReserve are the descriptors that the fleet's sockets and streams may hold.
+// FleetReserve is the number of descriptors reserved for the sockets and streams of the fleet.
 const FleetReserve = fleet.MaxDescriptors
 
 type fleetKeys struct {
@@ -35,7 +35,7 @@
 	return k.Listen == "" && k.Advertise == "" && len(k.Join) == 0 && k.KeyFile == ""
 }
 
-// checkFleet checks [checkFleet]; nil where there is none.
+// checkFleet checks [fleet]; it returns nil if the section is absent.
 func (c *checker) checkFleet(name, site string, addresses *[]string) *Fleet {
 	k := c.doc.Fleet
 	if k.isZero() {
@@ -65,60 +65,62 @@
 	return out
 }
 
-// checkFleetPeers checks the pools whose clients find all routers of the fleet: each is reached at the host by which the others reach the router.
+// checkFleetPeers checks the pools that have the routers of the fleet as peers. Clients are sent to such a
+// pool at the host by which the other routers reach this one, so the pool must listen there.
 func (c *checker) checkFleetPeers(out *File, name string) {
 	tags := map[uint16]int{}
 	for i, p := range out.Pools {
 		if p.RESP == nil || !slices.Contains(p.RESP.Peers, fleetPeersKeyword) || out.Fleet == nil {
 			continue
 		}
-		at := fmt.Sprintf("pool[%d]", i)
+		poolKey := fmt.Sprintf("pool[%d]", i)
 		p.RESP.Fleet, p.RESP.Peers, p.RESP.FleetName, p.RESP.FleetHost = true, nil, name, out.Fleet.host()
 		tag := tier.PoolTag(p.Pool)
 		if j, taken := tags[tag]; taken {
-			c.addFault(at+".name", "%q and that of pool[%d] are the same to the other routers; name one otherwise", p.Pool, j)
+			c.addFault(poolKey+".name", "%q and that of pool[%d] are the same to the other routers; name one otherwise", p.Pool, j)
 		}
 		tags[tag] = i
 		if len(tags) == tier.MaxEndpoints+1 {
-			c.addFault(at+".resp.peers", "%d pools at most can have the routers of [fleet] as peers", tier.MaxEndpoints)
+			c.addFault(poolKey+".resp.peers", "%d pools at most can have the routers of [fleet] as peers", tier.MaxEndpoints)
 		}
 		if host, _, err := net.SplitHostPort(p.Listen); err == nil && !sameHost(host, p.RESP.FleetHost) {
-			c.addFault(at+".listen", "%q: the others reach this router at %s, by [fleet], and send clients there; listen there, or on all addresses", p.Listen, p.RESP.FleetHost)
+			c.addFault(poolKey+".listen", "%q: the others reach this router at %s, by [fleet], and send clients there; listen there, or on all addresses", p.Listen, p.RESP.FleetHost)
 		}
 	}
 }
 
-// host is that by which the others reach the router.
+// host returns the host at which the other routers reach this one.
 func (f *Fleet) host() string {
-	at := f.Advertise
-	if at == "" {
-		at = f.Listen
+	address := f.Advertise
+	if address == "" {
+		address = f.Listen
 	}
-	host, _, _ := net.SplitHostPort(at) // checked before
+	host, _, _ := net.SplitHostPort(address) // already checked
 	return host
 }
 
-// sameHost says whether who listens at a host can be reached at another.
+// sameHost reports whether a listener on one host can be reached at another.
 func sameHost(listens, reached string) bool {
 	ip, err := netip.ParseAddr(listens)
 	return listens == "" || err == nil && ip.IsUnspecified() || listens == reached
 }
 
-// checkReachable checks an address by which routers reach each other. Without a key anybody who reaches it could speak as one of them.
-func (c *checker) checkReachable(key, v string, secret []byte) {
+// checkReachable checks an address by which routers reach each other. Without a key only loopback is allowed,
+// because anybody who reaches the address could impersonate a router.
+func (c *checker) checkReachable(key, v string, sharedKey []byte) {
 	host, _, err := net.SplitHostPort(v)
 	ip, perr := netip.ParseAddr(host)
 	switch {
 	case err != nil:
-		return // said before
+		return // already reported
 	case perr == nil && ip.IsUnspecified():
 		c.addFault(key, "%q is no address that others can reach; name one, or set advertise", v)
-	case secret == nil && !(perr == nil && ip.IsLoopback()):
+	case sharedKey == nil && !(perr == nil && ip.IsLoopback()):
 		c.addFault(key, "%q is no loopback address, and without key_file anybody could speak as a router; make one: head -c 32 /dev/urandom | base64", v)
 	}
 }
 
-// fleetKey reads the key that messages are proven by.
+// fleetKey reads the key that authenticates messages.
 func (c *checker) fleetKey(path string) []byte {
 	if path == "" {
 		return nil
@@ -136,7 +138,7 @@
 	return key
 }
 
-// sameFleet says whether two differ at most in what a running router can change.
+// sameFleet reports whether two configurations differ at most in join, which a running router can change.
 func sameFleet(a, b *Fleet) bool {
 	if a == nil || b == nil {
 		return a == b
