--- a/cmd/cottonyoke/fleet.go
+++ b/cmd/cottonyoke/fleet.go
@@ -42,9 +42,9 @@
 
 // run carries out the subcommand of a name.
 func (c *fleetCmd) run(name string) error {
-	s, say := &c.Status, operator.Status
+	s, say := &c.Status, operator.WriteStatus
 	if name == "load" {
-		s, say = &c.Load, operator.Load
+		s, say = &c.Load, operator.WriteLoad
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -65,8 +65,8 @@
 }
 
 // once asks once and prints.
-func (s *fleetAsk) once(ctx context.Context, say func(io.Writer, []operator.Asked) bool) (agree bool) {
-	asked := operator.AskFleets(ctx, s.Addrs)
+func (s *fleetAsk) once(ctx context.Context, say func(io.Writer, []operator.ViewResult) bool) (agree bool) {
+	asked := operator.QueryViews(ctx, s.Addrs)
 	if !s.JSON {
 		return say(os.Stdout, asked)
 	}
