--- a/internal/operator/load.go
+++ b/internal/operator/load.go
@@ -9,37 +9,41 @@
 	"strings"
 )
 
-// maxAdmittedShareSpread is by how much of all requests two routers' lines may differ before that is said.
+// maxAdmittedShareSpread is the largest difference between two routers' admitted shares of the same pool
+// that is not reported as a disagreement.
 const maxAdmittedShareSpread = 0.15
 
-// WriteLoad writes what several routers say of the load of the fleet: for each pool a line on what is served, below it a row for each router with its part of
-// what all share, and what it refuses. Status is false where one did not answer, or where lines lie apart.
-func WriteLoad(w io.Writer, asked []ViewResult) (agree bool) {
+// WriteLoad writes a report of the fleet's load from the views of several routers: for each pool a line
+// on what is served, followed by a row per router with its share of the common resources and its
+// refusals. Returns false if a router did not answer, if none reports a pool, or if the admitted shares
+// of a pool differ too much.
+func WriteLoad(w io.Writer, results []ViewResult) (agree bool) {
 	agree = true
-	for _, a := range asked {
+	for _, a := range results {
 		if a.Err != nil {
 			agree = false
 			fmt.Fprintf(w, "%s: no answer: %v\n", a.Addr, a.Err)
 		}
 	}
-	names, pools := admissionsByPool(asked)
+	names, pools := admissionsByPool(results)
 	if len(names) == 0 {
 		fmt.Fprintln(w, "no router tells of a pool")
 		return false
 	}
 	for _, name := range names {
-		said, same := describeAdmission(pools[name])
-		fmt.Fprintf(w, "pool %s: %s\n", name, said)
-		agree = agree && same
-		writeRouterRows(w, name, asked)
+		description, sameShare := describeAdmission(pools[name])
+		fmt.Fprintf(w, "pool %s: %s\n", name, description)
+		agree = agree && sameShare
+		writeRouterRows(w, name, results)
 	}
 	return agree
 }
 
-// admissionsByPool are the lines of those who answered, by pool, and the pools in order.
-func admissionsByPool(asked []ViewResult) (names []string, pools map[string][]Admission) {
+// admissionsByPool returns the admissions that the routers report, by pool, and the sorted names of the
+// pools.
+func admissionsByPool(results []ViewResult) (names []string, pools map[string][]Admission) {
 	pools = map[string][]Admission{}
-	for _, a := range asked {
+	for _, a := range results {
 		for _, l := range a.View.Admissions {
 			pools[l.Pool] = append(pools[l.Pool], l)
 		}
@@ -47,41 +51,43 @@
 	return slices.Sorted(maps.Keys(pools)), pools
 }
 
-// SummarizeServed says in a few words how much each pool serves.
-func SummarizeServed(asked []ViewResult) string {
-	names, pools := admissionsByPool(asked)
+// SummarizeServed returns a short text with the share of requests that each pool serves, the median over the
+// routers.
+func SummarizeServed(results []ViewResult) string {
+	names, pools := admissionsByPool(results)
 	var out []string
 	for _, name := range names {
-		ls := pools[name]
-		slices.SortFunc(ls, func(a, b Admission) int { return cmp.Compare(a.AdmittedShare, b.AdmittedShare) })
-		out = append(out, fmt.Sprintf("%s serves %.0f%%", name, 100*ls[len(ls)/2].AdmittedShare))
+		admissions := pools[name]
+		slices.SortFunc(admissions, func(a, b Admission) int { return cmp.Compare(a.AdmittedShare, b.AdmittedShare) })
+		out = append(out, fmt.Sprintf("%s serves %.0f%%", name, 100*admissions[len(admissions)/2].AdmittedShare))
 	}
 	return strings.Join(out, ", ")
 }
 
-// describeAdmission says in one line what is served, by the router in the middle of those that were asked.
-func describeAdmission(ls []Admission) (said string, same bool) {
-	ls = slices.Clone(ls)
-	slices.SortFunc(ls, func(a, b Admission) int { return cmp.Compare(a.AdmittedShare, b.AdmittedShare) })
-	l, lo, hi := ls[len(ls)/2], ls[0].AdmittedShare, ls[len(ls)-1].AdmittedShare
-	load := fmt.Sprintf("%.0f a second asked of each router, room for %.0f", l.Arrivals, l.Capacity)
+// describeAdmission describes in one line what a pool serves, by the router with the median admitted share.
+// Reports also whether the routers' admitted shares differ by at most maxAdmittedShareSpread.
+func describeAdmission(admissions []Admission) (description string, sameShare bool) {
+	admissions = slices.Clone(admissions)
+	slices.SortFunc(admissions, func(a, b Admission) int { return cmp.Compare(a.AdmittedShare, b.AdmittedShare) })
+	median, lowest, highest := admissions[len(admissions)/2], admissions[0].AdmittedShare, admissions[len(admissions)-1].AdmittedShare
+	load := fmt.Sprintf("%.0f a second asked of each router, room for %.0f", median.Arrivals, median.Capacity)
 	switch {
-	case l.Capacity == 0:
-		said = "no server has said what it can do; nothing is refused for all"
-	case l.AdmittedShare >= 1:
-		said = "all is served; " + load
+	case median.Capacity == 0:
+		description = "no server has said what it can do; nothing is refused for all"
+	case median.AdmittedShare >= 1:
+		description = "all is served; " + load
 	default:
-		said = fmt.Sprintf("%.0f%% is served: all that is worth over %.3g of the highest, and %.0f%% of what is worth about that; %s", 100*l.AdmittedShare, l.Worth, 100*l.ThresholdShare, load)
+		description = fmt.Sprintf("%.0f%% is served: all that is worth over %.3g of the highest, and %.0f%% of what is worth about that; %s", 100*median.AdmittedShare, median.Worth, 100*median.ThresholdShare, load)
 	}
-	if hi-lo > maxAdmittedShareSpread {
-		return said + fmt.Sprintf("; the routers differ: %.0f%% to %.0f%%", 100*lo, 100*hi), false
+	if highest-lowest > maxAdmittedShareSpread {
+		return description + fmt.Sprintf("; the routers differ: %.0f%% to %.0f%%", 100*lowest, 100*highest), false
 	}
-	return said, true
+	return description, true
 }
 
-// writeRouterRows writes one for each router that has the pool.
-func writeRouterRows(w io.Writer, pool string, asked []ViewResult) {
-	for _, a := range asked {
+// writeRouterRows writes a row for each router that reports the pool, with a row per band of worth below it.
+func writeRouterRows(w io.Writer, pool string, results []ViewResult) {
+	for _, a := range results {
 		i := slices.IndexFunc(a.View.Admissions, func(l Admission) bool { return l.Pool == pool })
 		if a.Err != nil || i < 0 {
 			continue
@@ -95,7 +101,7 @@
 	}
 }
 
-// totalShed is all that a router refuses under the line.
+// totalShed returns the rate of requests that a router sheds below the admission threshold.
 func totalShed(l Admission) (sum float64) {
 	for _, x := range l.ByWorth {
 		sum += x.Shed
--- a/internal/operator/places.go
+++ b/internal/operator/places.go
@@ -5,70 +5,73 @@
 	"sync"
 )
 
-// connKey is that of a call's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// connState is how far a connection has come.
+// connState is the progress of a connection, which has one request.
 type connState int
 
 const (
-	waiting   connState = iota // no whole call has come
-	answering                  // one has
-	answered                   // and its answer is out: what is left is to close it
+	waiting   connState = iota // no whole request has been received
+	answering                  // a request has been received and is being handled
+	answered                   // the response has been sent; the connection is about to be closed
 )
 
-// boundedConn is an operator's connection.
+// boundedConn is a connection of a boundedListener.
 type boundedConn struct {
 	net.Conn
 	listener *boundedListener
-	state    connState // guarded by of.mu
+	state    connState // guarded by listener.mu
 }
 
-// boundedListener are a listener whose open connections are bounded. One more is always taken: the one that has been answered, or else has
-// stood longest without a whole call, gives way. Where calls are being answered on all, it waits: that takes milliseconds.
+// boundedListener is a listener that limits the number of open connections. A further connection evicts the
+// oldest one that has been answered, or else the oldest one without a whole request. If requests are being
+// handled on all connections, Accept waits until one has been answered, which takes milliseconds.
 type boundedListener struct {
 	net.Listener
 	maxConns int
 	mu       sync.Mutex
 	freed    sync.Cond
-	conns    []*boundedConn // the oldest first
+	conns    []*boundedConn // in order of acceptance, the oldest first
 }
 
-func newBoundedListener(ln net.Listener, most int) *boundedListener {
-	p := &boundedListener{Listener: ln, maxConns: most}
+// newBoundedListener wraps ln with a limit of maxConns open connections.
+func newBoundedListener(ln net.Listener, maxConns int) *boundedListener {
+	p := &boundedListener{Listener: ln, maxConns: maxConns}
 	p.freed.L = &p.mu
 	return p
 }
 
-// Accept takes one more.
+// Accept returns the next connection, evicting another one if the limit is reached.
 func (p *boundedListener) Accept() (net.Conn, error) {
 	c, err := p.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
-	var out *boundedConn
+	var evicted *boundedConn
 	for len(p.conns) >= p.maxConns {
-		if out = p.pickEvictable(); out != nil {
-			p.remove(out)
+		if evicted = p.pickEvictable(); evicted != nil {
+			p.remove(evicted)
 			break
 		}
 		p.freed.Wait()
 	}
-	n := &boundedConn{Conn: c, listener: p}
-	p.conns = append(p.conns, n)
+	accepted := &boundedConn{Conn: c, listener: p}
+	p.conns = append(p.conns, accepted)
 	p.mu.Unlock()
-	if out != nil {
-		out.Close()
+	if evicted != nil {
+		evicted.Close()
 	}
-	return n, nil
+	return accepted, nil
 }
 
-// pickEvictable is who gives way, nil where nobody does. The caller holds mu, as that of drop does.
+// pickEvictable returns the connection to evict, or nil if requests are being handled on all of them. The
+// caller holds mu.
 func (p *boundedListener) pickEvictable() *boundedConn {
-	for _, want := range []connState{answered, waiting} {
+	for _, state := range []connState{answered, waiting} {
 		for _, c := range p.conns {
-			if c.state == want {
+			if c.state == state {
 				return c
 			}
 		}
@@ -76,7 +79,7 @@
 	return nil
 }
 
-// remove lets a connection's place go, once.
+// remove removes c from the open connections; further calls have no effect. The caller holds mu.
 func (p *boundedListener) remove(c *boundedConn) {
 	for i, o := range p.conns {
 		if o == c {
@@ -87,16 +90,16 @@
 	}
 }
 
-// setState says how far a connection has come.
-func (c *boundedConn) setState(at connState) {
+// setState sets the state and wakes up Accept if the connection can be evicted now.
+func (c *boundedConn) setState(state connState) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	if c.state = at; at == answered {
+	if c.state = state; state == answered {
 		c.listener.freed.Broadcast()
 	}
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection and removes it from its listener.
 func (c *boundedConn) Close() error {
 	c.listener.mu.Lock()
 	c.listener.remove(c)
@@ -104,7 +107,8 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite lets the answer be read to its end before the connection goes.
+// CloseWrite marks the connection as answered and closes its write side if the underlying connection supports
+// that: the client can still read the whole response before the connection is closed.
 func (c *boundedConn) CloseWrite() error {
 	c.setState(answered)
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -13,30 +13,31 @@
 	"time"
 )
 
-// Bounds on asking several routers.
+// Limits on querying several routers.
 const (
-	queryTimeout         = 2 * time.Second
-	maxConcurrentQueries = 32 // at once
-	maxResponseBytes     = 4 << 20
+	queryTimeout         = 2 * time.Second // per router
+	maxConcurrentQueries = 32              // queries in flight
+	maxResponseBytes     = 4 << 20         // 4 MiB
 )
 
-// ViewResult is what came of asking one router for its view.
+// ViewResult is the result of querying one router for its view: View is valid if Err is nil.
 type ViewResult struct {
 	Addr string
 	View FleetView
 	Err  error
 }
 
-// QueryViews asks routers at their operators' addresses for their views.
+// QueryViews queries the routers at the given operator addresses for their views concurrently. Returns
+// one result per address, in the same order.
 func QueryViews(ctx context.Context, addrs []string) []ViewResult {
 	out := make([]ViewResult, len(addrs))
-	places := make(chan struct{}, maxConcurrentQueries)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	client := &http.Client{Timeout: queryTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	var wg sync.WaitGroup
 	for i, a := range addrs {
 		wg.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			v, err := queryView(ctx, client, a)
 			out[i] = ViewResult{a, v, err}
 		})
@@ -45,12 +46,13 @@
 	return out
 }
 
+// queryView queries one router for its view.
 func queryView(ctx context.Context, client *http.Client, addr string) (v FleetView, err error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/control/fleet", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/control/fleet", nil)
 	if err != nil {
 		return v, err
 	}
-	resp, err := client.Do(q)
+	resp, err := client.Do(req)
 	if err != nil {
 		return v, err
 	}
@@ -60,48 +62,50 @@
 		return v, fmt.Errorf("%s: %s", resp.Status, strings.TrimSpace(string(text)))
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&v); err != nil {
-		return v, fmt.Errorf("an answer that is none: %w", err)
+		return v, fmt.Errorf("invalid fleet view in the response: %w", err)
 	}
 	return v, nil
 }
 
-// SummarizeAgreement is one line that says whether views agree and, if not, who differs about whom; agree is false also where one did not answer.
-func SummarizeAgreement(asked []ViewResult) (line string, agree bool) {
+// SummarizeAgreement returns a line that states whether the views agree and, if not, which routers differ
+// about which members. agree is also false if a router did not answer.
+func SummarizeAgreement(results []ViewResult) (line string, agree bool) {
 	groups := map[string][]FleetView{}
-	var silent []string
-	for _, a := range asked {
+	var unanswered []string
+	for _, a := range results {
 		if a.Err != nil {
-			silent = append(silent, a.Addr)
+			unanswered = append(unanswered, a.Addr)
 			continue
 		}
 		groups[a.View.Digest] = append(groups[a.View.Digest], a.View)
 	}
-	var all [][]FleetView
+	var groupsBySize [][]FleetView
 	for _, g := range groups {
 		slices.SortFunc(g, func(a, b FleetView) int { return cmp.Compare(a.Name, b.Name) })
-		all = append(all, g)
+		groupsBySize = append(groupsBySize, g)
 	}
-	slices.SortFunc(all, func(a, b []FleetView) int {
+	slices.SortFunc(groupsBySize, func(a, b []FleetView) int {
 		return cmp.Or(len(b)-len(a), cmp.Compare(a[0].Name, b[0].Name))
 	})
-	no := ""
-	if len(silent) > 0 {
-		no = "; no answer from " + abbreviate(silent)
+	unansweredNote := ""
+	if len(unanswered) > 0 {
+		unansweredNote = "; no answer from " + abbreviate(unanswered)
 	}
 	switch {
-	case len(all) == 0:
-		return "no router answered" + no, false
-	case len(all) == 1:
-		v := all[0][0]
-		return fmt.Sprintf("%d routers agree: %s (digest %s)%s", len(all[0]), formatStateCounts(v), v.Digest, no), len(silent) == 0
+	case len(groupsBySize) == 0:
+		return "no router answered" + unansweredNote, false
+	case len(groupsBySize) == 1:
+		v := groupsBySize[0][0]
+		return fmt.Sprintf("%d routers agree: %s (digest %s)%s", len(groupsBySize[0]), formatStateCounts(v), v.Digest, unansweredNote), len(unanswered) == 0
 	}
-	var parts []string
-	for _, g := range all[1:] {
-		parts = append(parts, fmt.Sprintf("%s differ%s about %s", abbreviate(routerNames(g)), verbSuffix(len(g)), abbreviate(diffMembers(all[0][0], g[0]))))
+	var disagreements []string
+	for _, g := range groupsBySize[1:] {
+		disagreements = append(disagreements, fmt.Sprintf("%s differ%s about %s", abbreviate(routerNames(g)), verbSuffix(len(g)), abbreviate(diffMembers(groupsBySize[0][0], g[0]))))
 	}
-	return fmt.Sprintf("%d views: %s agree%s; %s%s", len(all), abbreviate(routerNames(all[0])), verbSuffix(len(all[0])), strings.Join(parts, "; "), no), false
+	return fmt.Sprintf("%d views: %s agree%s; %s%s", len(groupsBySize), abbreviate(routerNames(groupsBySize[0])), verbSuffix(len(groupsBySize[0])), strings.Join(disagreements, "; "), unansweredNote), false
 }
 
+// verbSuffix returns the ending of a verb whose subject is n routers.
 func verbSuffix(n int) string {
 	if n == 1 {
 		return "s"
@@ -109,6 +113,7 @@
 	return ""
 }
 
+// routerNames returns the names of the routers that the views come from.
 func routerNames(g []FleetView) (out []string) {
 	for _, v := range g {
 		out = append(out, v.Name)
@@ -116,46 +121,46 @@
 	return out
 }
 
-// abbreviate names some, and how many more there are.
+// abbreviate lists the first names, and the number of those left out.
 func abbreviate(names []string) string {
-	const most = 6
+	const maxNames = 6
 	if len(names) == 0 {
 		return "nobody's state"
 	}
-	if len(names) > most {
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:most], ", "), len(names)-most)
+	if len(names) > maxNames {
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNames], ", "), len(names)-maxNames)
 	}
 	return strings.Join(names, ", ")
 }
 
-// presentStates are those of members that belong to the view.
+// presentStates are the states of the members that count when views are compared.
 var presentStates = []string{"joining", "alive", "suspect", "silent", "lost"}
 
-// diffMembers names the members that two views have differently, with both words.
+// diffMembers returns the members that differ between two views, each with its states in a and in b.
 func diffMembers(a, b FleetView) (out []string) {
-	of := func(v FleetView) map[string]Member {
+	presentMembers := func(v FleetView) map[string]Member {
 		m := map[string]Member{}
-		for _, x := range v.Members {
-			if slices.Contains(presentStates, x.State) {
-				m[x.Name] = x
+		for _, member := range v.Members {
+			if slices.Contains(presentStates, member.State) {
+				m[member.Name] = member
 			}
 		}
 		return m
 	}
-	x, y := of(a), of(b)
-	for name, m := range x {
-		o, ok := y[name]
+	membersA, membersB := presentMembers(a), presentMembers(b)
+	for name, m := range membersA {
+		other, ok := membersB[name]
 		switch {
 		case !ok:
 			out = append(out, fmt.Sprintf("%s (%s, not there)", name, m.State))
-		case o.State != m.State:
-			out = append(out, fmt.Sprintf("%s (%s, %s)", name, m.State, o.State))
-		case o.Start != m.Start:
+		case other.State != m.State:
+			out = append(out, fmt.Sprintf("%s (%s, %s)", name, m.State, other.State))
+		case other.Start != m.Start:
 			out = append(out, fmt.Sprintf("%s (another start)", name))
 		}
 	}
-	for name, m := range y {
-		if _, ok := x[name]; !ok {
+	for name, m := range membersB {
+		if _, ok := membersA[name]; !ok {
 			out = append(out, fmt.Sprintf("%s (not there, %s)", name, m.State))
 		}
 	}
@@ -163,43 +168,45 @@
 	return out
 }
 
-// formatStateCounts counts members by state.
+// formatStateCounts formats the number of members in each state.
 func formatStateCounts(v FleetView) string {
-	n := map[string]int{}
+	counts := map[string]int{}
 	for _, m := range v.Members {
-		n[m.State]++
+		counts[m.State]++
 	}
 	var out []string
 	for _, s := range append(slices.Clip(presentStates), "gone", "left") {
-		if n[s] > 0 {
-			out = append(out, fmt.Sprintf("%d %s", n[s], s))
+		if counts[s] > 0 {
+			out = append(out, fmt.Sprintf("%d %s", counts[s], s))
 		}
 	}
 	return strings.Join(out, ", ")
 }
 
-// WriteStatus writes what several routers say of the fleet: a line, and below it a row for each router and for each member that is not alive.
-func WriteStatus(w io.Writer, asked []ViewResult) (agree bool) {
-	line, agree := SummarizeAgreement(asked)
+// WriteStatus writes a report of the fleet's state from the views of several routers: a summary line,
+// then a row per router, followed by its members that are neither alive nor have left. Returns false if
+// the views differ or a router did not answer.
+func WriteStatus(w io.Writer, results []ViewResult) (agree bool) {
+	line, agree := SummarizeAgreement(results)
 	fmt.Fprintln(w, line)
-	for _, a := range asked {
+	for _, a := range results {
 		if a.Err != nil {
 			fmt.Fprintf(w, "  %-22s no answer: %v\n", a.Addr, a.Err)
 			continue
 		}
 		v := a.View
-		part := "no part"
+		share := "no part"
 		if v.ResourceShare.Divisor > 0 {
-			part = fmt.Sprintf("1 of %g parts", v.ResourceShare.Divisor)
+			share = fmt.Sprintf("1 of %g parts", v.ResourceShare.Divisor)
 		}
-		fmt.Fprintf(w, "  %-22s %-24s %s  settled %.1f s, doubt %d, %s\n", a.Addr, v.Name, v.Digest, v.SettledS, v.FailureSuspicion, part)
+		fmt.Fprintf(w, "  %-22s %-24s %s  settled %.1f s, doubt %d, %s\n", a.Addr, v.Name, v.Digest, v.SettledS, v.FailureSuspicion, share)
 		for _, m := range v.Members {
 			if m.State != "alive" && m.State != "left" {
-				by := m.ReportedBy
-				if by == "" {
-					by = "its own word"
+				reporter := m.ReportedBy
+				if reporter == "" {
+					reporter = "its own word"
 				}
-				fmt.Fprintf(w, "      %-24s %-22s %-8s %-8s for %.1f s, by %s\n", m.Name, m.Addr, m.Site, m.State, float64(m.SinceMS)/1000, by)
+				fmt.Fprintf(w, "      %-24s %-22s %-8s %-8s for %.1f s, by %s\n", m.Name, m.Addr, m.Site, m.State, float64(m.SinceMS)/1000, reporter)
 			}
 		}
 	}
