--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -18,7 +18,7 @@
 	"mossproxy.example/mossproxy/internal/standin/standintest"
 )
 
-// stubRouter is a router that says what the test has it say.
+// stubRouter is a Router whose answers are set by the test; it counts the calls.
 type stubRouter struct {
 	ready                             atomic.Bool
 	outOfServiceCalls, inServiceCalls atomic.Int32
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// serve serves a scripted router's calls until the test ends.
+// serve serves the endpoints of a stub router until the test ends.
 func serve(t *testing.T) (addr string, r *stubRouter) {
 	t.Helper()
 	r = &stubRouter{}
@@ -54,15 +54,16 @@
 	return ln.Addr().String(), r
 }
 
-// call makes one call and gives its status and text.
+// call sends one request and returns the status and the body of the response. It checks that the server
+// closes the connection.
 func call(t *testing.T, method, addr, path string) (status int, text string) {
 	t.Helper()
-	q, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+path, nil)
+	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: standintest.Wait}
-	resp, err := client.Do(q)
+	resp, err := client.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +146,7 @@
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(standintest.Wait))
-		go io.WriteString(c, in) //nolint:errcheck // it may be closed before it is all sent
+		go io.WriteString(c, in) //nolint:errcheck // the server may close the connection before all is sent
 		line, err := bufio.NewReader(c).ReadString('\n')
 		if err == nil && !strings.HasPrefix(line, "HTTP/1.1 4") {
 			t.Errorf("%s: %q", name, line)
@@ -153,7 +154,8 @@
 	}
 }
 
-// 200 callers that hold a connection without a whole call: a good call among them is answered in a second.
+// Guards against a lockout of operators: with 200 clients that hold a connection without sending a whole
+// request, a valid request must still be answered within a second.
 func TestSilentCallersGiveWay(t *testing.T) {
 	addr, r := serve(t)
 	r.ready.Store(true)
@@ -163,7 +165,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		io.WriteString(c, []string{"", "GET /control/re", "POST /control/in-service HTTP/1.1\r\nHost: x\r\n"}[i%3]) //nolint:errcheck // it may have given way
+		io.WriteString(c, []string{"", "GET /control/re", "POST /control/in-service HTTP/1.1\r\nHost: x\r\n"}[i%3]) //nolint:errcheck // the connection may have been evicted
 		if i%20 != 0 {
 			continue
 		}
@@ -177,7 +179,7 @@
 	}
 }
 
-// A caller that announces a body and does not send it is answered all the same.
+// A client that announces a body and never sends it is answered nevertheless.
 func TestBodyThatNeverComes(t *testing.T) {
 	addr, r := serve(t)
 	c, err := net.Dial("tcp", addr)
@@ -186,7 +188,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(standintest.Wait))
-	io.WriteString(c, "POST /control/out-of-service HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n") //nolint:errcheck // the answer tells
+	io.WriteString(c, "POST /control/out-of-service HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n") //nolint:errcheck // the response shows whether it arrived
 	if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || line != "HTTP/1.1 200 OK\r\n" || r.outOfServiceCalls.Load() != 1 {
 		t.Errorf("got %q, %v", line, err)
 	}
@@ -203,7 +205,7 @@
 	}
 }
 
-// Guards against a broken rule that no figure shows.
+// Guards against a violated invariant that no metric shows.
 func TestFiguresShowBrokenRules(t *testing.T) {
 	c := engine.Counts{Rules: []guard.Count{{Rule: guard.Deadline, Checked: 7, Prevented: 2, Broken: 1}}}
 	text := string(FormatMetrics(c))
