--- a/cmd/cottonyoke/callers.go
+++ b/cmd/cottonyoke/callers.go
@@ -205,7 +205,7 @@
 		good, err = check.Rights(os.Stdout, c.Check.File, c.Check.Config)
 	} else {
 		x := c.Explain
-		good, err = check.Explain(os.Stdout, x.File, check.Question{Roles: x.Role, Class: x.Class, Key: x.Key, Write: x.Write, At: x.At})
+		good, err = check.Explain(os.Stdout, x.File, check.AccessQuery{Roles: x.Role, Class: x.Class, Key: x.Key, Write: x.Write, At: x.At})
 	}
 	if err == nil && !good {
 		os.Exit(1) // what is wrong is printed
--- a/internal/keybook/source.go
+++ b/internal/keybook/source.go
@@ -44,7 +44,7 @@
 type Source struct {
 	cfg   SourceConfig
 	paths [parts]string
-	gate  *identity.Gate
+	gate  *identity.Authenticator
 	log   *slog.Logger
 
 	mu      sync.Mutex
@@ -57,7 +57,7 @@
 }
 
 // Open reads the files and gives the gate its first book. An error tells each fault with file and line.
-func Open(cfg SourceConfig, gate *identity.Gate, log *slog.Logger) (*Source, error) {
+func Open(cfg SourceConfig, gate *identity.Authenticator, log *slog.Logger) (*Source, error) {
 	s := &Source{cfg: cfg, paths: [parts]string{cfg.Book, cfg.Rights, cfg.Bundle}, gate: gate, log: log}
 	var next [parts][]byte
 	for i, path := range s.paths {
@@ -136,7 +136,7 @@
 		s.mu.Lock()
 		same := err == nil && string(text) == string(s.inUse[bookPart])
 		s.mu.Unlock()
-		if b := s.gate.Book(); same && b != nil && b.Issued() == 0 {
+		if b := s.gate.Credentials(); same && b != nil && b.Issued() == 0 {
 			s.gate.Confirm(nowMS())
 		}
 	}
@@ -218,7 +218,7 @@
 	if faults != nil {
 		return Faults(s.cfg.Book, next[bookPart], faults)
 	}
-	if err := s.gate.Use(book); err != nil {
+	if err := s.gate.SetCredentials(book); err != nil {
 		return fmt.Errorf("%s: %w", s.cfg.Book, err)
 	}
 	s.inUse, s.version, s.epoch, s.terms, s.names = next, b.Version, c.Version, b.Terms, b.Tenants
@@ -261,7 +261,7 @@
 		if err != nil {
 			return caller.Contents{}, err
 		}
-		c.TrustAnchors = identity.Anchors(certs)
+		c.TrustAnchors = identity.TrustAnchors(certs)
 	}
 	return c, nil
 }
--- a/internal/keybook/tool.go
+++ b/internal/keybook/tool.go
@@ -108,7 +108,7 @@
 
 // ImportKeys adds the public keys of a JWKS, all or none.
 func (t Tool) ImportKeys(path, issuer string, life caller.Lifecycle) error {
-	text, err := readBounded(path, identity.MaxJWKS)
+	text, err := readBounded(path, identity.MaxJWKSBytes)
 	if err != nil {
 		return err
 	}
