--- a/internal/admin/tool.go
+++ b/internal/admin/tool.go
@@ -10,7 +10,7 @@
 	"mossproxy.example/mossproxy/internal/store/fsys"
 )
 
-// withTokens has something done with the tokens of a folder's store.
+// withTokens calls do with the tokens of the store in dir.
 func withTokens(dir string, do func(*Tokens) error) error {
 	if dir == "" {
 		return errors.New("--state: missing; it names the folder of the store")
@@ -26,7 +26,7 @@
 	return do(NewTokens(s))
 }
 
-// CreateToken makes a token in a folder's store and writes its text, whose only copy that is.
+// CreateToken creates a token in the store in dir and prints it; the token is not stored in readable form.
 func CreateToken(out io.Writer, dir, id, right string) error {
 	return withTokens(dir, func(t *Tokens) error {
 		text, err := t.Create(id, right, time.Now())
@@ -37,7 +37,7 @@
 	})
 }
 
-// RevokeToken ends a token of a folder's store.
+// RevokeToken revokes a token of the store in dir.
 func RevokeToken(dir, id string) error {
 	return withTokens(dir, func(t *Tokens) error { return t.Revoke(id) })
 }
--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -13,7 +13,7 @@
 	"mossproxy.example/mossproxy/internal/pure/rights"
 )
 
-// readLimited reads a file, up to a byte beyond a bound, which its parser refuses.
+// readLimited reads at most one byte more than most, so that the parser detects files that are too large.
 func readLimited(path string, most int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -27,7 +27,8 @@
 	return text, nil
 }
 
-// checkCallers checks the files that a configuration's book of callers is made of, together, as a router would.
+// checkCallers checks the files of the credentials store together, as a router does. A non-empty rightsFile
+// replaces the configured one.
 func checkCallers(out io.Writer, f *config.File, rightsFile string) bool {
 	c := f.Callers
 	if rightsFile != "" {
@@ -65,7 +66,8 @@
 	return err == nil
 }
 
-// Rights checks a rights file, with a configuration also against its classes and its book.
+// Rights checks a rights file. With a configuration it also checks it against the configured classes and
+// credentials store.
 func Rights(out io.Writer, path, cfg string) (good bool, err error) {
 	text, err := readLimited(path, rights.MaxTextBytes)
 	if err != nil {
@@ -95,7 +97,7 @@
 	return true, nil
 }
 
-// AccessQuery is a request of a caller.
+// AccessQuery describes a request whose authorization is to be explained.
 type AccessQuery struct {
 	Roles      []string
 	Class, Key string
@@ -103,7 +105,7 @@
 	At         time.Time // zero = now
 }
 
-// Explain says which rule of a rights file decides a request; it is good where that is allowed.
+// Explain prints which rule of a rights file decides the request; good reports whether it is allowed.
 func Explain(out io.Writer, path string, q AccessQuery) (good bool, err error) {
 	text, err := readLimited(path, rights.MaxTextBytes)
 	if err != nil {
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,5 +1,5 @@
-// Package check says whether configuration and server files are good, and what a change of servers would do, before
-// anything is saved where a router would see it.
+// Package check validates configuration and server files and shows what a change of servers would do, before
+// the files are saved where a router reads them.
 package check
 
 import (
@@ -14,15 +14,15 @@
 	"mossproxy.example/mossproxy/internal/tomlfile"
 )
 
-// Options say what is checked.
+// Options selects what Run checks.
 type Options struct {
 	Files   []string
-	Against string // the server file that runs; "" = none
-	Config  string // by whose rules server files are judged; "" = by those that hold everywhere
+	Against string // server file in use; "" = none
+	Config  string // configuration with the rules for server files; "" = general rules only
 	Pool    string
 }
 
-// Run checks and prints to out. An error tells that nothing could be checked.
+// Run checks the files and prints the results to out. An error means that nothing could be checked.
 func Run(out io.Writer, o Options) (good bool, err error) {
 	rules, known, err := poolRules(o)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return good, nil
 }
 
-// poolRules finds the rules of the pool that is meant; known is false where there is no configuration to tell them.
+// poolRules returns the rules of the selected pool; known is false without a configuration.
 func poolRules(o Options) (r member.Rules, known bool, err error) {
 	if o.Config == "" {
 		return member.Rules{GoneShare: member.DefaultGoneShare}, false, nil
@@ -58,10 +58,10 @@
 	return r, false, fmt.Errorf("%s: no pool %q; name one of its %d with --pool", o.Config, o.Pool, len(f.Pools))
 }
 
-// serversPattern tells server files from configurations, also where they don't parse.
+// serversPattern distinguishes server files from configurations, even if they do not parse.
 var serversPattern = regexp.MustCompile(`(?m)^\s*servers\s*=`)
 
-// checkFile checks a file.
+// checkFile checks one file, and the files that a configuration refers to.
 func checkFile(out io.Writer, path string, rules member.Rules, known bool) bool {
 	text, err := readFile(path)
 	if err != nil {
@@ -95,7 +95,8 @@
 	return good
 }
 
-// readFile reads a file, up to a byte beyond what either kind may hold.
+// readFile reads at most one byte more than the size limit, so that the parser detects files that are too
+// large.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -109,7 +110,7 @@
 	return text, nil
 }
 
-// checkServers checks a server file. Without known rules it may list an origin or none.
+// checkServers checks a server file. If the rules are not known, an origin is optional.
 func checkServers(out io.Writer, path string, text []byte, rules member.Rules, known bool) (member.File, bool) {
 	f, faults := member.ParseFile(path, text, rules)
 	if !known && faults != nil {
@@ -125,7 +126,7 @@
 	return f, true
 }
 
-// checkChange prints what going from one server file to another does.
+// checkChange prints the effect of replacing one server file by another.
 func checkChange(out io.Writer, from, to string, rules member.Rules, known bool) bool {
 	var files [2]member.File
 	for i, path := range []string{from, to} {
--- a/internal/identity/audit.go
+++ b/internal/identity/audit.go
@@ -9,11 +9,11 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// maxAuditRecordsPerSecond bounds the records of one kind of event with one reason, a second.
+// maxAuditRecordsPerSecond limits the records of one event type with one reason.
 const maxAuditRecordsPerSecond = 20
 
-// Audit keeps a record of each login and refusal. In a storm some of each kind are written, and how many were not. It never sees a
-// secret, a token or a key of a value, so it can't show one.
+// Audit logs logins and refusals. It samples each event type and reason and logs how many records were
+// suppressed. It never receives secrets, tokens or the keys of cached values, so it cannot disclose them.
 type Audit struct {
 	log     *slog.Logger
 	now     func() float64
@@ -21,24 +21,24 @@
 	sampler *caller.Sampler
 }
 
-// NewAudit writes to a logger.
+// NewAudit returns an Audit that writes to log; now returns the time in Unix ms.
 func NewAudit(log *slog.Logger, now func() float64) *Audit {
 	return &Audit{log: log, now: now, sampler: caller.NewSampler(maxAuditRecordsPerSecond)}
 }
 
-// Event is what the audit has of one.
+// Event is one audit record.
 type Event struct {
-	What   string // login, refused, withdrawn
+	What   string // login, refused or withdrawn
 	Reason caller.Reason
 	Caller string
 	Tenant string
-	Key    string // id of the key or name of the certificate
-	From   string // address
-	Class  string // of the request, where it is one
-	Rule   int    // line of the rule that decided, where one did
+	Key    string // credential ID or certificate name
+	From   string // remote address
+	Class  string // request class; empty for logins
+	Rule   int    // line of the deciding access rule; 0 if none
 }
 
-// Add writes an event, or counts it.
+// Add logs the event, or counts it as suppressed when the rate limit is reached.
 func (a *Audit) Add(e Event) {
 	a.mu.Lock()
 	write, left := a.sampler.Allow(a.now(), e.What+" "+e.Reason.String())
@@ -73,7 +73,7 @@
 	return r.String()
 }
 
-// sanitize bounds what comes from outside and takes out what no name has: a record stays one record.
+// sanitize truncates untrusted text and replaces all but printable ASCII, so that an event stays one record.
 func sanitize(v string) string {
 	b := []byte(v[:min(len(v), caller.MaxTextBytes)])
 	for i, c := range b {
@@ -84,7 +84,7 @@
 	return string(b)
 }
 
-// reportSuppressed tells each second of what was left out of storms that have passed, until ctx ends.
+// reportSuppressed logs once a second the number of suppressed records, until ctx ends.
 func (a *Audit) reportSuppressed(ctx context.Context) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
--- a/internal/identity/secret.go
+++ b/internal/identity/secret.go
@@ -11,11 +11,12 @@
 	"github.com/zeebo/blake3"
 )
 
-// Pepper is the key of the hashes of secrets. All routers of a tier and the commands that make secrets have the same; it stands in
-// a file of its own, so that the book alone gives nobody anything to try secrets against.
+// Pepper is the key of the secret hashes. All routers of a tier and the commands that create secrets share
+// it. It is stored in a file of its own, so that a leaked credentials store alone does not allow guessing
+// secrets offline.
 type Pepper [32]byte
 
-// ReadPepper reads a pepper file: 32 bytes in base64, as NewPepper writes them.
+// ReadPepper reads a pepper file: 32 bytes in base64, as written by NewPepper.
 func ReadPepper(path string) (Pepper, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -28,10 +29,11 @@
 	return Pepper(b), nil
 }
 
-// NewPepper makes a pepper file that its owner alone may read. It changes no file that is there: secrets would be lost.
+// NewPepper creates a pepper file that only its owner can read. It never overwrites an existing file, since
+// that would invalidate all secrets.
 func NewPepper(path string) error {
 	var b Pepper
-	rand.Read(b[:]) //nolint:errcheck // crypto/rand ends the program where it can't
+	rand.Read(b[:]) //nolint:errcheck // crypto/rand aborts the program on failure
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return fmt.Errorf("pepper: %w", err)
@@ -43,24 +45,25 @@
 		err = e
 	}
 	if err != nil {
-		os.Remove(path) //nolint:errcheck // half a pepper is none
+		os.Remove(path) //nolint:errcheck // best-effort removal of an incomplete file
 		return fmt.Errorf("pepper: %w", err)
 	}
 	return nil
 }
 
-// NewSecret draws a secret of 256 bits. Secrets are always drawn, never chosen: only then is a quick hash as good as a slow one.
+// NewSecret returns a random secret of 256 bits, base64url-encoded. Secrets are always random, never chosen
+// by users, so a fast hash is as safe as a slow one.
 func NewSecret() string {
 	var b [32]byte
 	rand.Read(b[:]) //nolint:errcheck // as above
 	return base64.RawURLEncoding.EncodeToString(b[:])
 }
 
-// maxSecretBytes bounds what is hashed, in bytes.
+// maxSecretBytes limits the input of Pepper.Hash.
 const maxSecretBytes = 256
 
-// Hash is what the book keeps of a key's secret: BLAKE3 keyed by the pepper over id and secret. An id holds no zero byte, so none
-// runs into the secret.
+// Hash returns the hash of a secret that the credentials store keeps: BLAKE3 keyed by the pepper over id, a
+// zero byte and secret. An id contains no zero byte, so the input is unambiguous.
 func (p Pepper) Hash(id string, secret []byte) (out [32]byte) {
 	h := newKeyedHasher([32]byte(p))
 	h.WriteString(id)  //nolint:errcheck // never fails
@@ -70,7 +73,7 @@
 	return out
 }
 
-// newKeyedHasher is BLAKE3 with a key, whose length is always right.
+// newKeyedHasher returns a BLAKE3 hasher with the key. NewKeyed fails only for keys of another length.
 func newKeyedHasher(key [32]byte) *blake3.Hasher {
 	h, err := blake3.NewKeyed(key[:])
 	if err != nil {
@@ -79,12 +82,13 @@
 	return h
 }
 
-// tokenHasher hashes tokens under a key that nobody outside the process has. A hasher takes 11 KiB, so they are used again.
+// tokenHasher hashes tokens under a random key known only to this process. Hashers take 11 KiB each, so they
+// are pooled.
 type tokenHasher struct{ pool sync.Pool }
 
 func newTokenHasher() *tokenHasher {
 	var key [32]byte
-	rand.Read(key[:]) //nolint:errcheck // crypto/rand ends the program where it can't
+	rand.Read(key[:]) //nolint:errcheck // crypto/rand aborts the program on failure
 	return &tokenHasher{sync.Pool{New: func() any { return newKeyedHasher(key) }}}
 }
 
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -1,6 +1,7 @@
-// Package identity proves who is on a link: signed tokens, secrets and client certificates, by keys that change in service. What a
-// proof is worth is settled by package caller, which does no input or output; this package checks signatures and chains, remembers
-// what it has checked, and keeps the audit.
+// Package identity authenticates clients by signed tokens, secrets and client certificates, with keys that
+// can be rotated without a restart. Package caller decides what a verified credential grants and does no
+// I/O; this package verifies signatures and certificate chains, caches verified identities and writes the
+// audit log.
 package identity
 
 import (
@@ -20,21 +21,22 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// MaxTokenBytes is the longest token that is looked at, in bytes: a line of the meta dialect holds it with a request.
+// MaxTokenBytes is the length limit of a token. A token of this length and a request fit on one line of the
+// meta protocol.
 const MaxTokenBytes = 3 << 10
 
-// allowedAlgorithms are those that tokens may have. Neither none nor any that checks by a shared secret is among them, so a public key
-// can't be passed off as one.
+// allowedAlgorithms lists the signature algorithms of tokens. It excludes "none" and symmetric algorithms,
+// so that a public key cannot be misused as a shared secret.
 var allowedAlgorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256}
 
-// authenticateToken is one that was read and not checked yet.
+// token is a parsed token whose signature is not verified yet.
 type token struct {
 	*jwt.JSONWebToken
 	kid string
 	alg string
 }
 
-// readToken reads a token without believing it.
+// readToken parses a token without verifying it.
 func readToken(text string) (token, caller.Reason) {
 	if len(text) > MaxTokenBytes {
 		return token{}, caller.TooLong
@@ -50,7 +52,8 @@
 	return token{t, t.Headers[0].KeyID, t.Headers[0].Algorithm}, caller.None
 }
 
-// verify checks a token's signature by a key of the book, and gives what it says. The algorithm is the key's.
+// verify checks the token's signature with key k and returns its claims. The algorithm must be that of the
+// key.
 func (t token) verify(k *caller.Key, public crypto.PublicKey) (caller.Claims, caller.Reason) {
 	if t.alg != string(k.Algorithm) {
 		return caller.Claims{}, caller.BadAlgorithm
@@ -60,7 +63,7 @@
 		if errors.Is(err, jose.ErrCryptoFailure) {
 			return caller.Claims{}, caller.BadSignature
 		}
-		return caller.Claims{}, caller.Malformed // signed, and no claims
+		return caller.Claims{}, caller.Malformed // the signature is valid, the claims are not
 	}
 	ms := func(d *jwt.NumericDate) float64 {
 		if d == nil {
@@ -72,7 +75,7 @@
 		NotBefore: ms(c.NotBefore), ExpiresAt: ms(c.Expiry)}, caller.None
 }
 
-// publicKey reads a key of the book.
+// publicKey parses the public key of k and checks that it matches k's algorithm.
 func publicKey(k *caller.Key) (crypto.PublicKey, error) {
 	p, err := x509.ParsePKIXPublicKey(k.PublicDER)
 	if err != nil {
@@ -84,7 +87,7 @@
 	return p, nil
 }
 
-// algorithmOf is the algorithm that a public key checks by.
+// algorithmOf returns the signature algorithm for a public key.
 func algorithmOf(p crypto.PublicKey) (caller.Algorithm, error) {
 	switch p := p.(type) {
 	case ed25519.PublicKey:
@@ -104,8 +107,8 @@
 	maxJWKSKeys  = 256
 )
 
-// ReadJWKS reads a set of public keys (RFC 7517) whole: one key that can't be used makes all of it a fault, as half a rotation
-// helps nobody. The keys have no life yet.
+// ReadJWKS parses a set of public keys (RFC 7517). One unusable key rejects the whole set, because half a
+// key rotation is of no use. The returned keys have no Lifecycle.
 func ReadJWKS(text []byte, issuer string) ([]caller.Key, error) {
 	if len(text) > MaxJWKSBytes {
 		return nil, fmt.Errorf("over %d bytes", MaxJWKSBytes)
@@ -135,7 +138,7 @@
 	return out, nil
 }
 
-// ReadJWK reads one public key (RFC 7517).
+// ReadJWK parses one public key (RFC 7517).
 func ReadJWK(text []byte, issuer string) (caller.Key, error) {
 	var k jose.JSONWebKey
 	if err := json.Unmarshal(text, &k); err != nil {
@@ -163,7 +166,7 @@
 	return caller.Key{ID: k.KeyID, Algorithm: alg, Issuer: issuer, PublicDER: der, Digest: sha256.Sum256(der)}, nil
 }
 
-// WriteJWK gives a key of the book as a JWK.
+// WriteJWK returns a stored key as a JWK.
 func WriteJWK(k *caller.Key) (string, error) {
 	p, err := publicKey(k)
 	if err != nil {
