--- a/internal/identity/gate.go
+++ b/internal/identity/gate.go
@@ -19,49 +19,50 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// Options are what a gate works by.
+// Options configures an Authenticator.
 type Options struct {
 	Policy      caller.Policy
-	Pepper      *Pepper // nil = secrets are not taken
-	CacheSize   int     // tokens whose check is remembered; 0 = DefaultCacheSize
-	CPUShare    float64 // of one core that checking may take, 0 to 1; 0 = DefaultCPUShare
-	RouterShare float64 // this router's part of the service, for rates of rules; 0 = all
+	Pepper      *Pepper // nil = secrets are rejected
+	CacheSize   int     // number of cached verified tokens; 0 = DefaultCacheSize
+	CPUShare    float64 // share of one core for verification, 0 to 1; 0 = DefaultCPUShare
+	RouterShare float64 // this router's share of the service-wide rate limits; 0 = all
 	Log         *slog.Logger
-	Now         func() float64 // Unix ms; nil = the system's clock
+	Now         func() float64 // Unix ms; nil = system clock
 }
 
-// The usual values of Options.
+// Defaults of Options.
 const (
 	DefaultCacheSize = 16 << 10
 	DefaultCPUShare  = 0.2
 )
 
-// What a check costs, in ms of one core (BenchmarkVerify on 2 cores of this project's machine, 2026-12-01, rounded up). The budget
-// needs no better: it bounds a flood.
+// Cost of a verification in ms of one core, rounded up from BenchmarkVerify. Rough values suffice, because the
+// CPU budget only has to limit floods.
 const (
 	costEdDSA  = 0.10
 	costES256  = 0.15
 	costSecret = 0.005
 )
 
-// state is the book in force with its keys made ready. It does not change.
+// state is an immutable snapshot of the credentials store with its parsed public keys.
 type state struct {
 	credentials *caller.CredentialStore
 	keys        map[string]crypto.PublicKey
 }
 
-// Authenticator settles for connections who calls. Its methods may be called from any goroutine; none blocks.
+// Authenticator authenticates and authorizes the clients of connections. Its methods are safe for concurrent
+// use and do not block on I/O.
 type Authenticator struct {
 	opts      Options
 	now       func() float64
 	state     atomic.Pointer[state]
-	confirmed atomic.Uint64 // when the book was last known to be in force: bits of a float64
-	hasher    *tokenHasher  // by which tokens are remembered
+	confirmed atomic.Uint64 // when the credentials were last known to be current, in Unix ms: bits of a float64
+	hasher    *tokenHasher  // hashes the cache keys of tokens
 	audit     *Audit
-	counts    [64]atomic.Int64 // verdicts on who logs in or asks, by reason
-	checks    atomic.Int64     // signatures and secrets checked
+	counts    [64]atomic.Int64 // verdicts of authentication and authorization, by reason
+	checks    atomic.Int64     // signatures and secrets verified
 
-	mu      sync.Mutex // of what follows
+	mu      sync.Mutex // guards cache and limiter
 	cache   *caller.IdentityCache
 	limiter *caller.AuthLimiter
 
@@ -69,7 +70,7 @@
 	rates   *caller.RateLimiter
 }
 
-// NewAuthenticator is a gate that takes nobody until Use has given it a book.
+// NewAuthenticator returns an Authenticator that rejects every client until SetCredentials is called.
 func NewAuthenticator(o Options) *Authenticator {
 	if o.CacheSize == 0 {
 		o.CacheSize = DefaultCacheSize
@@ -91,8 +92,8 @@
 	return g
 }
 
-// SetCredentials brings a book into force: for new callers at once, and for those that are known at their next request. An error names a key
-// that can't be used; the old book stays then.
+// SetCredentials replaces the credentials store. It applies to new clients at once and to authenticated ones
+// at their next request. It returns an error and keeps the old store if a key is unusable.
 func (g *Authenticator) SetCredentials(b *caller.CredentialStore) error {
 	s := &state{credentials: b, keys: map[string]crypto.PublicKey{}}
 	for _, k := range b.Keys() {
@@ -114,7 +115,8 @@
 	return nil
 }
 
-// Confirm tells that the book was known to be in force at a time, ms. An older time changes nothing.
+// Confirm records that the credentials were known to be current at the given time in Unix ms. Times before
+// the last confirmed one are ignored.
 func (g *Authenticator) Confirm(at float64) {
 	for {
 		old := g.confirmed.Load()
@@ -124,7 +126,7 @@
 	}
 }
 
-// Credentials is the one in force, nil before the first.
+// Credentials returns the credentials store in use, nil before the first SetCredentials.
 func (g *Authenticator) Credentials() *caller.CredentialStore {
 	if s := g.state.Load(); s != nil {
 		return s.credentials
@@ -132,7 +134,8 @@
 	return nil
 }
 
-// current is the book in force, if it is to be believed by callers that are new, or by all.
+// current returns the current snapshot, or StaleKeys if it is too old: for new clients if isNew, otherwise
+// for all.
 func (g *Authenticator) current(now float64, isNew bool) (*state, caller.Reason) {
 	s := g.state.Load()
 	if s == nil {
@@ -145,25 +148,25 @@
 	return s, caller.None
 }
 
-// AuthenticateToken settles who shows a token, from an address.
-func (g *Authenticator) AuthenticateToken(from, text string) (*caller.Identity, caller.Reason) {
-	p, why := g.authenticateToken(from, text)
-	g.recordVerdict("login", why, p, Event{From: from})
-	return p, why
+// AuthenticateToken authenticates a client by a token and logs the login or refusal.
+func (g *Authenticator) AuthenticateToken(remoteAddr, text string) (*caller.Identity, caller.Reason) {
+	p, reason := g.authenticateToken(remoteAddr, text)
+	g.recordVerdict("login", reason, p, Event{From: remoteAddr})
+	return p, reason
 }
 
-// AuthenticateRequest is Token for a single request: there is no login for the audit, but a refusal is one.
-func (g *Authenticator) AuthenticateRequest(from, text string) (*caller.Identity, caller.Reason) {
-	p, why := g.authenticateToken(from, text)
-	if why != caller.None {
-		g.recordVerdict("login", why, nil, Event{From: from})
+// AuthenticateRequest is AuthenticateToken for a single request: it logs refusals only.
+func (g *Authenticator) AuthenticateRequest(remoteAddr, text string) (*caller.Identity, caller.Reason) {
+	p, reason := g.authenticateToken(remoteAddr, text)
+	if reason != caller.None {
+		g.recordVerdict("login", reason, nil, Event{From: remoteAddr})
 	} else {
 		g.counts[caller.None].Add(1)
 	}
-	return p, why
+	return p, reason
 }
 
-func (g *Authenticator) authenticateToken(from, text string) (*caller.Identity, caller.Reason) {
+func (g *Authenticator) authenticateToken(remoteAddr, text string) (*caller.Identity, caller.Reason) {
 	now := g.now()
 	if len(text) > MaxTokenBytes {
 		return nil, caller.TooLong
@@ -172,30 +175,30 @@
 	g.mu.Lock()
 	p := g.cache.Get(hash)
 	g.mu.Unlock()
-	if p != nil { // the signature was checked; all else is judged again if anything has changed
-		s, why := g.current(now, false)
-		if why != caller.None {
-			return nil, why
+	if p != nil { // the signature is verified; the rest is checked again if the credentials or the time changed
+		s, reason := g.current(now, false)
+		if reason != caller.None {
+			return nil, reason
 		}
 		if p.Valid(s.credentials.Version(), now) {
 			return p, caller.None
 		}
-		if p, why = s.credentials.Reauthenticate(now, p); why == caller.None {
+		if p, reason = s.credentials.Reauthenticate(now, p); reason == caller.None {
 			g.cacheIdentity(hash, p)
 			return p, caller.None
 		}
 		g.mu.Lock()
 		g.cache.Remove(hash)
 		g.mu.Unlock()
-		if why != caller.NoTenant { // the tenant may be another one of its name: then the token is a new caller's
-			return nil, why
+		if reason != caller.NoTenant { // a recreated tenant of the same name: verify the token as new
+			return nil, reason
 		}
 	}
-	p, why := g.verifyToken(now, from, text)
-	if why == caller.None {
+	p, reason := g.verifyToken(now, remoteAddr, text)
+	if reason == caller.None {
 		g.cacheIdentity(hash, p)
 	}
-	return p, why
+	return p, reason
 }
 
 func (g *Authenticator) cacheIdentity(hash [32]byte, p *caller.Identity) {
@@ -204,28 +207,28 @@
 	g.mu.Unlock()
 }
 
-// verifyToken checks a token that is not remembered, if the budget of such checks has room.
-func (g *Authenticator) verifyToken(now float64, from, text string) (*caller.Identity, caller.Reason) {
-	s, why := g.current(now, true)
-	if why != caller.None {
-		return nil, why
+// verifyToken verifies a token that is not cached, within the CPU budget for verification.
+func (g *Authenticator) verifyToken(now float64, remoteAddr, text string) (*caller.Identity, caller.Reason) {
+	s, reason := g.current(now, true)
+	if reason != caller.None {
+		return nil, reason
 	}
-	origin := addressPrefix(from)
-	if !g.allowCheck(now, origin, "", costSecret) { // reading it is work too
+	origin := addressPrefix(remoteAddr)
+	if !g.allowCheck(now, origin, "", costSecret) { // parsing costs CPU time too
 		return nil, caller.Throttled
 	}
-	t, why := readToken(text)
-	if why != caller.None {
+	t, reason := readToken(text)
+	if reason != caller.None {
 		g.recordResult(now, origin, "", true)
-		return nil, why
+		return nil, reason
 	}
 	k := s.credentials.Key(t.kid)
 	if k == nil || s.keys[t.kid] == nil {
 		g.recordResult(now, origin, "", true)
 		return nil, caller.UnknownKey
 	}
-	if why := s.credentials.CheckKeyState(k, now); why != caller.None { // before the work
-		return nil, why
+	if reason := s.credentials.CheckKeyState(k, now); reason != caller.None { // before the expensive verification
+		return nil, reason
 	}
 	cost := costEdDSA
 	if k.Algorithm == caller.ES256 {
@@ -235,10 +238,10 @@
 		return nil, caller.Throttled
 	}
 	g.checks.Add(1)
-	c, why := t.verify(k, s.keys[t.kid])
-	g.recordResult(now, origin, k.ID, why != caller.None)
-	if why != caller.None {
-		return nil, why
+	c, reason := t.verify(k, s.keys[t.kid])
+	g.recordResult(now, origin, k.ID, reason != caller.None)
+	if reason != caller.None {
+		return nil, reason
 	}
 	return s.credentials.AuthenticateToken(now, c)
 }
@@ -255,11 +258,12 @@
 	g.limiter.RecordResult(now, origin, key, wrong)
 }
 
-// addressPrefix is the address by which floods are told apart: without the port, and of IPv6 the network of 64 bits that one caller has.
-func addressPrefix(from string) string {
-	a, err := netip.ParseAddrPort(from)
+// addressPrefix returns the key for rate limits by address: the IPv4 address without port, or the /64
+// network of an IPv6 address, since one client usually controls a whole /64.
+func addressPrefix(remoteAddr string) string {
+	a, err := netip.ParseAddrPort(remoteAddr)
 	if err != nil {
-		return from
+		return remoteAddr
 	}
 	ip := a.Addr().Unmap()
 	if ip.Is6() {
@@ -272,55 +276,58 @@
 	return ip.String()
 }
 
-// AuthenticateSecret settles who shows a key's secret.
-func (g *Authenticator) AuthenticateSecret(from, id string, secret []byte) (*caller.Identity, caller.Reason) {
-	p, why := g.authenticateSecret(from, id, secret)
-	g.recordVerdict("login", why, p, Event{From: from, Key: id})
-	return p, why
+// AuthenticateSecret authenticates a client by a key ID and its secret.
+func (g *Authenticator) AuthenticateSecret(remoteAddr, id string, secret []byte) (*caller.Identity, caller.Reason) {
+	p, reason := g.authenticateSecret(remoteAddr, id, secret)
+	g.recordVerdict("login", reason, p, Event{From: remoteAddr, Key: id})
+	return p, reason
 }
 
-func (g *Authenticator) authenticateSecret(from, id string, secret []byte) (*caller.Identity, caller.Reason) {
+func (g *Authenticator) authenticateSecret(remoteAddr, id string, secret []byte) (*caller.Identity, caller.Reason) {
 	now := g.now()
-	s, why := g.current(now, true)
+	s, reason := g.current(now, true)
 	switch {
-	case why != caller.None:
-		return nil, why
+	case reason != caller.None:
+		return nil, reason
 	case len(secret) > maxSecretBytes || len(id) > caller.MaxTextBytes:
 		return nil, caller.TooLong
 	case g.opts.Pepper == nil:
 		return nil, caller.UnknownKey
 	}
-	origin := addressPrefix(from)
+	origin := addressPrefix(remoteAddr)
 	if !g.allowCheck(now, origin, id, costSecret) {
 		return nil, caller.Throttled
 	}
 	g.checks.Add(1)
-	// The book compares hashes under a key that nobody outside knows, so how far they agree tells nobody anything of the secret.
-	p, why := s.credentials.AuthenticateSecret(now, id, g.opts.Pepper.Hash(id, secret))
-	g.recordResult(now, origin, id, why == caller.BadSignature || why == caller.UnknownKey)
-	return p, why
+	// Comparing the hashes need not take constant time: they are keyed by the pepper, so timing reveals
+	// nothing about the secret.
+	p, reason := s.credentials.AuthenticateSecret(now, id, g.opts.Pepper.Hash(id, secret))
+	g.recordResult(now, origin, id, reason == caller.BadSignature || reason == caller.UnknownKey)
+	return p, reason
 }
 
-// AuthenticateCertificate settles who has shown a client certificate on a link whose handshake is over. Without one there is no caller.
-func (g *Authenticator) AuthenticateCertificate(from string, link *tls.ConnectionState) (*caller.Identity, caller.Reason) {
-	if link == nil || len(link.PeerCertificates) == 0 || len(link.VerifiedChains) == 0 {
+// AuthenticateCertificate authenticates a client by the verified certificate of a completed handshake. It
+// returns NoCaller if there is none.
+func (g *Authenticator) AuthenticateCertificate(remoteAddr string, conn *tls.ConnectionState) (*caller.Identity, caller.Reason) {
+	if conn == nil || len(conn.PeerCertificates) == 0 || len(conn.VerifiedChains) == 0 {
 		return nil, caller.NoCaller
 	}
 	now := g.now()
-	s, why := g.current(now, true)
+	s, reason := g.current(now, true)
 	var p *caller.Identity
-	if why == caller.None {
-		for _, chain := range link.VerifiedChains { // one whose end is still in the bundle will do
-			if p, why = s.credentials.AuthenticateCertificate(now, describeChain(chain)); why != caller.KeyRevoked {
+	if reason == caller.None {
+		for _, chain := range conn.VerifiedChains { // one chain whose root is still in the bundle suffices
+			if p, reason = s.credentials.AuthenticateCertificate(now, describeChain(chain)); reason != caller.KeyRevoked {
 				break
 			}
 		}
 	}
-	g.recordVerdict("login", why, p, Event{From: from, Key: "sha256:" + fingerprint(link.PeerCertificates[0])})
-	return p, why
+	g.recordVerdict("login", reason, p, Event{From: remoteAddr, Key: "sha256:" + fingerprint(conn.PeerCertificates[0])})
+	return p, reason
 }
 
-// describeChain gives what the book needs of a chain. It holds no longer than any certificate of it.
+// describeChain converts a chain for the credentials store. The result is valid only while all certificates
+// of the chain are.
 func describeChain(chain []*x509.Certificate) caller.Certificate {
 	leaf := chain[0]
 	c := caller.Certificate{Names: []string{"sha256:" + fingerprint(leaf)}, TrustAnchor: sha256.Sum256(chain[len(chain)-1].Raw), NotAfter: math.Inf(1)}
@@ -342,13 +349,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Validate gives the pass by which a caller goes on: the same while it holds, another where the book or the time has changed and it is
-// still good, or why not.
+// Revalidate returns p while it is valid, a renewed identity if the credentials or the time changed and the
+// client is still accepted, or the reason why it is not.
 func (g *Authenticator) Revalidate(p *caller.Identity) (*caller.Identity, caller.Reason) {
 	now := g.now()
-	s, why := g.current(now, false)
-	if why != caller.None {
-		return nil, why
+	s, reason := g.current(now, false)
+	if reason != caller.None {
+		return nil, reason
 	}
 	if p.Valid(s.credentials.Version(), now) {
 		return p, caller.None
@@ -356,17 +363,17 @@
 	return s.credentials.Reauthenticate(now, p)
 }
 
-// RecordWithdrawn tells the audit that a caller's connection ends.
-func (g *Authenticator) RecordWithdrawn(from string, p *caller.Identity, why caller.Reason) {
-	g.recordVerdict("withdrawn", why, p, Event{From: from})
+// RecordWithdrawn logs that a client's connection is closed because its access was withdrawn.
+func (g *Authenticator) RecordWithdrawn(remoteAddr string, p *caller.Identity, reason caller.Reason) {
+	g.recordVerdict("withdrawn", reason, p, Event{From: remoteAddr})
 }
 
-// Authorize says whether a caller may make a request of a class on a key of its own, now. Of one that is over a rate it says after how
-// many ms there is room.
-func (g *Authenticator) Authorize(from string, p *caller.Identity, class, key string, access caller.Access) (again float64, why caller.Reason) {
+// Authorize decides whether a client may make a request of a class for a key. For OverRate, again is the
+// time in ms after which a retry can succeed.
+func (g *Authenticator) Authorize(remoteAddr string, p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
 	now := g.now()
 	rule, ok := p.Rights.Allows(now, class, key, access)
-	e := Event{From: from, Class: class}
+	e := Event{From: remoteAddr, Class: class}
 	if rule >= 0 {
 		e.Rule = p.Rights.Rules()[rule].Line
 	}
@@ -376,25 +383,25 @@
 	}
 	if p.Rights.Rules()[rule].Rate > 0 {
 		g.ratesMu.Lock()
-		again, ok = g.rates.Take(now, p.Caller, p.Rights, rule)
+		retryAfter, ok = g.rates.Take(now, p.Caller, p.Rights, rule)
 		g.ratesMu.Unlock()
 		if !ok {
 			g.recordVerdict("refused", caller.OverRate, p, e)
-			return again, caller.OverRate
+			return retryAfter, caller.OverRate
 		}
 	}
 	return 0, caller.None
 }
 
-// RecordRefused tells the audit of a request that was not taken for another reason.
-func (g *Authenticator) RecordRefused(from string, p *caller.Identity, why caller.Reason) {
-	g.recordVerdict("refused", why, p, Event{From: from})
+// RecordRefused logs a request that was refused for any other reason.
+func (g *Authenticator) RecordRefused(remoteAddr string, p *caller.Identity, reason caller.Reason) {
+	g.recordVerdict("refused", reason, p, Event{From: remoteAddr})
 }
 
-// recordVerdict books a verdict.
-func (g *Authenticator) recordVerdict(what string, why caller.Reason, p *caller.Identity, e Event) {
-	g.counts[why].Add(1)
-	if e.What, e.Reason = what, why; p != nil {
+// recordVerdict counts a verdict and adds it to the audit log.
+func (g *Authenticator) recordVerdict(what string, reason caller.Reason, p *caller.Identity, e Event) {
+	g.counts[reason].Add(1)
+	if e.What, e.Reason = what, reason; p != nil {
 		e.Caller, e.Tenant = p.Caller, p.Tenant.Name
 		if e.Key == "" {
 			e.Key = p.CredentialName
@@ -403,15 +410,15 @@
 	g.audit.Add(e)
 }
 
-// Stats are a gate's.
+// Stats holds the counters of an Authenticator.
 type Stats struct {
-	Verdicts   map[string]int64 // by reason; none = taken
-	Checks     int64            // of signatures and secrets
-	Remembered int              // tokens
-	Addresses  int              // of callers, remembered
+	Verdicts   map[string]int64 // by reason; none = accepted
+	Checks     int64            // signatures and secrets verified
+	Remembered int              // cached tokens
+	Addresses  int              // client addresses tracked by the limiter
 }
 
-// Stats gives them.
+// Stats returns the current counters.
 func (g *Authenticator) Stats() Stats {
 	f := Stats{Verdicts: map[string]int64{}, Checks: g.checks.Load()}
 	for _, r := range caller.Reasons() {
@@ -426,10 +433,10 @@
 	return f
 }
 
-// Run keeps the audit's counts flowing until ctx ends.
+// Run logs the counts of suppressed audit records until ctx ends.
 func (g *Authenticator) Run(ctx context.Context) { g.audit.reportSuppressed(ctx) }
 
-// RemoteAddr is the text of a connection's far end.
+// RemoteAddr returns the remote address of c, or "" if it has none.
 func RemoteAddr(c net.Conn) string {
 	if a := c.RemoteAddr(); a != nil {
 		return a.String()
@@ -437,7 +444,7 @@
 	return ""
 }
 
-// CredentialsError joins what is wrong with a book's contents.
+// CredentialsError joins the validation errors of a credentials store, one a line; nil if there are none.
 func CredentialsError(name string, faults []caller.ValidationError) error {
 	if len(faults) == 0 {
 		return nil
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -99,19 +99,19 @@
 		"expired":                  {h.ed.Sign(t, h.ed.Claims("s", "r", time.Now().Add(-time.Hour), time.Minute)), caller.Expired},
 	} {
 		for range 2 { // the second time may be remembered
-			if p, why := h.gate.AuthenticateToken("10.0.0."+fmt.Sprint(len(name))+":1", c.token); why != c.want || (p == nil) != (why != caller.None) {
-				t.Errorf("%s: %v, want %v", name, why, c.want)
+			if p, reason := h.gate.AuthenticateToken("10.0.0."+fmt.Sprint(len(name))+":1", c.token); reason != c.want || (p == nil) != (reason != caller.None) {
+				t.Errorf("%s: %v, want %v", name, reason, c.want)
 			}
 		}
 	}
-	if _, why := h.gate.AuthenticateSecret("10.0.1.1:1", "x", []byte("geheim")); why != caller.None {
-		t.Error(why)
+	if _, reason := h.gate.AuthenticateSecret("10.0.1.1:1", "x", []byte("geheim")); reason != caller.None {
+		t.Error(reason)
 	}
-	if _, why := h.gate.AuthenticateSecret("10.0.1.1:1", "x", []byte("geheimer")); why != caller.BadSignature {
-		t.Error(why)
+	if _, reason := h.gate.AuthenticateSecret("10.0.1.1:1", "x", []byte("geheimer")); reason != caller.BadSignature {
+		t.Error(reason)
 	}
-	if _, why := h.gate.AuthenticateSecret("10.0.1.1:1", "ed", []byte("geheim")); why != caller.UnknownKey {
-		t.Errorf("a public key's id with a secret: %v", why)
+	if _, reason := h.gate.AuthenticateSecret("10.0.1.1:1", "ed", []byte("geheim")); reason != caller.UnknownKey {
+		t.Errorf("a public key's id with a secret: %v", reason)
 	}
 	log := h.log.String()
 	for _, secret := range []string{good, parts[2], parts[1], "geheim", confused[:40]} {
@@ -129,30 +129,30 @@
 	at := float64(time.Now().UnixMilli())
 	h := newHouse(t, func() float64 { return at })
 	token := h.ed.Token(t, "s", "r")
-	ask := func() caller.Reason { _, why := h.gate.AuthenticateToken("127.0.0.1:1", token); return why }
+	ask := func() caller.Reason { _, reason := h.gate.AuthenticateToken("127.0.0.1:1", token); return reason }
 	for range 10 {
-		if why := ask(); why != caller.None {
-			t.Fatal(why)
+		if reason := ask(); reason != caller.None {
+			t.Fatal(reason)
 		}
 	}
 	if f := h.gate.Stats(); f.Checks != 1 || f.Remembered != 1 || f.Verdicts["none"] != 10 {
 		t.Errorf("%+v", f)
 	}
 	h.use(t, caller.Lifecycle{Active: 1}) // another book with the same key: nothing is checked anew
-	if why := ask(); why != caller.None || h.gate.Stats().Checks != 1 {
-		t.Error(why, h.gate.Stats())
+	if reason := ask(); reason != caller.None || h.gate.Stats().Checks != 1 {
+		t.Error(reason, h.gate.Stats())
 	}
 	h.use(t, caller.Lifecycle{Active: 1, Revoked: at})
-	if why := ask(); why != caller.KeyRevoked || h.gate.Stats().Remembered != 0 {
-		t.Error(why)
+	if reason := ask(); reason != caller.KeyRevoked || h.gate.Stats().Remembered != 0 {
+		t.Error(reason)
 	}
 	h.use(t, caller.Lifecycle{Active: 1})
-	if why := ask(); why != caller.None {
-		t.Error(why)
+	if reason := ask(); reason != caller.None {
+		t.Error(reason)
 	}
 	at += 3601e3
-	if why := ask(); why != caller.Expired {
-		t.Error(why)
+	if reason := ask(); reason != caller.Expired {
+		t.Error(reason)
 	}
 }
 
@@ -169,24 +169,24 @@
 		return h.ed.Sign(t, c)
 	}
 	kept := sign("kept")
-	if _, why := h.gate.AuthenticateToken("10.0.0.1:1", kept); why != caller.None {
-		t.Fatal(why)
+	if _, reason := h.gate.AuthenticateToken("10.0.0.1:1", kept); reason != caller.None {
+		t.Fatal(reason)
 	}
 	wrong := identitytest.NewSigner(t, "ed", "i", caller.EdDSA).Token(t, "s", "r")
 	before := h.gate.Stats().Checks
 	fresh := 0
 	for i := range 5000 { // five seconds
 		for j := range 4 {
-			if _, why := h.gate.AuthenticateToken(fmt.Sprintf("10.9.%d.%d:1", i%200, j), fmt.Sprint(wrong[:len(wrong)-3], i%900+100)); why == caller.None {
+			if _, reason := h.gate.AuthenticateToken(fmt.Sprintf("10.9.%d.%d:1", i%200, j), fmt.Sprint(wrong[:len(wrong)-3], i%900+100)); reason == caller.None {
 				t.Fatal("a wrong one is taken")
 			}
 		}
-		if _, why := h.gate.AuthenticateRequest("10.0.0.1:2", kept); why != caller.None {
-			t.Fatalf("at %d ms: the known one: %v", i, why)
+		if _, reason := h.gate.AuthenticateRequest("10.0.0.1:2", kept); reason != caller.None {
+			t.Fatalf("at %d ms: the known one: %v", i, reason)
 		}
 		if i%250 == 0 {
-			if _, why := h.gate.AuthenticateToken("10.0.0.1:3", sign(fmt.Sprint(i))); why != caller.None {
-				t.Fatalf("at %d ms: a new one of a known address: %v", i, why)
+			if _, reason := h.gate.AuthenticateToken("10.0.0.1:3", sign(fmt.Sprint(i))); reason != caller.None {
+				t.Fatalf("at %d ms: a new one of a known address: %v", i, reason)
 			}
 			fresh++
 		}
@@ -280,8 +280,8 @@
 				b.Fatal(err)
 			}
 			for i := 0; b.Loop(); i++ {
-				if _, why := g.AuthenticateRequest("127.0.0.1:1", tokens[i%256]); why != caller.None {
-					b.Fatal(why)
+				if _, reason := g.AuthenticateRequest("127.0.0.1:1", tokens[i%256]); reason != caller.None {
+					b.Fatal(reason)
 				}
 			}
 		})
@@ -290,8 +290,8 @@
 		b.ReportAllocs()
 		token := h.ed.Token(b, "s", "r")
 		for b.Loop() {
-			if _, why := h.gate.AuthenticateRequest("127.0.0.1:1", token); why != caller.None {
-				b.Fatal(why)
+			if _, reason := h.gate.AuthenticateRequest("127.0.0.1:1", token); reason != caller.None {
+				b.Fatal(reason)
 			}
 		}
 	})
@@ -300,11 +300,11 @@
 		p, _ := h.gate.AuthenticateToken("127.0.0.1:1", h.ed.Token(b, "s", "r"))
 		p.Rights = caller.Compile([]caller.Rule{{Deny: true, Prefix: "secret/", Access: caller.ReadWrite}, {Classes: []string{"read"}, Access: caller.Read}})
 		for b.Loop() {
-			if _, why := h.gate.Revalidate(p); why != caller.None {
-				b.Fatal(why)
+			if _, reason := h.gate.Revalidate(p); reason != caller.None {
+				b.Fatal(reason)
 			}
-			if _, why := h.gate.Authorize("127.0.0.1:1", p, "read", "container/123", caller.Read); why != caller.None {
-				b.Fatal(why)
+			if _, reason := h.gate.Authorize("127.0.0.1:1", p, "read", "container/123", caller.Read); reason != caller.None {
+				b.Fatal(reason)
 			}
 		}
 	})
--- a/internal/identity/identitytest/identitytest.go
+++ b/internal/identity/identitytest/identitytest.go
@@ -1,4 +1,4 @@
-// Package identitytest makes what tests of callers need: signers of tokens, authorities of certificates. Nothing else uses it.
+// Package identitytest provides token signers and certificate authorities for tests.
 package identitytest
 
 import (
@@ -22,13 +22,13 @@
 	"mossproxy.example/mossproxy/internal/standin"
 )
 
-// Signer is an issuer with its key as a book has it.
+// Signer is a token issuer and its public key as stored in the credentials store.
 type Signer struct {
 	*standin.Issuer
-	Key caller.Key // its public half, without a life
+	Key caller.Key // public key without Lifecycle
 }
 
-// NewSigner makes a key of an algorithm: EdDSA or ES256.
+// NewSigner generates a key for the algorithm, EdDSA or ES256.
 func NewSigner(t testing.TB, id, issuer string, alg caller.Algorithm) *Signer {
 	t.Helper()
 	i, err := standin.NewIssuer(issuer, id, string(alg))
@@ -46,14 +46,14 @@
 	return &Signer{i, key}
 }
 
-// KeyWithLifecycle is the signer's key with a life.
+// KeyWithLifecycle returns the signer's key with the given lifecycle.
 func (s *Signer) KeyWithLifecycle(l caller.Lifecycle) caller.Key {
 	k := s.Key
 	k.Lifecycle = l
 	return k
 }
 
-// Sign signs claims.
+// Sign returns a signed token with the claims.
 func (s *Signer) Sign(t testing.TB, c jwt.Claims) string {
 	t.Helper()
 	text, err := s.Issuer.Sign(c)
@@ -63,18 +63,18 @@
 	return text
 }
 
-// Token is a token for an audience, from now on for an hour.
+// Token returns a token for the audience that is valid for one hour from now.
 func (s *Signer) Token(t testing.TB, subject, audience string) string {
 	return s.Sign(t, s.Claims(subject, audience, time.Now(), time.Hour))
 }
 
-// CA issues certificates.
+// CA is a certificate authority.
 type CA struct {
 	Cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewCA makes one.
+// NewCA creates a CA that is valid for one hour.
 func NewCA(t testing.TB, name string) *CA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -101,12 +101,12 @@
 	return n
 }
 
-// PEM is the authority's certificate.
+// PEM returns the CA certificate in PEM.
 func (a *CA) PEM() []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.Cert.Raw})
 }
 
-// Issue makes a certificate for names (uri:… or dns:…) and loopback, in PEM with its key.
+// Issue returns a certificate for the names (uri:... or dns:...) and loopback, and its key, both in PEM.
 func (a *CA) Issue(t testing.TB, lives time.Duration, names ...string) (cert, key []byte) {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -137,7 +137,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: pk})
 }
 
-// ClientConfig is the TLS configuration of a client that trusts the authority and, with names, shows a certificate of it.
+// ClientConfig returns the TLS configuration of a client that trusts the CA. With names, the client presents
+// a certificate for them.
 func (a *CA) ClientConfig(t testing.TB, names ...string) *tls.Config {
 	t.Helper()
 	pool := x509.NewCertPool()
--- a/internal/identity/secret.go
+++ b/internal/identity/secret.go
@@ -55,7 +55,7 @@
 // by users, so a fast hash is as safe as a slow one.
 func NewSecret() string {
 	var b [32]byte
-	rand.Read(b[:]) //nolint:errcheck // as above
+	rand.Read(b[:]) //nolint:errcheck // crypto/rand aborts the program on failure
 	return base64.RawURLEncoding.EncodeToString(b[:])
 }
 
@@ -67,8 +67,8 @@
 func (p Pepper) Hash(id string, secret []byte) (out [32]byte) {
 	h := newKeyedHasher([32]byte(p))
 	h.WriteString(id)  //nolint:errcheck // never fails
-	h.Write([]byte{0}) //nolint:errcheck // as above
-	h.Write(secret)    //nolint:errcheck // as above
+	h.Write([]byte{0}) //nolint:errcheck // never fails
+	h.Write(secret)    //nolint:errcheck // never fails
 	h.Sum(out[:0])
 	return out
 }
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -18,34 +18,34 @@
 	"mossproxy.example/mossproxy/internal/watch"
 )
 
-// ClientAuth says what a listener asks of client certificates.
+// ClientAuth is a listener's policy for client certificates.
 type ClientAuth int
 
-// What can be asked.
+// Policies for client certificates.
 const (
-	ClientAuthNone     ClientAuth = iota // none is asked for
-	ClientAuthOptional                   // one that is shown must be good
-	ClientAuthRequired                   // without one the handshake fails
+	ClientAuthNone     ClientAuth = iota // not requested
+	ClientAuthOptional                   // verified if presented
+	ClientAuthRequired                   // the handshake fails without one
 )
 
-// TLSFiles are the files that a TLS link is made of, followed together.
+// TLSFiles names the files of a TLS configuration, which are watched and reloaded together.
 type TLSFiles struct {
-	Certificate string // chain in PEM, the own certificate first; "" on a link to servers = none is shown
-	Key         string // its private key in PEM
-	Bundle      string // certificates that vouch for the other side; "" = the other side is not asked
-	Tickets     string // keys of session tickets, in base64, one a line, the first one encrypts; "" = drawn by this process
+	Certificate string // PEM chain, leaf first; "" for clients without a certificate
+	Key         string // private key of the certificate in PEM
+	Bundle      string // CA certificates that verify the peer; "" = system roots
+	Tickets     string // session ticket keys, base64, one a line, the first encrypts; "" = random
 	Clients     ClientAuth
-	ServerName  string // that servers must prove; "" on listeners
+	ServerName  string // name that server certificates must have; "" on listeners
 }
 
-// bounds of the files of a link, in bytes, and of ticket keys.
+// Limits of the size of a file, in bytes, and of the number of ticket keys.
 const (
 	maxTLSFileBytes = 1 << 20
 	maxTicketKeys   = 16
 )
 
-// TLSReloader is the TLS material of a listener, or of the way to servers, as it is now. What is read at a handshake is always one whole
-// set that was judged together.
+// TLSReloader holds the current TLS configuration of a listener or of connections to servers. A handshake
+// always uses one consistent set of files that was validated as a whole.
 type TLSReloader struct {
 	files   TLSFiles
 	paths   []string
@@ -56,7 +56,7 @@
 	serial int
 }
 
-// OpenTLS reads the files. An error names the one that is wrong.
+// OpenTLS loads the files. An error names the invalid file.
 func OpenTLS(f TLSFiles, log *slog.Logger) (*TLSReloader, error) {
 	l := &TLSReloader{files: f, log: log}
 	for _, p := range []string{f.Certificate, f.Key, f.Bundle, f.Tickets} {
@@ -70,22 +70,22 @@
 	return l, nil
 }
 
-// Server is the configuration of a listener: each handshake has the material of its moment.
+// Server returns the configuration of a listener; each handshake uses the files loaded last.
 func (l *TLSReloader) Server() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return l.current.Load(), nil }}
 }
 
-// Client is the configuration for one connection to a server, of this moment.
+// Client returns the current configuration for one connection to a server.
 func (l *TLSReloader) Client() *tls.Config { return l.current.Load() }
 
-// Serial counts the sets that were in force.
+// Serial returns the number of successful loads.
 func (l *TLSReloader) Serial() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.serial
 }
 
-// Run follows the files until ctx ends.
+// Run watches the files until ctx ends.
 func (l *TLSReloader) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -99,23 +99,25 @@
 	}
 }
 
+// reloadOnChange reloads all files when the file at path changes.
 type reloadOnChange struct {
 	reloader *TLSReloader
 	path     string
 }
 
-// Take reads all files anew: one may wait for another, as a certificate does for its key.
+// Apply reloads all files, because a change may be valid only with another one, as a certificate with its
+// key.
 func (t *reloadOnChange) Apply([]byte) error { return t.reloader.Reload() }
 
-func (t *reloadOnChange) Refused(why error) {
-	t.reloader.log.Warn("tls: refused, what is in use stays", "file", t.path, "why", strings.ReplaceAll(why.Error(), "\n", "; "))
+func (t *reloadOnChange) Refused(reason error) {
+	t.reloader.log.Warn("tls: refused, what is in use stays", "file", t.path, "why", strings.ReplaceAll(reason.Error(), "\n", "; "))
 }
 
 func (t *reloadOnChange) NotificationsFailed(err error) {
 	t.reloader.log.Warn("tls: no notices, the file is only looked at four times a second", "file", t.path, "why", err.Error())
 }
 
-// Reload reads all files and brings them into force together, or none.
+// Reload loads all files and replaces the configuration, or keeps the current one on an error.
 func (l *TLSReloader) Reload() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// readTLSFile reads a file that a link is made of.
+// readTLSFile reads a file of at most maxTLSFileBytes.
 func readTLSFile(path string) ([]byte, error) {
 	f, _, err := watch.OpenRegular(path)
 	if err != nil {
@@ -144,7 +146,7 @@
 	return b, err
 }
 
-// loadConfig makes a configuration of the files as they are.
+// loadConfig builds a configuration from the current files.
 func (f TLSFiles) loadConfig() (*tls.Config, error) {
 	c := &tls.Config{MinVersion: tls.VersionTLS13, ServerName: f.ServerName}
 	if f.Certificate != "" {
@@ -181,7 +183,7 @@
 	return c, nil
 }
 
-// loadKeyPair reads certificate and key, and judges them together: they belong to one another, and the certificate's time is now.
+// loadKeyPair loads certificate and key and checks that they match and that the certificate is not expired.
 func (f TLSFiles) loadKeyPair() (tls.Certificate, error) {
 	cert, err := readTLSFile(f.Certificate)
 	if err != nil {
@@ -192,7 +194,7 @@
 		return tls.Certificate{}, err
 	}
 	pair, err := tls.X509KeyPair(cert, key)
-	if err != nil { // the library's text holds no part of the key
+	if err != nil { // the library's error text contains no part of the key
 		return pair, fmt.Errorf("%s and %s: %w", f.Certificate, f.Key, err)
 	}
 	leaf, err := x509.ParseCertificate(pair.Certificate[0])
@@ -206,7 +208,7 @@
 	return pair, nil
 }
 
-// loadTicketKeys reads the keys of session tickets.
+// loadTicketKeys loads the session ticket keys.
 func (f TLSFiles) loadTicketKeys() ([][32]byte, error) {
 	text, err := readTLSFile(f.Tickets)
 	if err != nil {
@@ -226,7 +228,7 @@
 	return keys, nil
 }
 
-// TrustAnchors are the SHA-256 of a bundle's certificates.
+// TrustAnchors returns the SHA-256 digests of the certificates.
 func TrustAnchors(certs []*x509.Certificate) (out [][32]byte) {
 	for _, c := range certs {
 		out = append(out, sha256.Sum256(c.Raw))
@@ -234,10 +236,10 @@
 	return out
 }
 
-// errNoCertificate tells of a listener that is to serve TLS without a certificate.
+// errNoCertificate is returned for a TLS listener without a certificate or key.
 var errNoCertificate = errors.New("tls: a listener needs a certificate and its key")
 
-// Validate says what is wrong with the names of files for a listener.
+// Validate checks that the files needed by a listener are named.
 func (f TLSFiles) Validate() error {
 	switch {
 	case f.Certificate == "" || f.Key == "":
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -101,7 +101,7 @@
 	return "", fmt.Errorf("%T: Ed25519 and ECDSA keys of P-256 are taken", p)
 }
 
-// Bounds of a set of keys.
+// Limits of a JWKS.
 const (
 	MaxJWKSBytes = 256 << 10 // bytes
 	maxJWKSKeys  = 256
