--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,7 @@
-// Package admin is the administration API: HTTP and JSON on a listener of its own, by which tenants are managed without editing files on
-// each router. Every change is one batch in the store, conditioned by the version that its admin has seen; its answer comes when it is in
-// force on all engines of this router.
+// Package admin implements the administration API: HTTP and JSON on a listener of its own, for managing
+// tenants without editing files on each router. Every change is one batch in the store, conditional on the
+// version that the administrator has read, and is answered when it is in force on all engines of this
+// router.
 package admin
 
 import (
@@ -22,22 +23,24 @@
 	"mossproxy.example/mossproxy/internal/store"
 )
 
-// Options are what the API works by.
+// Options configures an API.
 type Options struct {
 	Keeper *keybook.Keeper
 	Tokens *Tokens
-	// Publish brings the store's book to the routers and waits until its version is in force here, or ctx ends.
+	// Publish distributes the stored credentials to the routers and waits until the version is in force here
+	// or ctx ends.
 	Publish func(ctx context.Context, version uint64) error
-	// Usage is what a tenant asked of this router in the last hour, by minute.
+	// Usage returns the requests of a tenant at this router in the last hour, by minute.
 	Usage func(name string, generation uint32) []tenant.Minute
-	// InFlight is how many requests of one of the tenants of a name are taken and not answered at this router.
+	// InFlight returns how many accepted requests of a tenant are unanswered at this router. The generation
+	// distinguishes tenants that reuse a name.
 	InFlight func(name string, generation uint32) int
-	// Classes and Pools are those of the configuration.
+	// Classes and Pools are the names in the configuration.
 	Classes, Pools []string
 	Log            *slog.Logger
 }
 
-// Bounds of the API.
+// Limits and timeouts of the API; sizes in bytes.
 const (
 	maxPageSize    = 1000
 	maxBodyBytes   = 64 << 10
@@ -53,7 +56,7 @@
 	huma huma.API
 }
 
-// New makes the API.
+// New returns an API with all operations registered.
 func New(o Options) *API {
 	a := &API{opts: o, mux: http.NewServeMux()}
 	cfg := huma.DefaultConfig("cottonyoke administration", "1.0.0")
@@ -66,12 +69,13 @@
 	return a
 }
 
-// OpenAPI is the description of the API, version 3.1, in YAML: it is made of the handlers, so it can't differ from them.
+// OpenAPI returns the OpenAPI 3.1 description in YAML. It is generated from the handlers, so it always
+// matches them.
 func (a *API) OpenAPI() ([]byte, error) { return a.huma.OpenAPI().YAML() }
 
-// Serve serves the API until ctx ends, and answers what it has taken.
+// Serve serves the API on ln until ctx ends, then waits for the calls in progress.
 func (a *API) Serve(ctx context.Context, ln net.Listener) error {
-	life, over := context.WithCancel(context.WithoutCancel(ctx)) // of calls: watches end with it, changes go on
+	life, over := context.WithCancel(context.WithoutCancel(ctx)) // parent of all calls: ends watches; changes continue
 	defer over()
 	srv := &http.Server{Handler: http.MaxBytesHandler(a.mux, maxBodyBytes), BaseContext: func(net.Listener) context.Context { return life }, ReadHeaderTimeout: headerTimeout, ReadTimeout: 2 * headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(a.opts.Log.Handler(), slog.LevelWarn)}
@@ -87,13 +91,13 @@
 	defer stop()
 	err := srv.Shutdown(end)
 	if err != nil {
-		srv.Close() //nolint:errcheck // what is left of it
+		srv.Close() //nolint:errcheck // best-effort close of the remaining connections
 	}
 	<-ended
 	return err
 }
 
-// Limits are a tenant's over the whole service.
+// Limits are the limits of a tenant over the whole service.
 type Limits struct {
 	Floor  float64 `json:"floor_per_s,omitempty" minimum:"0" doc:"Requests a second that it always gets while it asks."`
 	Weight float64 `json:"weight,omitempty" minimum:"0" doc:"Its part of what others leave; 0 counts as 1."`
@@ -106,21 +110,21 @@
 	Classes []ClassLimits `json:"classes,omitempty" maxItems:"64" doc:"Limits on requests of one class, beside those on all."`
 }
 
-// ClassLimits are those on requests of one class.
+// ClassLimits are the limits on a tenant's requests of one class.
 type ClassLimits struct {
 	Class string  `json:"class" doc:"One of the configuration's."`
 	Most  float64 `json:"most_per_s,omitempty" minimum:"0" doc:"Requests a second; 0 = no such limit."`
 	Open  int     `json:"open,omitempty" minimum:"0" doc:"Requests at once; 0 = no such limit."`
 }
 
-// Spec is what an admin says of a tenant.
+// Spec is the part of a tenant that an administrator sets.
 type Spec struct {
 	Suspended bool     `json:"suspended,omitempty" doc:"Nothing of it is taken."`
 	Pools     []string `json:"pools,omitempty" maxItems:"64" doc:"The pools that it may use; missing = all."`
 	Limits    Limits   `json:"limits,omitempty"`
 }
 
-// toTerms are what the book keeps of it.
+// toTerms converts the spec to the form in the credentials store.
 func (s *Spec) toTerms() keybook.Terms {
 	l := s.Limits
 	t := keybook.Terms{Limits: tenant.Limits{Floor: l.Floor, Weight: l.Weight, Burst: l.Burst, Most: l.Most, Open: l.Open, Bytes: l.Bytes, Conns: l.Conns}, Pools: s.Pools}
@@ -130,7 +134,7 @@
 	return t
 }
 
-// Tenant is a tenant as the API shows it.
+// Tenant is the API's representation of a tenant.
 type Tenant struct {
 	Name       string `json:"name"`
 	Generation uint32 `json:"generation" doc:"Tells it from earlier tenants of its name."`
@@ -157,19 +161,19 @@
 
 func etag(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
 
-// Named is the input of a call about one tenant.
+// Named is the input of a call for one tenant.
 type Named struct {
 	Name string `path:"name" maxLength:"32" doc:"The tenant."`
 }
 
-// Conditioned is the input of a change, which says what it is made on.
+// Conditioned is the input of a change, with its precondition.
 type Conditioned struct {
 	Named
 	IfMatch     string `header:"If-Match" doc:"The ETag that the change is made on."`
 	IfNoneMatch string `header:"If-None-Match" doc:"* = the tenant must not be there."`
 }
 
-// expectedVersion is the version that a change is conditioned by: 0 = the tenant must not be there.
+// expectedVersion returns the version that the change requires; 0 = the tenant must not exist.
 func (c Conditioned) expectedVersion() (uint64, error) {
 	switch {
 	case c.IfMatch != "" && c.IfNoneMatch != "":
@@ -218,7 +222,7 @@
 	Body        []byte
 }
 
-// registerOperations are what the API can do.
+// registerOperations registers the handlers.
 func (a *API) registerOperations() {
 	huma.Get(a.huma, "/v1/tenants", a.list)
 	huma.Get(a.huma, "/v1/tenants/{name}", a.get)
@@ -300,15 +304,16 @@
 		return nil, err
 	}
 	out := &deleted{}
-	out.Body.Version, out.Body.Generation = book, was.Generation // the version that was expected is the one that was read, or it had failed
+	out.Body.Version, out.Body.Generation = book, was.Generation // RemoveTenant succeeds only for the version read above
 	out.Body.InHand = a.opts.InFlight(in.Name, was.Generation)
 	return out, nil
 }
 
-// drainPollInterval is how often it is looked at whether a tenant's last request is over.
+// drainPollInterval is the interval of checks for the end of a tenant's last request.
 const drainPollInterval = 10 * time.Millisecond
 
-// ending tells what one of the tenants of a name has in hand, and waits until that is nothing.
+// ending returns the number of requests in flight of one generation of a tenant and waits for it to reach
+// zero.
 func (a *API) ending(ctx context.Context, in *struct {
 	Named
 	Generation uint32 `query:"generation" required:"true" minimum:"1" doc:"Which of the tenants of that name."`
@@ -341,7 +346,7 @@
 	return &records{"application/x-ndjson", []byte(b.String())}, nil
 }
 
-// Usage is a minute's requests of a tenant at this router, by where they stood with its limits.
+// Usage counts a tenant's requests at this router in one minute, by their state relative to its limits.
 type Usage struct {
 	Minute    time.Time `json:"minute"`
 	Within    uint64    `json:"within"`
@@ -374,10 +379,12 @@
 	return out, nil
 }
 
-// maxWaitSeconds bounds a watch, in s: what stands between may end it any time.
+// maxWaitSeconds limits how long a call waits, because intermediaries may close an idle connection at any
+// time.
 const maxWaitSeconds = 30
 
-// watch gives the audit's records above a version of the book, and waits for one where there is none yet.
+// watch returns the audit records above a version of the credentials store and waits for one if there is
+// none.
 func (a *API) watch(ctx context.Context, in *struct {
 	From uint64 `query:"from" doc:"The version of the book that is known already."`
 	Wait int    `query:"wait_s" default:"20" minimum:"0" maximum:"30" doc:"For which a change is waited for."`
@@ -392,10 +399,11 @@
 	return &records{"application/x-ndjson", []byte(b.String())}, nil
 }
 
-// tokenCheckInterval is how often it is looked at, while a call waits, whether its token still counts.
+// tokenCheckInterval is the interval at which a waiting call checks whether its token was revoked.
 const tokenCheckInterval = time.Second
 
-// await waits until the book's version is above one, until a time, the end of ctx or that of the caller's token.
+// await waits until the store's version is above the given one, the time until is reached, ctx ends or the
+// caller's token is revoked.
 func (a *API) await(ctx context.Context, above uint64, until time.Time) error {
 	who, _ := ctx.Value(callerKey{}).(string)
 	for {
@@ -416,9 +424,9 @@
 	}
 }
 
-// publish has a change in force, or says that it is made and not in force yet.
+// publish puts a change in force. Its error tells the client that the change is stored but not in force yet.
 func (a *API) publish(ctx context.Context, version uint64) error {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), publishTimeout) // an admin who leaves takes nothing back
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), publishTimeout) // a disconnecting client does not cancel a stored change
 	defer stop()
 	if err := a.opts.Publish(ctx, version); err != nil {
 		a.opts.Log.Warn("administration: a change is not in force yet", "version", version, "why", err)
@@ -427,7 +435,7 @@
 	return nil
 }
 
-// toProblem is an error as the API tells it (RFC 9457).
+// toProblem converts an error to a problem response (RFC 9457).
 func toProblem(err error) error {
 	var stale *keybook.StaleError
 	var known huma.StatusError
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -14,18 +14,18 @@
 	"time"
 )
 
-// Client calls the API of a router for the commands.
+// Client calls a router's administration API for the command-line tools.
 type Client struct {
-	URL   string // as http://127.0.0.1:8443
+	URL   string // base URL, such as http://127.0.0.1:8443
 	Token string
-	JSON  bool // write what came as it is
+	JSON  bool // print responses unchanged
 	Out   io.Writer
 }
 
-// maxResponseBytes bounds what is read of an answer, in bytes.
+// maxResponseBytes limits the size of a response.
 const maxResponseBytes = 64 << 20
 
-// problemBody is an error as the API tells it (RFC 9457).
+// problemBody is an error response of the API (RFC 9457).
 type problemBody struct {
 	Detail string `json:"detail"`
 	Errors []struct {
@@ -35,7 +35,8 @@
 	} `json:"errors"`
 }
 
-// call makes a call. An error is what the API says, with the field that is wrong.
+// call sends a request and decodes the response into into, if not nil. An error response is returned as an
+// error that names the invalid fields.
 func (c Client) call(ctx context.Context, method, path, condition string, body, into any) (text []byte, err error) {
 	var in io.Reader
 	if body != nil {
@@ -95,7 +96,7 @@
 
 func tenantPath(name string) string { return "/v1/tenants/" + url.PathEscape(name) }
 
-// show writes tenants as a table, or what came.
+// show prints tenants as a table, or the response unchanged if JSON is set.
 func (c Client) show(text []byte, tenants ...Tenant) error {
 	if c.JSON {
 		_, err := fmt.Fprintf(c.Out, "%s\n", bytes.TrimSpace(text))
@@ -114,7 +115,7 @@
 	return w.Flush()
 }
 
-// formatPools names the pools of a tenant for a table.
+// formatPools returns a tenant's pools as shown in a table.
 func formatPools(names []string) string {
 	if names == nil {
 		return "all"
@@ -122,7 +123,7 @@
 	return strings.Join(names, ",")
 }
 
-// List writes all tenants, page by page.
+// List prints all tenants, requesting one page at a time.
 func (c Client) List(ctx context.Context) error {
 	var all []Tenant
 	for after := ""; ; {
@@ -147,7 +148,7 @@
 	return c.show(nil, all...)
 }
 
-// Show writes one tenant.
+// Show prints one tenant.
 func (c Client) Show(ctx context.Context, name string) error {
 	var t Tenant
 	text, err := c.call(ctx, http.MethodGet, tenantPath(name), "", nil, &t)
@@ -157,7 +158,7 @@
 	return c.show(text, t)
 }
 
-// Create makes a tenant.
+// Create creates a tenant and prints it.
 func (c Client) Create(ctx context.Context, name string, s Spec) error {
 	var t Tenant
 	text, err := c.call(ctx, http.MethodPut, tenantPath(name), "*", s, &t)
@@ -167,7 +168,7 @@
 	return c.show(text, t)
 }
 
-// Change reads a tenant, changes it and writes it back, conditioned by what was read; version is one that it must be of, 0 = any.
+// Change reads a tenant, applies change and writes it back, conditional on version; 0 = the version read.
 func (c Client) Change(ctx context.Context, name string, version uint64, change func(*Spec) error) error {
 	var t Tenant
 	if _, err := c.call(ctx, http.MethodGet, tenantPath(name), "", nil, &t); err != nil {
@@ -186,7 +187,7 @@
 	return c.show(text, t)
 }
 
-// Delete ends the tenant of a version; 0 = whichever there is.
+// Delete deletes the tenant if it has the given version, 0 = any, and waits for its last request.
 func (c Client) Delete(ctx context.Context, name string, version uint64) error {
 	if version == 0 {
 		var t Tenant
@@ -204,7 +205,7 @@
 		return c.show(text)
 	}
 	left := out.Body.InHand
-	for left > 0 { // none of them lasts longer than its class allows
+	for left > 0 { // terminates, because the class limits the duration of every request
 		fmt.Fprintf(c.Out, "%s, generation %d: %d requests in hand\n", name, out.Body.Generation, left)
 		var e ending
 		path := fmt.Sprintf("%s/ending?generation=%d&wait_s=%d", tenantPath(name), out.Body.Generation, maxWaitSeconds)
@@ -217,7 +218,7 @@
 	return err
 }
 
-// Usage writes a tenant's minutes.
+// Usage prints a tenant's requests by minute.
 func (c Client) Usage(ctx context.Context, name string) error {
 	var u usageAnswer
 	text, err := c.call(ctx, http.MethodGet, tenantPath(name)+"/usage", "", nil, &u.Body)
@@ -235,7 +236,7 @@
 	return w.Flush()
 }
 
-// Watch writes the records of changes above a version of the book as they come, until ctx ends.
+// Watch prints audit records above a version of the credentials store as they arrive, until ctx ends.
 func (c Client) Watch(ctx context.Context, from uint64) error {
 	for ctx.Err() == nil {
 		text, err := c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/watch?wait_s=%d&from=%d", maxWaitSeconds, from), "", nil, nil)
@@ -258,7 +259,7 @@
 			return err
 		}
 		if len(text) == 0 {
-			time.Sleep(100 * time.Millisecond) // a router that ends answers at once
+			time.Sleep(100 * time.Millisecond) // a router that is shutting down answers at once: avoid a busy loop
 		}
 	}
 	return nil
--- a/internal/admin/tokens.go
+++ b/internal/admin/tokens.go
@@ -20,7 +20,7 @@
 	"mossproxy.example/mossproxy/internal/store"
 )
 
-// Rights of a token: to read, to change one tenant (tenant:NAME), or to change all.
+// Rights of a token: read, change one tenant (tenant:NAME) or change all tenants.
 const (
 	RightRead   = "read"
 	RightAll    = "all"
@@ -29,21 +29,22 @@
 
 const tokenPrefix = "admin/token/"
 
-// A token's calls are bounded, so that a loop of one admin's leaves the others theirs.
+// Rate limit per token, so that a client in a loop does not block others, and the number of tokens.
 const (
 	callsPerSecond = 20
 	callBurst      = 40
 	maxTokens      = 1000
 )
 
-// Tokens are the API's bearer tokens. The store has the SHA-256 of each: they are drawn with 256 bits, so there is nothing to guess.
+// Tokens manages the bearer tokens of the API. The store keeps the SHA-256 of each secret; a fast hash is
+// safe, since secrets are random with 256 bits.
 type Tokens struct {
 	s        *store.Store
 	mu       sync.Mutex
-	limiters map[string]*rate.Limiter // by id; bounded as the tokens are
+	limiters map[string]*rate.Limiter // by token ID; at most one per stored token
 }
 
-// NewTokens are those of a store.
+// NewTokens returns the tokens of a store.
 func NewTokens(s *store.Store) *Tokens { return &Tokens{s: s, limiters: map[string]*rate.Limiter{}} }
 
 type tokenRecord struct {
@@ -53,7 +54,7 @@
 	Made   time.Time `json:"made"`
 }
 
-// CheckRight says what is wrong with a right.
+// CheckRight returns an error if right is not a valid right.
 func CheckRight(right string) error {
 	if right == RightRead || right == RightAll || strings.HasPrefix(right, rightTenant) && len(right) > len(rightTenant) {
 		return nil
@@ -61,7 +62,7 @@
 	return fmt.Errorf("right %.40q: read, tenant:NAME and all are right", right)
 }
 
-// Create makes a token and gives its text, which is kept nowhere.
+// Create stores a new token and returns its text, which is not stored.
 func (t *Tokens) Create(id, right string, now time.Time) (string, error) {
 	if id == "" || len(id) > 64 || strings.ContainsAny(id, ". \t\r\n/") {
 		return "", fmt.Errorf("token %.70q: 1 to 64 characters without dots, slashes and blanks are right", id)
@@ -102,7 +103,7 @@
 	return n, nil
 }
 
-// Revoke ends a token. It counts for no call that comes from then on; one that is under way is answered.
+// Revoke deletes a token. Later calls with it are rejected; calls in progress are answered.
 func (t *Tokens) Revoke(id string) error {
 	if _, err := t.s.Get(tokenPrefix + id); err != nil {
 		return fmt.Errorf("token %.70q: %w", id, keybook.ErrNoSuch)
@@ -114,10 +115,10 @@
 	return err
 }
 
-// errTooManyCalls tells of a token that calls too often.
+// errTooManyCalls reports that a token exceeds its rate limit.
 var errTooManyCalls = errors.New("too many calls")
 
-// authenticate gives the id and right of a token.
+// authenticate verifies a token, applies its rate limit and returns its ID and right.
 func (t *Tokens) authenticate(text string) (id, right string, err error) {
 	id, secret, _ := strings.Cut(text, ".")
 	item, err := t.s.Get(tokenPrefix + id)
@@ -132,7 +133,7 @@
 		return "", "", fmt.Errorf("token: %w", err)
 	}
 	sum := sha256.Sum256([]byte(secret))
-	if hex.EncodeToString(sum[:]) != row.SHA256 { // of hashes: how far they agree tells nothing of the secret
+	if hex.EncodeToString(sum[:]) != row.SHA256 { // comparing hashes: timing reveals nothing about the secret
 		return "", "", keybook.ErrNoSuch
 	}
 	t.mu.Lock()
@@ -148,7 +149,7 @@
 	return id, row.Right, nil
 }
 
-// exists says whether a token has not been revoked.
+// exists reports whether a token is stored, that is, not revoked.
 func (t *Tokens) exists(id string) (bool, error) {
 	_, err := t.s.Get(tokenPrefix + id)
 	if errors.Is(err, store.ErrNotFound) {
@@ -157,16 +158,17 @@
 	return err == nil, err
 }
 
-// callerKey is the context's key of who calls.
+// callerKey is the context key of the caller's token ID.
 type callerKey struct{}
 
-// keeper is the store's in the name of who calls.
+// keeper returns the Keeper that records changes under the caller's token ID.
 func (a *API) keeper(ctx context.Context) *keybook.Keeper {
 	who, _ := ctx.Value(callerKey{}).(string)
 	return a.opts.Keeper.As("token " + who)
 }
 
-// authorize lets calls through whose token has the right to make them.
+// authorize is the middleware that rejects calls without a valid token or without the right for the
+// operation.
 func (a *API) authorize(ctx huma.Context, next func(huma.Context)) {
 	text, ok := strings.CutPrefix(ctx.Header("Authorization"), "Bearer ")
 	id, right, err := "", "", keybook.ErrNoSuch
@@ -187,25 +189,25 @@
 	}
 	if status != 0 {
 		a.opts.Log.Warn("administration: refused", "token", sanitize(id), "status", status, "method", ctx.Method(), "path", sanitize(ctx.URL().Path))
-		huma.WriteErr(a.huma, ctx, status, what) //nolint:errcheck // the client has gone then
+		huma.WriteErr(a.huma, ctx, status, what) //nolint:errcheck // fails only if the client has disconnected
 		return
 	}
 	next(huma.WithValue(ctx, callerKey{}, id))
 }
 
-// allows says whether a right covers a call.
+// allows reports whether a right permits a call.
 func allows(right, method, name string) bool {
 	of, one := strings.CutPrefix(right, rightTenant)
 	switch {
 	case right == RightAll:
 		return true
 	case one:
-		return name != "" && name == of && method != http.MethodDelete // to end itself is the operators'
+		return name != "" && name == of && method != http.MethodDelete // only operators may delete a tenant
 	}
 	return method == http.MethodGet
 }
 
-// sanitize bounds what comes from outside.
+// sanitize truncates untrusted text for the log and replaces all but printable ASCII.
 func sanitize(v string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -110,11 +110,11 @@
 func (t *reloadOnChange) Apply([]byte) error { return t.reloader.Reload() }
 
 func (t *reloadOnChange) Refused(reason error) {
-	t.reloader.log.Warn("tls: refused, what is in use stays", "file", t.path, "why", strings.ReplaceAll(reason.Error(), "\n", "; "))
+	t.reloader.log.Warn("tls: reload failed, keeping the current configuration", "file", t.path, "why", strings.ReplaceAll(reason.Error(), "\n", "; "))
 }
 
 func (t *reloadOnChange) NotificationsFailed(err error) {
-	t.reloader.log.Warn("tls: no notices, the file is only looked at four times a second", "file", t.path, "why", err.Error())
+	t.reloader.log.Warn("tls: file notifications failed, polling four times a second", "file", t.path, "why", err.Error())
 }
 
 // Reload loads all files and replaces the configuration, or keeps the current one on an error.
@@ -127,7 +127,7 @@
 	}
 	l.current.Store(c)
 	if l.serial++; l.serial > 1 {
-		l.log.Info("tls: other material in force", "certificate", l.files.Certificate, "serial", l.serial)
+		l.log.Info("tls: new configuration in use", "certificate", l.files.Certificate, "serial", l.serial)
 	}
 	return nil
 }
