--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -75,25 +75,25 @@
 
 // Serve serves the API on ln until ctx ends, then waits for the calls in progress.
 func (a *API) Serve(ctx context.Context, ln net.Listener) error {
-	life, over := context.WithCancel(context.WithoutCancel(ctx)) // parent of all calls: ends watches; changes continue
-	defer over()
-	srv := &http.Server{Handler: http.MaxBytesHandler(a.mux, maxBodyBytes), BaseContext: func(net.Listener) context.Context { return life }, ReadHeaderTimeout: headerTimeout, ReadTimeout: 2 * headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
+	callCtx, cancelCalls := context.WithCancel(context.WithoutCancel(ctx)) // parent of all calls: ends watches; changes continue
+	defer cancelCalls()
+	srv := &http.Server{Handler: http.MaxBytesHandler(a.mux, maxBodyBytes), BaseContext: func(net.Listener) context.Context { return callCtx }, ReadHeaderTimeout: headerTimeout, ReadTimeout: 2 * headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(a.opts.Log.Handler(), slog.LevelWarn)}
-	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(ln) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(ln) }()
 	select {
-	case err := <-ended:
+	case err := <-serveErr:
 		return fmt.Errorf("administration: %w", err)
 	case <-ctx.Done():
 	}
-	over()
-	end, stop := context.WithTimeout(context.Background(), 2*publishTimeout)
-	defer stop()
-	err := srv.Shutdown(end)
+	cancelCalls()
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), 2*publishTimeout)
+	defer cancel()
+	err := srv.Shutdown(shutdownCtx)
 	if err != nil {
 		srv.Close() //nolint:errcheck // best-effort close of the remaining connections
 	}
-	<-ended
+	<-serveErr
 	return err
 }
 
@@ -235,15 +235,15 @@
 }
 
 func (a *API) list(_ context.Context, p *page) (*pageAnswer, error) {
-	got, version, err := a.opts.Keeper.Tenants(p.After, min(p.Limit, maxPageSize)+1)
+	tenants, version, err := a.opts.Keeper.Tenants(p.After, min(p.Limit, maxPageSize)+1)
 	if err != nil {
 		return nil, toProblem(err)
 	}
 	out := &pageAnswer{}
 	out.Body.Version, out.Body.Tenants = version, []Tenant{}
-	for i, t := range got {
+	for i, t := range tenants {
 		if i == p.Limit {
-			out.Body.Next = got[i-1].Name
+			out.Body.Next = tenants[i-1].Name
 			break
 		}
 		out.Body.Tenants = append(out.Body.Tenants, toTenant(t))
@@ -274,11 +274,11 @@
 	if err := terms.CheckNames(a.opts.Classes, a.opts.Pools); err != nil {
 		return nil, toProblem(err)
 	}
-	t, book, err := a.keeper(ctx).PutTenant(keybook.Tenant{Name: in.Name, Suspended: in.Body.Suspended, Terms: terms}, expected)
+	t, version, err := a.keeper(ctx).PutTenant(keybook.Tenant{Name: in.Name, Suspended: in.Body.Suspended, Terms: terms}, expected)
 	if err != nil {
 		return nil, toProblem(err)
 	}
-	if err := a.publish(ctx, book); err != nil {
+	if err := a.publish(ctx, version); err != nil {
 		return nil, err
 	}
 	return tenantResponse(t), nil
@@ -292,20 +292,20 @@
 	if err != nil {
 		return nil, err
 	}
-	was, err := a.opts.Keeper.Tenant(in.Name)
+	previous, err := a.opts.Keeper.Tenant(in.Name)
 	if err != nil {
 		return nil, toProblem(err)
 	}
-	book, err := a.keeper(ctx).RemoveTenant(in.Name, expected)
+	version, err := a.keeper(ctx).RemoveTenant(in.Name, expected)
 	if err != nil {
 		return nil, toProblem(err)
 	}
-	if err := a.publish(ctx, book); err != nil {
+	if err := a.publish(ctx, version); err != nil {
 		return nil, err
 	}
 	out := &deleted{}
-	out.Body.Version, out.Body.Generation = book, was.Generation // RemoveTenant succeeds only for the version read above
-	out.Body.InHand = a.opts.InFlight(in.Name, was.Generation)
+	out.Body.Version, out.Body.Generation = version, previous.Generation // RemoveTenant succeeds only for the version read above
+	out.Body.InHand = a.opts.InFlight(in.Name, previous.Generation)
 	return out, nil
 }
 
@@ -405,18 +405,18 @@
 // await waits until the store's version is above the given one, the time until is reached, ctx ends or the
 // caller's token is revoked.
 func (a *API) await(ctx context.Context, above uint64, until time.Time) error {
-	who, _ := ctx.Value(callerKey{}).(string)
+	tokenID, _ := ctx.Value(callerKey{}).(string)
 	for {
-		wait, stop := context.WithTimeout(ctx, min(time.Until(until), tokenCheckInterval))
-		err := a.opts.Keeper.Await(wait, above)
-		stop()
+		waitCtx, cancel := context.WithTimeout(ctx, min(time.Until(until), tokenCheckInterval))
+		err := a.opts.Keeper.Await(waitCtx, above)
+		cancel()
 		if err != nil && !errors.Is(err, context.DeadlineExceeded) && !errors.Is(err, context.Canceled) {
 			return toProblem(err)
 		}
-		switch lives, bad := a.opts.Tokens.exists(who); {
-		case bad != nil:
-			return toProblem(bad)
-		case !lives:
+		switch exists, existsErr := a.opts.Tokens.exists(tokenID); {
+		case existsErr != nil:
+			return toProblem(existsErr)
+		case !exists:
 			return huma.Error401Unauthorized("the token was revoked")
 		case err == nil || ctx.Err() != nil || !time.Now().Before(until):
 			return nil
@@ -438,9 +438,9 @@
 // toProblem converts an error to a problem response (RFC 9457).
 func toProblem(err error) error {
 	var stale *keybook.StaleError
-	var known huma.StatusError
+	var statusErr huma.StatusError
 	switch {
-	case errors.As(err, &known):
+	case errors.As(err, &statusErr):
 		return err
 	case errors.As(err, &stale):
 		return huma.NewError(http.StatusPreconditionFailed, "another change came first: "+stale.Error(), &huma.ErrorDetail{Location: "header.If-Match", Message: "current ETag", Value: etag(stale.Current)})
@@ -449,12 +449,12 @@
 	case errors.Is(err, keybook.ErrConflict):
 		return huma.Error409Conflict(err.Error())
 	}
-	if field, what, ok := strings.Cut(err.Error(), ": "); ok && !strings.Contains(field, " ") {
-		at := "limits."
+	if field, message, ok := strings.Cut(err.Error(), ": "); ok && !strings.Contains(field, " ") {
+		prefix := "limits."
 		if strings.HasPrefix(field, "pools") {
-			at = ""
+			prefix = ""
 		}
-		return huma.Error422UnprocessableEntity("a field is wrong", &huma.ErrorDetail{Location: "body." + at + field, Message: what})
+		return huma.Error422UnprocessableEntity("a field is wrong", &huma.ErrorDetail{Location: "body." + prefix + field, Message: message})
 	}
 	return huma.Error500InternalServerError("the store could not do it", err)
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -204,15 +204,15 @@
 	if c.JSON {
 		return c.show(text)
 	}
-	left := out.Body.InHand
-	for left > 0 { // terminates, because the class limits the duration of every request
-		fmt.Fprintf(c.Out, "%s, generation %d: %d requests in hand\n", name, out.Body.Generation, left)
+	inFlight := out.Body.InHand
+	for inFlight > 0 { // terminates, because the class limits the duration of every request
+		fmt.Fprintf(c.Out, "%s, generation %d: %d requests in hand\n", name, out.Body.Generation, inFlight)
 		var e ending
 		path := fmt.Sprintf("%s/ending?generation=%d&wait_s=%d", tenantPath(name), out.Body.Generation, maxWaitSeconds)
 		if _, err := c.call(ctx, http.MethodGet, path, "", nil, &e.Body); err != nil {
 			return err
 		}
-		left = e.Body.InHand
+		inFlight = e.Body.InHand
 	}
 	_, err = fmt.Fprintf(c.Out, "%s, generation %d: deleted, and its last request is over\n", name, out.Body.Generation)
 	return err
--- a/internal/admin/tokens.go
+++ b/internal/admin/tokens.go
@@ -163,8 +163,8 @@
 
 // keeper returns the Keeper that records changes under the caller's token ID.
 func (a *API) keeper(ctx context.Context) *keybook.Keeper {
-	who, _ := ctx.Value(callerKey{}).(string)
-	return a.opts.Keeper.As("token " + who)
+	tokenID, _ := ctx.Value(callerKey{}).(string)
+	return a.opts.Keeper.As("token " + tokenID)
 }
 
 // authorize is the middleware that rejects calls without a valid token or without the right for the
@@ -175,21 +175,21 @@
 	if ok {
 		id, right, err = a.opts.Tokens.authenticate(text)
 	}
-	status, what := 0, ""
+	status, message := 0, ""
 	switch {
 	case errors.Is(err, errTooManyCalls):
-		status, what = http.StatusTooManyRequests, "this token calls too often"
+		status, message = http.StatusTooManyRequests, "this token calls too often"
 		ctx.SetHeader("Retry-After", "1")
 	case errors.Is(err, keybook.ErrNoSuch):
-		status, what = http.StatusUnauthorized, "Authorization: Bearer with a token of this service is needed"
+		status, message = http.StatusUnauthorized, "Authorization: Bearer with a token of this service is needed"
 	case err != nil:
-		status, what = http.StatusServiceUnavailable, "tokens can't be read"
+		status, message = http.StatusServiceUnavailable, "tokens can't be read"
 	case !allows(right, ctx.Method(), ctx.Param("name")):
-		status, what = http.StatusForbidden, "the token has no right to do that"
+		status, message = http.StatusForbidden, "the token has no right to do that"
 	}
 	if status != 0 {
 		a.opts.Log.Warn("administration: refused", "token", sanitize(id), "status", status, "method", ctx.Method(), "path", sanitize(ctx.URL().Path))
-		huma.WriteErr(a.huma, ctx, status, what) //nolint:errcheck // fails only if the client has disconnected
+		huma.WriteErr(a.huma, ctx, status, message) //nolint:errcheck // fails only if the client has disconnected
 		return
 	}
 	next(huma.WithValue(ctx, callerKey{}, id))
@@ -197,12 +197,12 @@
 
 // allows reports whether a right permits a call.
 func allows(right, method, name string) bool {
-	of, one := strings.CutPrefix(right, rightTenant)
+	tenant, isTenantRight := strings.CutPrefix(right, rightTenant)
 	switch {
 	case right == RightAll:
 		return true
-	case one:
-		return name != "" && name == of && method != http.MethodDelete // only operators may delete a tenant
+	case isTenantRight:
+		return name != "" && name == tenant && method != http.MethodDelete // only operators may delete a tenant
 	}
 	return method == http.MethodGet
 }
--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -13,14 +13,14 @@
 	"mossproxy.example/mossproxy/internal/pure/rights"
 )
 
-// readLimited reads at most one byte more than most, so that the parser detects files that are too large.
-func readLimited(path string, most int64) ([]byte, error) {
+// readLimited reads at most one byte more than maxBytes, so that the parser detects files that are too large.
+func readLimited(path string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -116,13 +116,13 @@
 		fmt.Fprintln(out, faults)
 		return false, nil
 	}
-	var of []*caller.Rights
+	var selected []*caller.Rights
 	for _, name := range q.Roles {
 		r := roles[name]
 		if r == nil {
 			return false, fmt.Errorf("%s: %q is no role of it", path, name)
 		}
-		of = append(of, r)
+		selected = append(selected, r)
 	}
 	if q.At.IsZero() {
 		q.At = time.Now()
@@ -131,21 +131,21 @@
 	if q.Write {
 		access = caller.Write
 	}
-	r, now := caller.Join(of...), float64(q.At.UnixMilli())
+	r, now := caller.Join(selected...), float64(q.At.UnixMilli())
 	rule, ok := r.Allows(now, q.Class, q.Key, access)
 	lines := strings.Split(string(text), "\n")
 	if rule < 0 {
 		fmt.Fprintf(out, "denied: no rule of %s fits class %s, key %q, %s at %s UTC\n", strings.Join(q.Roles, ", "), q.Class, q.Key, accessVerb(access), q.At.UTC().Format("Mon 15:04"))
 		return false, nil
 	}
-	x := r.Rules()[rule]
+	deciding := r.Rules()[rule]
 	verdict := "allowed"
 	if !ok {
 		verdict = "denied"
 	}
-	fmt.Fprintf(out, "%s by %s:%d:%d: %s\n", verdict, path, x.Line, x.Column, strings.TrimSpace(lines[x.Line-1]))
-	if x.Rate > 0 {
-		fmt.Fprintf(out, "up to %v requests a second of this caller over all routers\n", x.Rate)
+	fmt.Fprintf(out, "%s by %s:%d:%d: %s\n", verdict, path, deciding.Line, deciding.Column, strings.TrimSpace(lines[deciding.Line-1]))
+	if deciding.Rate > 0 {
+		fmt.Fprintf(out, "up to %v requests a second of this caller over all routers\n", deciding.Rate)
 	}
 	return ok, nil
 }
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -115,8 +115,8 @@
 	f, faults := member.ParseFile(path, text, rules)
 	if !known && faults != nil {
 		rules.Origin = true
-		if g, other := member.ParseFile(path, text, rules); len(other) < len(faults) {
-			f, faults = g, other
+		if g, otherFaults := member.ParseFile(path, text, rules); len(otherFaults) < len(faults) {
+			f, faults = g, otherFaults
 		}
 	}
 	if faults != nil {
