--- a/internal/identity/gate.go
+++ b/internal/identity/gate.go
@@ -87,14 +87,14 @@
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	g := &Authenticator{opts: o, now: o.Now, audit: NewAudit(o.Log, o.Now), cache: caller.NewIdentityCache(o.CacheSize), limiter: caller.NewAuthLimiter(o.CPUShare),
+	a := &Authenticator{opts: o, now: o.Now, audit: NewAudit(o.Log, o.Now), cache: caller.NewIdentityCache(o.CacheSize), limiter: caller.NewAuthLimiter(o.CPUShare),
 		rates: caller.NewRateLimiter(o.RouterShare), hasher: newTokenHasher()}
-	return g
+	return a
 }
 
 // SetCredentials replaces the credentials store. It applies to new clients at once and to authenticated ones
 // at their next request. It returns an error and keeps the old store if a key is unusable.
-func (g *Authenticator) SetCredentials(b *caller.CredentialStore) error {
+func (a *Authenticator) SetCredentials(b *caller.CredentialStore) error {
 	s := &state{credentials: b, keys: map[string]crypto.PublicKey{}}
 	for _, k := range b.Keys() {
 		if k.Algorithm == caller.Secret {
@@ -106,29 +106,29 @@
 		}
 		s.keys[k.ID] = p
 	}
-	g.state.Store(s)
+	a.state.Store(s)
 	if at := b.Issued(); at > 0 {
-		g.Confirm(at)
+		a.Confirm(at)
 	} else {
-		g.Confirm(g.now())
+		a.Confirm(a.now())
 	}
 	return nil
 }
 
 // Confirm records that the credentials were known to be current at the given time in Unix ms. Times before
 // the last confirmed one are ignored.
-func (g *Authenticator) Confirm(at float64) {
+func (a *Authenticator) Confirm(at float64) {
 	for {
-		old := g.confirmed.Load()
-		if math.Float64frombits(old) >= at || g.confirmed.CompareAndSwap(old, math.Float64bits(at)) {
+		old := a.confirmed.Load()
+		if math.Float64frombits(old) >= at || a.confirmed.CompareAndSwap(old, math.Float64bits(at)) {
 			return
 		}
 	}
 }
 
 // Credentials returns the credentials store in use, nil before the first SetCredentials.
-func (g *Authenticator) Credentials() *caller.CredentialStore {
-	if s := g.state.Load(); s != nil {
+func (a *Authenticator) Credentials() *caller.CredentialStore {
+	if s := a.state.Load(); s != nil {
 		return s.credentials
 	}
 	return nil
@@ -136,12 +136,12 @@
 
 // current returns the current snapshot, or StaleKeys if it is too old: for new clients if isNew, otherwise
 // for all.
-func (g *Authenticator) current(now float64, isNew bool) (*state, caller.Reason) {
-	s := g.state.Load()
+func (a *Authenticator) current(now float64, isNew bool) (*state, caller.Reason) {
+	s := a.state.Load()
 	if s == nil {
 		return nil, caller.StaleKeys
 	}
-	forNew, forAll := s.credentials.Stale(math.Float64frombits(g.confirmed.Load()), now)
+	forNew, forAll := s.credentials.Stale(math.Float64frombits(a.confirmed.Load()), now)
 	if forAll || isNew && forNew {
 		return nil, caller.StaleKeys
 	}
@@ -149,34 +149,34 @@
 }
 
 // AuthenticateToken authenticates a client by a token and logs the login or refusal.
-func (g *Authenticator) AuthenticateToken(remoteAddr, text string) (*caller.Identity, caller.Reason) {
-	p, reason := g.authenticateToken(remoteAddr, text)
-	g.recordVerdict("login", reason, p, Event{From: remoteAddr})
+func (a *Authenticator) AuthenticateToken(remoteAddr, text string) (*caller.Identity, caller.Reason) {
+	p, reason := a.authenticateToken(remoteAddr, text)
+	a.recordVerdict("login", reason, p, Event{From: remoteAddr})
 	return p, reason
 }
 
 // AuthenticateRequest is AuthenticateToken for a single request: it logs refusals only.
-func (g *Authenticator) AuthenticateRequest(remoteAddr, text string) (*caller.Identity, caller.Reason) {
-	p, reason := g.authenticateToken(remoteAddr, text)
+func (a *Authenticator) AuthenticateRequest(remoteAddr, text string) (*caller.Identity, caller.Reason) {
+	p, reason := a.authenticateToken(remoteAddr, text)
 	if reason != caller.None {
-		g.recordVerdict("login", reason, nil, Event{From: remoteAddr})
+		a.recordVerdict("login", reason, nil, Event{From: remoteAddr})
 	} else {
-		g.counts[caller.None].Add(1)
+		a.counts[caller.None].Add(1)
 	}
 	return p, reason
 }
 
-func (g *Authenticator) authenticateToken(remoteAddr, text string) (*caller.Identity, caller.Reason) {
-	now := g.now()
+func (a *Authenticator) authenticateToken(remoteAddr, text string) (*caller.Identity, caller.Reason) {
+	now := a.now()
 	if len(text) > MaxTokenBytes {
 		return nil, caller.TooLong
 	}
-	hash := g.hasher.sum(text)
-	g.mu.Lock()
-	p := g.cache.Get(hash)
-	g.mu.Unlock()
+	hash := a.hasher.sum(text)
+	a.mu.Lock()
+	p := a.cache.Get(hash)
+	a.mu.Unlock()
 	if p != nil { // the signature is verified; the rest is checked again if the credentials or the time changed
-		s, reason := g.current(now, false)
+		s, reason := a.current(now, false)
 		if reason != caller.None {
 			return nil, reason
 		}
@@ -184,47 +184,47 @@
 			return p, caller.None
 		}
 		if p, reason = s.credentials.Reauthenticate(now, p); reason == caller.None {
-			g.cacheIdentity(hash, p)
+			a.cacheIdentity(hash, p)
 			return p, caller.None
 		}
-		g.mu.Lock()
-		g.cache.Remove(hash)
-		g.mu.Unlock()
+		a.mu.Lock()
+		a.cache.Remove(hash)
+		a.mu.Unlock()
 		if reason != caller.NoTenant { // a recreated tenant of the same name: verify the token as new
 			return nil, reason
 		}
 	}
-	p, reason := g.verifyToken(now, remoteAddr, text)
+	p, reason := a.verifyToken(now, remoteAddr, text)
 	if reason == caller.None {
-		g.cacheIdentity(hash, p)
+		a.cacheIdentity(hash, p)
 	}
 	return p, reason
 }
 
-func (g *Authenticator) cacheIdentity(hash [32]byte, p *caller.Identity) {
-	g.mu.Lock()
-	g.cache.Put(hash, p)
-	g.mu.Unlock()
+func (a *Authenticator) cacheIdentity(hash [32]byte, p *caller.Identity) {
+	a.mu.Lock()
+	a.cache.Put(hash, p)
+	a.mu.Unlock()
 }
 
 // verifyToken verifies a token that is not cached, within the CPU budget for verification.
-func (g *Authenticator) verifyToken(now float64, remoteAddr, text string) (*caller.Identity, caller.Reason) {
-	s, reason := g.current(now, true)
+func (a *Authenticator) verifyToken(now float64, remoteAddr, text string) (*caller.Identity, caller.Reason) {
+	s, reason := a.current(now, true)
 	if reason != caller.None {
 		return nil, reason
 	}
 	origin := addressPrefix(remoteAddr)
-	if !g.allowCheck(now, origin, "", costSecret) { // parsing costs CPU time too
+	if !a.allowCheck(now, origin, "", costSecret) { // parsing costs CPU time too
 		return nil, caller.Throttled
 	}
 	t, reason := readToken(text)
 	if reason != caller.None {
-		g.recordResult(now, origin, "", true)
+		a.recordResult(now, origin, "", true)
 		return nil, reason
 	}
 	k := s.credentials.Key(t.kid)
 	if k == nil || s.keys[t.kid] == nil {
-		g.recordResult(now, origin, "", true)
+		a.recordResult(now, origin, "", true)
 		return nil, caller.UnknownKey
 	}
 	if reason := s.credentials.CheckKeyState(k, now); reason != caller.None { // before the expensive verification
@@ -234,28 +234,28 @@
 	if k.Algorithm == caller.ES256 {
 		cost = costES256
 	}
-	if !g.allowCheck(now, origin, k.ID, cost) {
+	if !a.allowCheck(now, origin, k.ID, cost) {
 		return nil, caller.Throttled
 	}
-	g.checks.Add(1)
+	a.checks.Add(1)
 	c, reason := t.verify(k, s.keys[t.kid])
-	g.recordResult(now, origin, k.ID, reason != caller.None)
+	a.recordResult(now, origin, k.ID, reason != caller.None)
 	if reason != caller.None {
 		return nil, reason
 	}
 	return s.credentials.AuthenticateToken(now, c)
 }
 
-func (g *Authenticator) allowCheck(now float64, origin, key string, cost float64) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.limiter.Allow(now, origin, key, cost)
+func (a *Authenticator) allowCheck(now float64, origin, key string, cost float64) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.limiter.Allow(now, origin, key, cost)
 }
 
-func (g *Authenticator) recordResult(now float64, origin, key string, wrong bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.limiter.RecordResult(now, origin, key, wrong)
+func (a *Authenticator) recordResult(now float64, origin, key string, wrong bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.limiter.RecordResult(now, origin, key, wrong)
 }
 
 // addressPrefix returns the key for rate limits by address: the IPv4 address without port, or the /64
@@ -277,43 +277,43 @@
 }
 
 // AuthenticateSecret authenticates a client by a key ID and its secret.
-func (g *Authenticator) AuthenticateSecret(remoteAddr, id string, secret []byte) (*caller.Identity, caller.Reason) {
-	p, reason := g.authenticateSecret(remoteAddr, id, secret)
-	g.recordVerdict("login", reason, p, Event{From: remoteAddr, Key: id})
+func (a *Authenticator) AuthenticateSecret(remoteAddr, id string, secret []byte) (*caller.Identity, caller.Reason) {
+	p, reason := a.authenticateSecret(remoteAddr, id, secret)
+	a.recordVerdict("login", reason, p, Event{From: remoteAddr, Key: id})
 	return p, reason
 }
 
-func (g *Authenticator) authenticateSecret(remoteAddr, id string, secret []byte) (*caller.Identity, caller.Reason) {
-	now := g.now()
-	s, reason := g.current(now, true)
+func (a *Authenticator) authenticateSecret(remoteAddr, id string, secret []byte) (*caller.Identity, caller.Reason) {
+	now := a.now()
+	s, reason := a.current(now, true)
 	switch {
 	case reason != caller.None:
 		return nil, reason
 	case len(secret) > maxSecretBytes || len(id) > caller.MaxTextBytes:
 		return nil, caller.TooLong
-	case g.opts.Pepper == nil:
+	case a.opts.Pepper == nil:
 		return nil, caller.UnknownKey
 	}
 	origin := addressPrefix(remoteAddr)
-	if !g.allowCheck(now, origin, id, costSecret) {
+	if !a.allowCheck(now, origin, id, costSecret) {
 		return nil, caller.Throttled
 	}
-	g.checks.Add(1)
+	a.checks.Add(1)
 	// Comparing the hashes need not take constant time: they are keyed by the pepper, so timing reveals
 	// nothing about the secret.
-	p, reason := s.credentials.AuthenticateSecret(now, id, g.opts.Pepper.Hash(id, secret))
-	g.recordResult(now, origin, id, reason == caller.BadSignature || reason == caller.UnknownKey)
+	p, reason := s.credentials.AuthenticateSecret(now, id, a.opts.Pepper.Hash(id, secret))
+	a.recordResult(now, origin, id, reason == caller.BadSignature || reason == caller.UnknownKey)
 	return p, reason
 }
 
 // AuthenticateCertificate authenticates a client by the verified certificate of a completed handshake. It
 // returns NoCaller if there is none.
-func (g *Authenticator) AuthenticateCertificate(remoteAddr string, conn *tls.ConnectionState) (*caller.Identity, caller.Reason) {
+func (a *Authenticator) AuthenticateCertificate(remoteAddr string, conn *tls.ConnectionState) (*caller.Identity, caller.Reason) {
 	if conn == nil || len(conn.PeerCertificates) == 0 || len(conn.VerifiedChains) == 0 {
 		return nil, caller.NoCaller
 	}
-	now := g.now()
-	s, reason := g.current(now, true)
+	now := a.now()
+	s, reason := a.current(now, true)
 	var p *caller.Identity
 	if reason == caller.None {
 		for _, chain := range conn.VerifiedChains { // one chain whose root is still in the bundle suffices
@@ -322,7 +322,7 @@
 			}
 		}
 	}
-	g.recordVerdict("login", reason, p, Event{From: remoteAddr, Key: "sha256:" + fingerprint(conn.PeerCertificates[0])})
+	a.recordVerdict("login", reason, p, Event{From: remoteAddr, Key: "sha256:" + fingerprint(conn.PeerCertificates[0])})
 	return p, reason
 }
 
@@ -351,9 +351,9 @@
 
 // Revalidate returns p while it is valid, a renewed identity if the credentials or the time changed and the
 // client is still accepted, or the reason why it is not.
-func (g *Authenticator) Revalidate(p *caller.Identity) (*caller.Identity, caller.Reason) {
-	now := g.now()
-	s, reason := g.current(now, false)
+func (a *Authenticator) Revalidate(p *caller.Identity) (*caller.Identity, caller.Reason) {
+	now := a.now()
+	s, reason := a.current(now, false)
 	if reason != caller.None {
 		return nil, reason
 	}
@@ -364,29 +364,29 @@
 }
 
 // RecordWithdrawn logs that a client's connection is closed because its access was withdrawn.
-func (g *Authenticator) RecordWithdrawn(remoteAddr string, p *caller.Identity, reason caller.Reason) {
-	g.recordVerdict("withdrawn", reason, p, Event{From: remoteAddr})
+func (a *Authenticator) RecordWithdrawn(remoteAddr string, p *caller.Identity, reason caller.Reason) {
+	a.recordVerdict("withdrawn", reason, p, Event{From: remoteAddr})
 }
 
 // Authorize decides whether a client may make a request of a class for a key. For OverRate, again is the
 // time in ms after which a retry can succeed.
-func (g *Authenticator) Authorize(remoteAddr string, p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
-	now := g.now()
+func (a *Authenticator) Authorize(remoteAddr string, p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
+	now := a.now()
 	rule, ok := p.Rights.Allows(now, class, key, access)
 	e := Event{From: remoteAddr, Class: class}
 	if rule >= 0 {
 		e.Rule = p.Rights.Rules()[rule].Line
 	}
 	if !ok {
-		g.recordVerdict("refused", caller.NoRight, p, e)
+		a.recordVerdict("refused", caller.NoRight, p, e)
 		return 0, caller.NoRight
 	}
 	if p.Rights.Rules()[rule].Rate > 0 {
-		g.ratesMu.Lock()
-		retryAfter, ok = g.rates.Take(now, p.Caller, p.Rights, rule)
-		g.ratesMu.Unlock()
+		a.ratesMu.Lock()
+		retryAfter, ok = a.rates.Take(now, p.Caller, p.Rights, rule)
+		a.ratesMu.Unlock()
 		if !ok {
-			g.recordVerdict("refused", caller.OverRate, p, e)
+			a.recordVerdict("refused", caller.OverRate, p, e)
 			return retryAfter, caller.OverRate
 		}
 	}
@@ -394,20 +394,20 @@
 }
 
 // RecordRefused logs a request that was refused for any other reason.
-func (g *Authenticator) RecordRefused(remoteAddr string, p *caller.Identity, reason caller.Reason) {
-	g.recordVerdict("refused", reason, p, Event{From: remoteAddr})
+func (a *Authenticator) RecordRefused(remoteAddr string, p *caller.Identity, reason caller.Reason) {
+	a.recordVerdict("refused", reason, p, Event{From: remoteAddr})
 }
 
 // recordVerdict counts a verdict and adds it to the audit log.
-func (g *Authenticator) recordVerdict(what string, reason caller.Reason, p *caller.Identity, e Event) {
-	g.counts[reason].Add(1)
+func (a *Authenticator) recordVerdict(what string, reason caller.Reason, p *caller.Identity, e Event) {
+	a.counts[reason].Add(1)
 	if e.What, e.Reason = what, reason; p != nil {
 		e.Caller, e.Tenant = p.Caller, p.Tenant.Name
 		if e.Key == "" {
 			e.Key = p.CredentialName
 		}
 	}
-	g.audit.Add(e)
+	a.audit.Add(e)
 }
 
 // Stats holds the counters of an Authenticator.
@@ -419,22 +419,22 @@
 }
 
 // Stats returns the current counters.
-func (g *Authenticator) Stats() Stats {
-	f := Stats{Verdicts: map[string]int64{}, Checks: g.checks.Load()}
+func (a *Authenticator) Stats() Stats {
+	f := Stats{Verdicts: map[string]int64{}, Checks: a.checks.Load()}
 	for _, r := range caller.Reasons() {
-		if n := g.counts[r].Load(); n > 0 {
+		if n := a.counts[r].Load(); n > 0 {
 			f.Verdicts[r.String()] = n
 		}
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	f.Remembered = g.cache.Size()
-	f.Addresses, _ = g.limiter.Size()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	f.Remembered = a.cache.Size()
+	f.Addresses, _ = a.limiter.Size()
 	return f
 }
 
 // Run logs the counts of suppressed audit records until ctx ends.
-func (g *Authenticator) Run(ctx context.Context) { g.audit.reportSuppressed(ctx) }
+func (a *Authenticator) Run(ctx context.Context) { a.audit.reportSuppressed(ctx) }
 
 // RemoteAddr returns the remote address of c, or "" if it has none.
 func RemoteAddr(c net.Conn) string {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -278,12 +278,12 @@
 				c.ID = fmt.Sprint(i)
 				tokens[i] = s.Sign(b, c)
 			}
-			g := identity.NewAuthenticator(identity.Options{CacheSize: 1, CPUShare: 1e9, Log: slog.New(slog.DiscardHandler)})
-			if err := g.SetCredentials(h.auth.Credentials()); err != nil {
+			a := identity.NewAuthenticator(identity.Options{CacheSize: 1, CPUShare: 1e9, Log: slog.New(slog.DiscardHandler)})
+			if err := a.SetCredentials(h.auth.Credentials()); err != nil {
 				b.Fatal(err)
 			}
 			for i := 0; b.Loop(); i++ {
-				if _, reason := g.AuthenticateRequest("127.0.0.1:1", tokens[i%256]); reason != caller.None {
+				if _, reason := a.AuthenticateRequest("127.0.0.1:1", tokens[i%256]); reason != caller.None {
 					b.Fatal(reason)
 				}
 			}
