--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -379,8 +379,8 @@
 	return out, nil
 }
 
-// maxWaitSeconds limits how long a call waits, because intermediaries may close an idle connection at any
-// time.
+// maxWaitSeconds limits how long a call waits, because intermediaries may close a waiting connection
+// at any time.
 const maxWaitSeconds = 30
 
 // watch returns the audit records above a version of the credentials store and waits for one if there is
--- a/internal/identity/authenticator.go
+++ b/internal/identity/authenticator.go
@@ -36,8 +36,8 @@
 	DefaultCPUShare  = 0.2
 )
 
-// Cost of a verification in ms of one core, rounded up from BenchmarkVerify. Rough values suffice, because the
-// CPU budget only has to limit floods.
+// Cost of a verification in ms of one core, rounded up from BenchmarkVerify. Rough values suffice, because
+// the CPU budget only has to limit floods.
 const (
 	costEdDSA  = 0.10
 	costES256  = 0.15
@@ -368,8 +368,8 @@
 	a.recordVerdict("withdrawn", reason, p, Event{From: remoteAddr})
 }
 
-// Authorize decides whether a client may make a request of a class for a key. For OverRate, again is the
-// time in ms after which a retry can succeed.
+// Authorize decides whether a client may make a request of a class for a key. For OverRate,
+// retryAfter is the time in ms after which a retry can succeed.
 func (a *Authenticator) Authorize(remoteAddr string, p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
 	now := a.now()
 	rule, ok := p.Rights.Allows(now, class, key, access)
