--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -25,7 +25,7 @@
 
 // Options configures an API.
 type Options struct {
-	Keeper *keybook.Keeper
+	Keeper *keybook.Store
 	Tokens *Tokens
 	// Publish distributes the stored credentials to the routers and waits until the version is in force here
 	// or ctx ends.
@@ -408,7 +408,7 @@
 	tokenID, _ := ctx.Value(callerKey{}).(string)
 	for {
 		waitCtx, cancel := context.WithTimeout(ctx, min(time.Until(until), tokenCheckInterval))
-		err := a.opts.Keeper.Await(waitCtx, above)
+		err := a.opts.Keeper.WaitForVersion(waitCtx, above)
 		cancel()
 		if err != nil && !errors.Is(err, context.DeadlineExceeded) && !errors.Is(err, context.Canceled) {
 			return toProblem(err)
--- a/internal/admin/tokens.go
+++ b/internal/admin/tokens.go
@@ -106,7 +106,7 @@
 // Revoke deletes a token. Later calls with it are rejected; calls in progress are answered.
 func (t *Tokens) Revoke(id string) error {
 	if _, err := t.s.Get(tokenPrefix + id); err != nil {
-		return fmt.Errorf("token %.70q: %w", id, keybook.ErrNoSuch)
+		return fmt.Errorf("token %.70q: %w", id, keybook.ErrNotFound)
 	}
 	_, err := t.s.Delete(tokenPrefix + id)
 	t.mu.Lock()
@@ -123,7 +123,7 @@
 	id, secret, _ := strings.Cut(text, ".")
 	item, err := t.s.Get(tokenPrefix + id)
 	if errors.Is(err, store.ErrNotFound) || id == "" {
-		return "", "", keybook.ErrNoSuch
+		return "", "", keybook.ErrNotFound
 	}
 	if err != nil {
 		return "", "", err
@@ -134,7 +134,7 @@
 	}
 	sum := sha256.Sum256([]byte(secret))
 	if hex.EncodeToString(sum[:]) != row.SHA256 { // comparing hashes: timing reveals nothing about the secret
-		return "", "", keybook.ErrNoSuch
+		return "", "", keybook.ErrNotFound
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,16 +162,16 @@
 type callerKey struct{}
 
 // keeper returns the Keeper that records changes under the caller's token ID.
-func (a *API) keeper(ctx context.Context) *keybook.Keeper {
+func (a *API) keeper(ctx context.Context) *keybook.Store {
 	tokenID, _ := ctx.Value(callerKey{}).(string)
-	return a.opts.Keeper.As("token " + tokenID)
+	return a.opts.Keeper.WithActor("token " + tokenID)
 }
 
 // authorize is the middleware that rejects calls without a valid token or without the right for the
 // operation.
 func (a *API) authorize(ctx huma.Context, next func(huma.Context)) {
 	text, ok := strings.CutPrefix(ctx.Header("Authorization"), "Bearer ")
-	id, right, err := "", "", keybook.ErrNoSuch
+	id, right, err := "", "", keybook.ErrNotFound
 	if ok {
 		id, right, err = a.opts.Tokens.authenticate(text)
 	}
@@ -180,7 +180,7 @@
 	case errors.Is(err, errTooManyCalls):
 		status, message = http.StatusTooManyRequests, "this token calls too often"
 		ctx.SetHeader("Retry-After", "1")
-	case errors.Is(err, keybook.ErrNoSuch):
+	case errors.Is(err, keybook.ErrNotFound):
 		status, message = http.StatusUnauthorized, "Authorization: Bearer with a token of this service is needed"
 	case err != nil:
 		status, message = http.StatusServiceUnavailable, "tokens can't be read"
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -433,7 +433,7 @@
 
 // update takes from a setup what a running router can change beside its source.
 func (rs engines) update(next Setup) {
-	if !next.Own {
+	if !next.Standalone {
 		slog.Info("SIGHUP: configuration read again", "discovery", next.Discovery)
 		return
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -277,7 +277,7 @@
 func (s *Service) follow(ctx context.Context, hup <-chan os.Signal) {
 	t := &taker{s: s, ctx: ctx}
 	now := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-	f := watch.New(watch.Config{Path: s.path, MaxBytes: config.MaxFile, SettleMS: watch.DefaultSettleMS}, now, t)
+	f := watch.New(watch.Config{Path: s.path, MaxBytes: config.MaxFileBytes, SettleMS: watch.DefaultSettleMS}, now, t)
 	if text, err := f.Read(); err == nil {
 		f.SetCurrent(text) // a change since the start counts as one: it is compared with what runs at the next
 	}
