--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -13,21 +13,22 @@
 	"mossproxy.example/mossproxy/internal/pure/rights"
 )
 
-// readLimited reads a file, up to a byte beyond a bound, which its parser refuses.
-func readLimited(path string, most int64) ([]byte, error) {
+// readLimited reads at most one byte more than maxBytes, so that the parser detects files that are too large.
+func readLimited(path string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return text, nil
 }
 
-// checkCallers checks the files that a configuration's book of callers is made of, together, as a router would.
+// checkCallers checks the files of the credentials store together, as a router does. A non-empty rightsFile
+// replaces the configured one.
 func checkCallers(out io.Writer, f *config.File, rightsFile string) bool {
 	c := f.Callers
 	if rightsFile != "" {
@@ -65,7 +66,8 @@
 	return err == nil
 }
 
-// Rights checks a rights file, with a configuration also against its classes and its book.
+// Rights checks a rights file. With a configuration it also checks it against the configured classes and
+// credentials store.
 func Rights(out io.Writer, path, cfg string) (good bool, err error) {
 	text, err := readLimited(path, rights.MaxTextBytes)
 	if err != nil {
@@ -95,7 +97,7 @@
 	return true, nil
 }
 
-// AccessQuery is a request of a caller.
+// AccessQuery describes a request whose authorization is to be explained.
 type AccessQuery struct {
 	Roles      []string
 	Class, Key string
@@ -103,7 +105,7 @@
 	At         time.Time // zero = now
 }
 
-// Explain says which rule of a rights file decides a request; it is good where that is allowed.
+// Explain prints which rule of a rights file decides the request; good reports whether it is allowed.
 func Explain(out io.Writer, path string, q AccessQuery) (good bool, err error) {
 	text, err := readLimited(path, rights.MaxTextBytes)
 	if err != nil {
@@ -114,13 +116,13 @@
 		fmt.Fprintln(out, faults)
 		return false, nil
 	}
-	var of []*caller.Rights
+	var selected []*caller.Rights
 	for _, name := range q.Roles {
 		r := roles[name]
 		if r == nil {
 			return false, fmt.Errorf("%s: %q is no role of it", path, name)
 		}
-		of = append(of, r)
+		selected = append(selected, r)
 	}
 	if q.At.IsZero() {
 		q.At = time.Now()
@@ -129,21 +131,21 @@
 	if q.Write {
 		access = caller.Write
 	}
-	r, now := caller.Join(of...), float64(q.At.UnixMilli())
+	r, now := caller.Join(selected...), float64(q.At.UnixMilli())
 	rule, ok := r.Allows(now, q.Class, q.Key, access)
 	lines := strings.Split(string(text), "\n")
 	if rule < 0 {
 		fmt.Fprintf(out, "denied: no rule of %s fits class %s, key %q, %s at %s UTC\n", strings.Join(q.Roles, ", "), q.Class, q.Key, accessVerb(access), q.At.UTC().Format("Mon 15:04"))
 		return false, nil
 	}
-	x := r.Rules()[rule]
+	deciding := r.Rules()[rule]
 	verdict := "allowed"
 	if !ok {
 		verdict = "denied"
 	}
-	fmt.Fprintf(out, "%s by %s:%d:%d: %s\n", verdict, path, x.Line, x.Column, strings.TrimSpace(lines[x.Line-1]))
-	if x.Rate > 0 {
-		fmt.Fprintf(out, "up to %v requests a second of this caller over all routers\n", x.Rate)
+	fmt.Fprintf(out, "%s by %s:%d:%d: %s\n", verdict, path, deciding.Line, deciding.Column, strings.TrimSpace(lines[deciding.Line-1]))
+	if deciding.Rate > 0 {
+		fmt.Fprintf(out, "up to %v requests a second of this caller over all routers\n", deciding.Rate)
 	}
 	return ok, nil
 }
