--- a/internal/keybook/file.go
+++ b/internal/keybook/file.go
@@ -1,6 +1,7 @@
-// Package keybook keeps the book of callers: tenants, callers and keys, in a file that routers follow and in a store in which
-// commands change it. The store is the authority, with versions and an audit record of each change; the file is what it exports,
-// whole, or what an operator writes by hand where there is no store.
+// Package keybook manages credentials: tenants, callers and keys. Commands change them in a store, and
+// routers read them from a file that they watch. The store is authoritative; it versions every change and
+// writes an audit record for it. The file is a complete export of the store, or is written by an operator
+// where there is no store.
 package keybook
 
 import (
@@ -19,20 +20,20 @@
 	"mossproxy.example/mossproxy/internal/tomlfile"
 )
 
-// MaxFileBytes is the longest book that is read, in bytes: 10,000 keys and 10,000 callers take half of it.
+// MaxFileBytes is the maximum size of a credentials file; 10,000 keys and 10,000 callers take half of it.
 const MaxFileBytes = 16 << 20
 
 // Credentials is the content of a credentials file.
 type Credentials struct {
 	Version uint64
-	Issued  time.Time // when it was known to be in force; zero = it does not say
+	Issued  time.Time // when the content was last confirmed; zero = not stated
 	Keys    []caller.Key
 	Tenants []caller.Tenant
-	Terms   map[string]Terms // of the tenants that have any
+	Terms   map[string]Terms // by tenant name; only tenants with terms have an entry
 	Callers []caller.Principal
 }
 
-// document mirrors the file. docs/operate/callers.md explains each key.
+// document is the TOML structure of the file. docs/operate/callers.md documents each key.
 type document struct {
 	Version uint64      `toml:"version"`
 	Issued  time.Time   `toml:"issued,omitzero"`
@@ -49,7 +50,7 @@
 	limitRow
 }
 
-// limitRow are a tenant's limits over the whole service; 0 = no such limit. Burst and weight of 0 count as 1.
+// limitRow holds a tenant's limits over the whole service; 0 = no limit. A burst or weight of 0 counts as 1.
 type limitRow struct {
 	Floor  float64 `toml:"floor_per_s,omitempty" json:"floor_per_s,omitempty"`
 	Weight float64 `toml:"weight,omitempty" json:"weight,omitempty"`
@@ -63,7 +64,7 @@
 	Classes []classRow `toml:"limit,omitempty" json:"limit,omitempty"`
 }
 
-// classRow are a tenant's limits on one class.
+// classRow holds a tenant's limits on one class.
 type classRow struct {
 	Class string  `toml:"class" json:"class"`
 	Most  float64 `toml:"most_per_s,omitempty" json:"most_per_s,omitempty"`
@@ -74,7 +75,7 @@
 	Name         string   `toml:"name" json:"name"`
 	Tenant       string   `toml:"tenant" json:"tenant"`
 	Roles        []string `toml:"roles" json:"roles"`
-	Subjects     []string `toml:"subjects,omitempty" json:"subjects,omitempty"` // ISSUER SUBJECT
+	Subjects     []string `toml:"subjects,omitempty" json:"subjects,omitempty"` // each "ISSUER SUBJECT"
 	Certificates []string `toml:"certificates,omitempty" json:"certificates,omitempty"`
 }
 
@@ -91,10 +92,12 @@
 	Revoked   time.Time `toml:"revoked,omitzero" json:"revoked,omitzero"`
 }
 
-// endMarker is the last line of a whole file: one that was cut short, also where what is there would parse, lacks it.
+// endMarker matches the last line of a complete file. It detects truncated files, even those that still
+// parse.
 var endMarker = regexp.MustCompile(`(?m)^\s*\[end\]\s*(#.*)?\s*\z`)
 
-// Parse reads a book file whole. What it says is checked against itself by caller.NewCredentialStore.
+// Parse decodes a complete credentials file. It checks each entry by itself; caller.NewCredentialStore checks
+// their consistency. The error lists all faults with their lines.
 func Parse(path string, text []byte) (*Credentials, error) {
 	if len(text) > MaxFileBytes {
 		return nil, tomlfile.Faults{{File: path, What: fmt.Sprintf("over %d bytes", MaxFileBytes)}}
@@ -132,7 +135,8 @@
 	return b, faults.Err()
 }
 
-// LocateFaults gives faults of a book's contents the lines of the file that they came from.
+// LocateFaults converts validation errors of a file's contents to faults with the file's line numbers.
+// It returns nil if there are none.
 func LocateFaults(path string, text []byte, of []caller.ValidationError) error {
 	if len(of) == 0 {
 		return nil
@@ -149,7 +153,7 @@
 	return out
 }
 
-// Encode is a book as a file.
+// Encode returns the credentials in the file format, including the end marker.
 func (b *Credentials) Encode() ([]byte, error) {
 	doc := document{Version: b.Version, Issued: b.Issued.UTC()}
 	for _, t := range b.Tenants {
@@ -174,7 +178,7 @@
 	return out.Bytes(), nil
 }
 
-// addTenant adds a row's tenant, with its limits.
+// addTenant adds the tenant of a row and its terms.
 func (b *Credentials) addTenant(r tenantRow) {
 	b.Tenants = append(b.Tenants, caller.Tenant{Name: r.Name, Generation: r.Generation, Suspended: r.Suspended})
 	if terms := r.terms(); terms.isSet() {
@@ -185,7 +189,7 @@
 	}
 }
 
-// tenantRow is a tenant's row.
+// tenantRow returns the row of a tenant with its limits.
 func (b *Credentials) tenantRow(t caller.Tenant) tenantRow {
 	return tenantRow{t.Name, t.Generation, t.Suspended, b.Terms[t.Name].row()}
 }
@@ -195,7 +199,7 @@
 	for _, s := range c.Subjects {
 		issuer, name, ok := strings.Cut(s, " ")
 		if !ok || issuer == "" || name == "" || strings.Contains(name, " ") {
-			return p, fmt.Errorf("%.60q is no subject; ISSUER and SUBJECT with a blank between them are", s)
+			return p, fmt.Errorf("%.60q is not a valid subject; it must be ISSUER and SUBJECT separated by a blank", s)
 		}
 		p.Subjects = append(p.Subjects, caller.Subject{Issuer: issuer, Name: name})
 	}
@@ -210,13 +214,13 @@
 	return c
 }
 
-// key gives the key of a row; an error goes with the name of the field that is wrong.
+// key converts the row to a key. With an error it also returns the name of the invalid field.
 func (r keyRow) key() (caller.Key, string, error) {
 	k := caller.Key{ID: r.ID, Algorithm: caller.Algorithm(r.Algorithm), Issuer: r.Issuer, Caller: r.Caller,
 		Lifecycle: caller.Lifecycle{Active: unixMS(r.Active), Retiring: unixMS(r.Retiring), Retired: unixMS(r.Retired), Revoked: unixMS(r.Revoked)}}
 	switch {
 	case r.JWK != "" && r.Hash != "":
-		return k, "jwk", fmt.Errorf("stands beside secret_hash; a key is the one or the other")
+		return k, "jwk", fmt.Errorf("excludes secret_hash; a key has one of the two")
 	case r.JWK != "":
 		j, err := identity.ReadJWK([]byte(r.JWK), r.Issuer)
 		if err != nil {
@@ -229,7 +233,7 @@
 			k.Algorithm = j.Algorithm
 		}
 		if k.Algorithm != j.Algorithm {
-			return k, "algorithm", fmt.Errorf("%.20q, and the public key is one of %s", r.Algorithm, j.Algorithm)
+			return k, "algorithm", fmt.Errorf("%.20q does not match the public key, which is one of %s", r.Algorithm, j.Algorithm)
 		}
 		k.PublicDER, k.Digest = j.PublicDER, j.Digest
 	case r.Hash != "":
@@ -257,6 +261,7 @@
 	return r, err
 }
 
+// unixMS returns t in milliseconds since the Unix epoch, and 0 for the zero time.
 func unixMS(t time.Time) float64 {
 	if t.IsZero() {
 		return 0
@@ -264,6 +269,7 @@
 	return float64(t.UnixMicro()) / 1000
 }
 
+// timeFromMS is the inverse of unixMS, rounded to microseconds.
 func timeFromMS(ms float64) time.Time {
 	if ms == 0 {
 		return time.Time{}
--- a/internal/keybook/keybook_test.go
+++ b/internal/keybook/keybook_test.go
@@ -66,9 +66,9 @@
 func TestFaultsOfAFile(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`secret_hash = "ab`, `secret_hash = "zz`, "b:15: key[0].secret_hash: not the 64 hex digits"},
-		{"iss sub", "iss", `caller[0].subjects: "iss" is no subject`},
+		{"iss sub", "iss", `caller[0].subjects: "iss" is not a valid subject`},
 		{"generation", "generatoin", "b:5: tenant.generatoin: no such key"},
-		{`id = "s"`, "id = \"s\"\njwk = '{\"kty\":\"oct\",\"k\":\"AA\",\"kid\":\"s\"}'", "stands beside secret_hash"},
+		{`id = "s"`, "id = \"s\"\njwk = '{\"kty\":\"oct\",\"k\":\"AA\",\"kid\":\"s\"}'", "excludes secret_hash"},
 		{"[end]", "", "the last line is missing"},
 	} {
 		if _, err := Parse("b", []byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// Sets of keys that can't be used whole are refused whole.
+// A JWKS with any unusable key is rejected as a whole.
 func TestJWKS(t *testing.T) {
 	a, b := identitytest.NewSigner(t, "a", "i", caller.EdDSA), identitytest.NewSigner(t, "b", "i", caller.ES256)
 	ja, err := identity.WriteJWK(&a.Key)
@@ -115,7 +115,7 @@
 	}
 }
 
-// rotation is a rotation step by step: each is one change.
+// rotation returns the steps of a key rotation and of tenant changes; each step is one change.
 func rotation(k *Store, s, next *identitytest.Signer, now func() time.Time) []func() error {
 	ms := func() float64 { return float64(now().UnixMilli()) }
 	life := func(id string, set func(*caller.Lifecycle)) func() error {
@@ -155,8 +155,9 @@
 	}
 }
 
-// The store loses power at every call to the disk of a rotation: what is there then is the book before a step or after it, whole, with
-// the audit's records of just the steps that count, and the next step goes on from there.
+// Guards against partial changes after a crash. The store loses power at each disk call of a rotation;
+// afterwards the credentials must be those before or after a step, with the audit records of exactly the
+// completed steps, and the next step must succeed.
 func TestCrashInEveryStepOfARotation(t *testing.T) {
 	old, next := identitytest.NewSigner(t, "old", "i", caller.EdDSA), identitytest.NewSigner(t, "next", "i", caller.ES256)
 	at := time.UnixMilli(1e12)
@@ -168,7 +169,7 @@
 		}
 		return s, NewStore(s, "me", now)
 	}
-	// What the book is after each step.
+	// The credentials after each step.
 	var want []*Credentials
 	d := disk.New()
 	s, k := open(d)
@@ -223,7 +224,8 @@
 	t.Logf("%d calls, %d steps", calls, len(want)-1)
 }
 
-// Two who change the same book at once: one wins, the other is told. Lives never go back, ids are never used again.
+// Rejects changes based on an old version, lifecycle transitions to an earlier state, and ids that are in
+// use.
 func TestChangesThatAreRefused(t *testing.T) {
 	s, err := store.Open(disk.New(), store.Options{NoCompact: true})
 	if err != nil {
@@ -275,7 +277,7 @@
 	}
 }
 
-// openSource is a source over files, with its gate.
+// openSource writes files and returns a source that reads them, with its gate.
 func openSource(t *testing.T, files map[string]string) (dir string, g *identity.Gate, s *Source) {
 	t.Helper()
 	dir = t.TempDir()
@@ -292,8 +294,8 @@
 	return dir, g, s
 }
 
-// A book file cut at every byte is never taken: the old one stays, whole. One that goes back is not taken either, nor another content
-// of the same version.
+// Guards against applying a truncated file: cut at any byte, it is rejected and the previous credentials stay
+// in use. A file with a lower version, or with the same version and other content, is rejected too.
 func TestBookCutAtEveryByte(t *testing.T) {
 	_, g, s := openSource(t, map[string]string{"book": good, "rights": "role all { allow any }"})
 	was := g.Book()
@@ -320,7 +322,8 @@
 	}
 }
 
-// Files that go together are taken together, in whichever order they come; a role that nobody has is told at the caller's line.
+// Files that depend on each other are applied together, in whichever order they change. An unknown role is
+// reported at the caller's line.
 func TestFilesThatGoTogether(t *testing.T) {
 	for _, first := range []int{credentialsFile, rightsFile} {
 		_, g, s := openSource(t, map[string]string{"book": good, "rights": "role all { allow any }"})
@@ -339,7 +342,8 @@
 	}
 }
 
-// A book that says nothing of its age is as old as the last look that found it; one that says so is as old as it says.
+// Credentials without an issue time are as old as their last confirmation; others are as old as their issue
+// time.
 func TestAgeOfABook(t *testing.T) {
 	now := 1e12
 	for _, c := range []struct {
@@ -381,7 +385,7 @@
 	}
 }
 
-// A router that follows a file has a change of it, by command, within the time that is promised.
+// A change made by a command reaches a router that watches the exported file.
 func TestCommandsReachARouter(t *testing.T) {
 	dir, g, s := openSource(t, map[string]string{"book": "version = 0\n[end]\n", "rights": "role all { allow any }"})
 	ctx, stop := context.WithCancel(t.Context())
@@ -428,7 +432,7 @@
 	if err := tool.SetState("s", "active", time.Now()); !errors.Is(err, ErrLifecycle) {
 		t.Error(err)
 	}
-	// A crash between a change and its export: the next command of any kind makes up for it.
+	// After a crash between a change and its export, the next command of any kind exports it.
 	late := tool
 	late.Export = ""
 	if err := late.WithStore(func(k *Store) error { _, err := k.CreateTenant(0, "u"); return err }); err != nil {
--- a/internal/keybook/source.go
+++ b/internal/keybook/source.go
@@ -17,21 +17,21 @@
 	"mossproxy.example/mossproxy/internal/watch"
 )
 
-// SourceConfig says which files a gate's book is made of.
+// SourceConfig names the files that a gate's credentials are read from.
 type SourceConfig struct {
-	Name            string // for the log
-	CredentialsPath string // path of the book file
-	RightsPath      string // path of the rights file
-	BundlePath      string // path of the client certificates' bundle; "" = there is none
+	Name            string // appears in log entries
+	CredentialsPath string // credentials file
+	RightsPath      string // rights file
+	BundlePath      string // CA bundle for client certificates; "" = none
 	Classes         []string
-	Pools           []string // that tenants may be said to come to
+	Pools           []string // valid names in the tenants' pool lists
 	Policy          caller.Policy
 }
 
-// maxBundleBytes bounds a bundle, in bytes.
+// maxBundleBytes is the maximum size of a certificate bundle.
 const maxBundleBytes = 1 << 20
 
-// The files of a source.
+// Indexes of the files of a source.
 const (
 	credentialsFile = iota
 	rightsFile
@@ -39,8 +39,9 @@
 	fileCount
 )
 
-// Source makes a gate's book of files that it follows: all of them together, whole or not at all. A file that is wrong, or does not
-// go with the others, waits until one of those changes too; the old book serves on meanwhile.
+// Source watches the files that a gate's credentials are read from and applies all of them atomically. A file
+// that is invalid or inconsistent with the others stays pending until another one changes too; meanwhile the
+// previous credentials stay in use.
 type Source struct {
 	cfg   SourceConfig
 	paths [fileCount]string
@@ -49,14 +50,15 @@
 
 	mu      sync.Mutex
 	inUse   [fileCount][]byte
-	pending [fileCount][]byte // contents that could not be taken yet; nil = none
+	pending [fileCount][]byte // contents rejected so far, retried when another file changes; nil = none
 	terms   map[string]Terms
 	tenants []caller.Tenant
-	version uint64 // of the book file in use
-	epoch   uint64 // of what was made of the files
+	version uint64 // of the credentials file in use
+	epoch   uint64 // incremented whenever new contents are applied
 }
 
-// Open reads the files and gives the gate its first book. An error tells each fault with file and line.
+// Open reads the files and installs the gate's initial credentials. The error lists each fault with file and
+// line.
 func Open(cfg SourceConfig, gate *identity.Gate, log *slog.Logger) (*Source, error) {
 	s := &Source{cfg: cfg, paths: [fileCount]string{cfg.CredentialsPath, cfg.RightsPath, cfg.BundlePath}, gate: gate, log: log}
 	var next [fileCount][]byte
@@ -76,21 +78,24 @@
 	return s, nil
 }
 
-// Version is the version of the book file in use, and how often what serves has changed.
+// Version returns the version of the credentials file in use and the number of times that contents were
+// applied.
 func (s *Source) Version() (file, epoch uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version, s.epoch
 }
 
-// SetClasses has the rights file name other classes from its next change on, as those of the configuration have changed.
+// SetClasses sets the class names that are valid in the files, after a configuration change. It takes effect
+// when a file changes next.
 func (s *Source) SetClasses(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cfg.Classes = names
 }
 
-// Tenants are those of the book in use with their terms, and what Version gives as epoch. They must not be changed.
+// Tenants returns the tenants in use with their terms, and the epoch as Version does. Callers must not modify
+// them.
 func (s *Source) Tenants() (epoch uint64, names []caller.Tenant, terms map[string]Terms) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,11 +109,11 @@
 	return watch.New(watch.Config{Path: s.paths[part], MaxBytes: limit, SettleMS: watch.DefaultSettleMS}, nowMS, to)
 }
 
-// confirmInterval is how often the file is looked at for whether it can still be read: a book that says nothing of its age is as old
-// as the last look that found it.
+// confirmInterval is how often the credentials file is read again to check that it is still there.
+// Credentials without an issue time count as confirmed at the last successful read.
 const confirmInterval = time.Second
 
-// Run follows the files until ctx ends.
+// Run watches the files and applies their changes until ctx is done.
 func (s *Source) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -142,13 +147,14 @@
 	}
 }
 
-// fileConsumer takes the contents of one file.
+// fileConsumer applies new contents of one file.
 type fileConsumer struct {
 	source *Source
 	file   int
 }
 
-// Take takes a content, with those of the other files that wait where they go together.
+// Apply applies new contents together with the pending contents of the other files, or, if that fails, alone.
+// Contents that fail both ways become pending.
 func (t *fileConsumer) Apply(text []byte) error {
 	s := t.source
 	s.mu.Lock()
@@ -178,14 +184,14 @@
 	return err
 }
 
-// Refused tells why a file is not taken.
+// Refused logs why the contents of the file were rejected.
 func (t *fileConsumer) Refused(why error) {
-	t.source.log.Warn("callers: refused, the book in use stays", "file", t.source.paths[t.file], "why", strings.ReplaceAll(why.Error(), "\n", "; "))
+	t.source.log.Warn("callers: file rejected, the previous contents stay in use", "file", t.source.paths[t.file], "why", strings.ReplaceAll(why.Error(), "\n", "; "))
 }
 
-// Trouble tells that notices fail.
+// NotificationsFailed logs that file change notifications are unavailable.
 func (t *fileConsumer) NotificationsFailed(err error) {
-	t.source.log.Warn("callers: no notices, the file is only looked at four times a second", "file", t.source.paths[t.file], "why", err.Error())
+	t.source.log.Warn("callers: no change notifications, the file is polled four times a second", "file", t.source.paths[t.file], "why", err.Error())
 }
 
 func (s *Source) apply(next [fileCount][]byte) error {
@@ -194,10 +200,10 @@
 	return s.applyLocked(next)
 }
 
-// errOlderVersion tells of a book file that goes back: a key that was revoked since would live again.
+// errOlderVersion rejects a file with a lower version: it could make a key valid that was revoked since.
 var errOlderVersion = errors.New("older than the one in use")
 
-// applyLocked makes a book of contents and brings it into force.
+// applyLocked builds credentials from the contents and installs them in the gate. s.mu must be held.
 func (s *Source) applyLocked(next [fileCount][]byte) error {
 	b, err := Parse(s.cfg.CredentialsPath, next[credentialsFile])
 	if err != nil {
@@ -207,7 +213,7 @@
 		return fmt.Errorf("%s: version %d: %w, which is of version %d", s.cfg.CredentialsPath, b.Version, errOlderVersion, s.version)
 	}
 	if b.Version == s.version && s.inUse[credentialsFile] != nil && !equalExceptIssued(next[credentialsFile], s.inUse[credentialsFile]) && b.Version != 0 {
-		return fmt.Errorf("%s: version %d is another content than the one in use of that version; raise it with each change", s.cfg.CredentialsPath, b.Version)
+		return fmt.Errorf("%s: version %d is in use with other content; raise it with each change", s.cfg.CredentialsPath, b.Version)
 	}
 	c, err := s.cfg.Contents(b, next[rightsFile], next[bundleFile])
 	if err != nil {
@@ -222,11 +228,12 @@
 		return fmt.Errorf("%s: %w", s.cfg.CredentialsPath, err)
 	}
 	s.inUse, s.version, s.epoch, s.terms, s.tenants = next, b.Version, c.Version, b.Terms, b.Tenants
-	s.log.Info("callers: book in force", "name", s.cfg.Name, "version", b.Version, "epoch", s.epoch, "keys", len(b.Keys), "callers", len(b.Callers), "tenants", len(b.Tenants))
+	s.log.Info("callers: credentials applied", "name", s.cfg.Name, "version", b.Version, "epoch", s.epoch, "keys", len(b.Keys), "callers", len(b.Callers), "tenants", len(b.Tenants))
 	return nil
 }
 
-// equalExceptIssued says whether two books differ in when they were issued at most: one that is confirmed anew keeps its version.
+// equalExceptIssued reports whether two files are equal apart from their issue time, which changes without a
+// new version when the content is only confirmed.
 func equalExceptIssued(a, b []byte) bool {
 	cut := func(t []byte) string {
 		var out []string
@@ -240,7 +247,8 @@
 	return cut(a) == cut(b)
 }
 
-// Contents puts together what a book is made of.
+// Contents combines the parsed credentials, the rights file and the certificate bundle. It checks that the
+// classes and pools they name exist.
 func (cfg SourceConfig) Contents(b *Credentials, rightsText, bundle []byte) (caller.Contents, error) {
 	roles, faults := rights.Parse(cfg.RightsPath, string(rightsText), cfg.Classes)
 	if faults != nil {
@@ -266,20 +274,20 @@
 	return c, nil
 }
 
-// maxCertificates bounds a bundle.
+// maxCertificates is the maximum number of certificates in a bundle.
 const maxCertificates = 1000
 
-// ParseBundle reads a bundle of certificates in PEM whole. A block of another kind, or text that is none, is a fault: the file may be
-// cut or be another one.
+// ParseBundle parses a bundle of PEM certificates. Blocks of other types and text outside of blocks are
+// errors, as the file may be truncated or the wrong one.
 func ParseBundle(path string, text []byte) ([]*x509.Certificate, error) {
 	var out []*x509.Certificate
 	for rest := text; len(strings.TrimSpace(string(rest))) > 0; {
 		block, next := pem.Decode(rest)
 		if block == nil {
-			return nil, fmt.Errorf("%s: after %d certificates comes what is none; the file may be cut short", path, len(out))
+			return nil, fmt.Errorf("%s: no PEM block after %d certificates; the file may be truncated", path, len(out))
 		}
 		if block.Type != "CERTIFICATE" || len(out) == maxCertificates {
-			return nil, fmt.Errorf("%s: block %d: %.40q; up to %d certificates are right", path, len(out)+1, block.Type, maxCertificates)
+			return nil, fmt.Errorf("%s: block %d: %.40q; only blocks of type CERTIFICATE are allowed, at most %d", path, len(out)+1, block.Type, maxCertificates)
 		}
 		c, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
@@ -288,7 +296,7 @@
 		out, rest = append(out, c), next
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("%s: there is no certificate in it", path)
+		return nil, fmt.Errorf("%s: no certificate found", path)
 	}
 	return out, nil
 }
--- a/internal/keybook/store.go
+++ b/internal/keybook/store.go
@@ -16,32 +16,32 @@
 	"mossproxy.example/mossproxy/internal/store"
 )
 
-// Keys of the store.
+// Keys and key prefixes in the store.
 const (
-	headKey          = "callers/head"        // the book's version; every change expects it
-	tenantPrefix     = "callers/tenant/"     // rows, in JSON
-	generationPrefix = "callers/generation/" // the last generation of a name, kept when its tenant goes
+	headKey          = "callers/head"        // the credentials' version; every change is conditional on it
+	tenantPrefix     = "callers/tenant/"     // rows in JSON, as below the next prefixes
+	generationPrefix = "callers/generation/" // the last generation of a name, kept after its tenant is deleted
 	callerPrefix     = "callers/caller/"
 	keyPrefix        = "callers/key/"
-	auditPrefix      = "callers/audit/" // records by version
+	auditPrefix      = "callers/audit/" // records by version, in hexadecimal
 )
 
-// Errors of changes.
+// Errors that changes return.
 var (
 	ErrNotFound  = errors.New("there is none of that name")
 	ErrExists    = errors.New("is there already")
 	ErrConflict  = errors.New("changed by another meanwhile; nothing was changed")
-	ErrLifecycle = errors.New("the key's life does not go there")
+	ErrLifecycle = errors.New("the key's lifecycle does not allow the change")
 )
 
-// Store changes a book in a store. One program has the store at a time, so one keeper.
+// Store reads and changes the credentials in an underlying store. Only one process opens that at a time.
 type Store struct {
 	store *store.Store
 	actor string
 	now   func() time.Time
 }
 
-// NewStore changes the book in a store in the name of who.
+// NewStore returns a Store that records who as the actor of its changes. If now is nil, time.Now is used.
 func NewStore(s *store.Store, who string, now func() time.Time) *Store {
 	if now == nil {
 		now = time.Now
@@ -49,7 +49,7 @@
 	return &Store{s, who, now}
 }
 
-// Record is what the audit keeps of a change: who changed what, from what to what. Public keys and hashes are left out.
+// Record is the audit record of a change. It omits public keys and hashes.
 type Record struct {
 	Version uint64    `json:"version"`
 	At      time.Time `json:"at"`
@@ -60,7 +60,7 @@
 	To      any       `json:"to,omitempty"`
 }
 
-// Load gives the book as it stands.
+// Load returns a consistent snapshot of the credentials.
 func (k *Store) Load() (*Credentials, error) {
 	sn, err := k.store.Snapshot()
 	if err != nil {
@@ -94,12 +94,13 @@
 	})
 }
 
-// reader is a store or a snapshot of one.
+// reader is implemented by a store and by its snapshots.
 type reader interface {
 	Get(key string) (store.Item, error)
 }
 
-// readHead is the book's version and that of its entry in the store.
+// readHead returns the version of the credentials and the version of its entry in the store; 0 and 0 if there
+// is none.
 func readHead(s reader) (book, entry uint64, err error) {
 	item, err := s.Get(headKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -112,7 +113,7 @@
 	return book, item.Version, err
 }
 
-// scanRows reads the rows below a prefix.
+// scanRows calls do for each row with the given prefix, until an error.
 func scanRows[R any](sn *store.Snapshot, prefix string, do func(R) error) error {
 	for item, err := range sn.Scan(prefix, "") {
 		if err != nil {
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// getRow reads one row.
+// getRow reads one row and reports whether it exists.
 func getRow[R any](s reader, key string) (r R, ok bool, err error) {
 	item, err := s.Get(key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -141,7 +142,7 @@
 	return r, true, json.Unmarshal(item.Value, &r)
 }
 
-// getRequiredRow is get for a row that must be there.
+// getRequiredRow reads one row and returns ErrNotFound if it does not exist.
 func getRequiredRow[R any](s reader, prefix, kind, name string) (R, error) {
 	r, ok, err := getRow[R](s, prefix+name)
 	if err == nil && !ok {
@@ -150,7 +151,7 @@
 	return r, err
 }
 
-// change is one atomic change of a book.
+// change is one atomic change of the credentials, with the fields of its audit record.
 type change struct {
 	action, name string
 	from, to     any
@@ -158,15 +159,15 @@
 	deletes      []string
 }
 
-// commit makes a change: rows, the book's version and the audit's record in one batch, whole or not at all. expected is the version
-// of the book that the change was made on; 0 = whichever there is.
+// commit applies a change atomically: rows, the new version and the audit record go into one batch. expected
+// is the version of the credentials that the change is based on; 0 = any. It returns the new version.
 func (k *Store) commit(expected uint64, make func(s reader) (change, error)) (version uint64, err error) {
 	book, entry, err := readHead(k.store)
 	if err != nil {
 		return 0, err
 	}
 	if expected != 0 && expected != book {
-		return 0, fmt.Errorf("the book is of version %d, not %d: %w", book, expected, ErrConflict)
+		return 0, fmt.Errorf("the credentials have version %d, not %d: %w", book, expected, ErrConflict)
 	}
 	c, err := make(k.store)
 	if err != nil {
@@ -199,13 +200,13 @@
 	return version, nil
 }
 
-// redacted is a key's row as the audit shows it.
+// redacted returns the row without the public key and the hash, for the audit.
 func (r keyRow) redacted() keyRow {
 	r.JWK, r.Hash = "", ""
 	return r
 }
 
-// AddKeys adds keys, all or none.
+// AddKeys adds all keys or none. It returns ErrExists if an id was used before.
 func (k *Store) AddKeys(expected uint64, keys ...caller.Key) (uint64, error) {
 	return k.commit(expected, func(s reader) (change, error) {
 		c := change{action: "key create", puts: map[string]any{}}
@@ -230,8 +231,8 @@
 	})
 }
 
-// SetLifecycle changes when a key goes from state to state. Its life may be planned anew, but it never goes back: what was revoked or
-// retired stays so, as the reason for it may be that somebody else has the key.
+// SetLifecycle changes the times of a key's state transitions. Planned times may change, but a key never
+// returns to an earlier state: a revoked or retired key stays so, as the reason may be that it was disclosed.
 func (k *Store) SetLifecycle(expected uint64, id, what string, set func(l *caller.Lifecycle)) (uint64, error) {
 	return k.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[keyRow](s, keyPrefix, "key", id)
@@ -251,7 +252,7 @@
 	})
 }
 
-// checkTransition says whether a life may become another at a time.
+// checkTransition returns an error if lifecycle was may not be replaced by lifecycle is at time now.
 func checkTransition(was, is caller.Lifecycle, now float64) error {
 	planned := is
 	if planned.Revoked = was.Revoked; was.StateAt(now) == caller.Revoked && is != was || was.StateAt(now) == caller.Retired && planned != was {
@@ -264,14 +265,15 @@
 	last := 0.0
 	for _, t := range order {
 		if t > 0 && t < last {
-			return fmt.Errorf("its states would not follow one another: %w", ErrLifecycle)
+			return fmt.Errorf("its states would be out of order: %w", ErrLifecycle)
 		}
 		last = max(last, t)
 	}
 	return nil
 }
 
-// CreateTenant makes a tenant. One of a name that was there before gets the next generation: nothing of the old one reaches it.
+// CreateTenant creates a tenant. If the name was used before, the tenant gets the next generation, so that
+// nothing of the deleted tenant applies to it.
 func (k *Store) CreateTenant(expected uint64, name string) (uint64, error) {
 	return k.commit(expected, func(s reader) (change, error) {
 		if _, there, err := getRow[tenantRow](s, tenantPrefix+name); err != nil {
@@ -291,7 +293,7 @@
 	})
 }
 
-// SuspendTenant has a tenant's callers not taken, or taken again.
+// SuspendTenant sets whether the tenant's callers are rejected.
 func (k *Store) SuspendTenant(expected uint64, name string, on bool) (uint64, error) {
 	return k.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[tenantRow](s, tenantPrefix, "tenant", name)
@@ -304,14 +306,14 @@
 	})
 }
 
-// DeleteTenant ends a tenant, with its callers and their secrets.
+// DeleteTenant deletes a tenant with its callers and their secrets.
 func (k *Store) DeleteTenant(expected uint64, name string) (uint64, error) {
 	b, err := k.Load()
 	if err != nil {
 		return 0, err
 	}
 	if expected == 0 {
-		expected = b.Version // what goes with it is what is there now
+		expected = b.Version // the callers and secrets to delete were read at this version
 	}
 	return k.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[tenantRow](s, tenantPrefix, "tenant", name)
@@ -322,7 +324,7 @@
 	})
 }
 
-// tenantDeletion is the end of a tenant, with all that is its.
+// tenantDeletion returns the change that deletes a tenant with its callers and their secrets.
 func tenantDeletion(b *Credentials, row tenantRow) change {
 	c := change{action: "tenant delete", name: row.Name, from: row, deletes: []string{tenantPrefix + row.Name}}
 	for _, p := range b.Callers {
@@ -333,7 +335,7 @@
 	return c
 }
 
-// secretKeysOf are the store's names of a caller's secrets.
+// secretKeysOf returns the store keys of a caller's secrets.
 func secretKeysOf(b *Credentials, name string) (out []string) {
 	for _, key := range b.Keys {
 		if key.Caller == name {
@@ -343,7 +345,7 @@
 	return out
 }
 
-// SetCaller makes a caller or changes one. What it says must go with the rest of the book.
+// SetCaller creates or changes a caller. The result must be consistent with the other credentials.
 func (k *Store) SetCaller(expected uint64, p caller.Principal) (uint64, error) {
 	b, err := k.Load()
 	if err != nil {
@@ -371,7 +373,7 @@
 	return k.commit(expected, func(reader) (change, error) { return c, nil })
 }
 
-// DeleteCaller ends a caller, with its secrets.
+// DeleteCaller deletes a caller with its secrets.
 func (k *Store) DeleteCaller(expected uint64, name string) (uint64, error) {
 	b, err := k.Load()
 	if err != nil {
@@ -389,7 +391,8 @@
 	})
 }
 
-// Check says whether a book goes with itself; whether its roles are there, who compiles the rights file says.
+// Check returns an error if the credentials are inconsistent. It accepts any role name; roles are checked
+// against the rights file when that is compiled.
 func (b *Credentials) Check() error {
 	roles := map[string]*caller.Rights{}
 	for _, p := range b.Callers {
@@ -408,7 +411,7 @@
 	return errors.Join(errs...)
 }
 
-// Import takes a whole book over into an empty one.
+// Import writes credentials into an empty store. It returns ErrExists if the store is not empty.
 func (k *Store) Import(b *Credentials) (uint64, error) {
 	if err := b.Check(); err != nil {
 		return 0, err
@@ -417,7 +420,7 @@
 		if n, _, err := readHead(s); err != nil {
 			return change{}, err
 		} else if n > 0 {
-			return change{}, fmt.Errorf("a book is there, of version %d: %w; import goes into an empty one", n, ErrExists)
+			return change{}, fmt.Errorf("credentials of version %d: %w; import requires an empty store", n, ErrExists)
 		}
 		c := change{action: "import", name: fmt.Sprintf("version %d", b.Version), puts: map[string]any{}}
 		for _, t := range b.Tenants {
@@ -437,7 +440,7 @@
 	})
 }
 
-// Audit writes the records above a version, one line of JSON each.
+// Audit writes the records of versions greater than above, one line of JSON each.
 func (k *Store) Audit(w io.Writer, above uint64) error {
 	sn, err := k.store.Snapshot()
 	if err != nil {
@@ -455,8 +458,8 @@
 	return nil
 }
 
-// Export writes the book to a file that routers follow: beside it first, synced, and then in its place, so that they find the old
-// one or the new one whole.
+// Export writes the credentials to the file that routers watch and returns their version. It replaces the
+// file atomically, so that routers see either the old or the new content.
 func (k *Store) Export(path string) (version uint64, err error) {
 	b, err := k.Load()
 	if err != nil {
@@ -470,7 +473,8 @@
 	return b.Version, replaceFile(path, text)
 }
 
-// replaceFile puts a file in another's place. What a crash leaves beside it is overwritten the next time.
+// replaceFile atomically replaces a file by way of a synced temporary file. One that a crash leaves behind is
+// overwritten by the next call.
 func replaceFile(path string, text []byte) error {
 	next := path + ".next"
 	f, err := os.OpenFile(next, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -487,7 +491,7 @@
 		err = os.Rename(next, path)
 	}
 	if err != nil {
-		os.Remove(next) //nolint:errcheck // half a file is none
+		os.Remove(next) //nolint:errcheck // the write error is returned
 		return fmt.Errorf("export: %w", err)
 	}
 	d, err := os.Open(filepath.Dir(path))
--- a/internal/keybook/tenants.go
+++ b/internal/keybook/tenants.go
@@ -9,7 +9,7 @@
 	"mossproxy.example/mossproxy/internal/store"
 )
 
-// Tenant is one of the store's, with the version by which a change of it is conditioned.
+// Tenant is a tenant in the store. Version is that of its entry; changes are conditional on it.
 type Tenant struct {
 	Name       string
 	Generation uint32
@@ -18,8 +18,8 @@
 	Version uint64
 }
 
-// StaleError tells of a change that was made on another version than the one in the store.
-type StaleError struct{ Current uint64 } // 0 = there is none
+// StaleError is returned for a change that is based on a version other than the current one.
+type StaleError struct{ Current uint64 } // 0 = the tenant does not exist
 
 func (e *StaleError) Error() string {
 	if e.Current == 0 {
@@ -28,19 +28,19 @@
 	return fmt.Sprintf("it is of version %d by now", e.Current)
 }
 
-// WithActor is the keeper in the name of another, for the audit.
+// WithActor returns a Store that records who as the actor in the audit.
 func (k *Store) WithActor(who string) *Store { return &Store{k.store, who, k.now} }
 
-// Version is the book's.
+// Version returns the version of the credentials; 0 = there are none.
 func (k *Store) Version() (uint64, error) {
 	v, _, err := readHead(k.store)
 	return v, err
 }
 
-// WaitForVersion waits until the book's version is above one, or ctx ends.
+// WaitForVersion waits until the credentials' version is greater than above, or ctx is done.
 func (k *Store) WaitForVersion(ctx context.Context, above uint64) error {
 	for {
-		w := k.store.Watch(k.store.Version()) // ahead of the look, so that no change falls between
+		w := k.store.Watch(k.store.Version()) // before reading the version, so that no change is missed
 		v, err := k.Version()
 		if err != nil || v > above {
 			return err
@@ -51,7 +51,7 @@
 	}
 }
 
-// Tenant gives one; its Version is 0 where there is none.
+// Tenant returns a tenant; its Version is 0 if it does not exist.
 func (k *Store) Tenant(name string) (Tenant, error) {
 	row, version, err := readTenant(k.store, name)
 	return row.withVersion(version), err
@@ -61,7 +61,7 @@
 	return Tenant{r.Name, r.Generation, r.Suspended, r.terms(), version}
 }
 
-// readTenant gives a row and the version of its entry.
+// readTenant returns a tenant's row and the version of its entry, which is 0 if there is none.
 func readTenant(s reader, name string) (tenantRow, uint64, error) {
 	item, err := s.Get(tenantPrefix + name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -74,7 +74,8 @@
 	return row, item.Version, err
 }
 
-// Tenants gives up to so many whose names come after one, in their order, and the book's version that they are of.
+// Tenants returns up to most tenants with names after the given one, ordered by name, and the credentials'
+// version.
 func (k *Store) Tenants(after string, most int) (out []Tenant, version uint64, err error) {
 	sn, err := k.store.Snapshot()
 	if err != nil {
@@ -97,8 +98,9 @@
 	return out, version, nil
 }
 
-// PutTenant makes a tenant, where expected is 0, or changes the one of that version. Who loses against another gets a StaleError, and
-// nothing is changed. It gives the tenant as it is now, and the book's version.
+// PutTenant creates a tenant if expected is 0, and otherwise changes the tenant of that version. If the
+// version differs it returns a StaleError and changes nothing. It returns the current tenant and the
+// credentials' version.
 func (k *Store) PutTenant(t Tenant, expected uint64) (Tenant, uint64, error) {
 	if err := tenant.CheckName(t.Name); err != nil {
 		return Tenant{}, 0, err
@@ -129,7 +131,8 @@
 	return now, book, err
 }
 
-// RemoveTenant ends the tenant of a version, with its callers and their secrets.
+// RemoveTenant deletes the tenant of the expected version with its callers and their secrets. It returns a
+// StaleError if the version differs.
 func (k *Store) RemoveTenant(name string, expected uint64) (uint64, error) {
 	return k.changeTenant(name, expected, func(_ reader, was tenantRow) (change, error) {
 		b, err := k.Load()
@@ -143,10 +146,11 @@
 	})
 }
 
-// maxTenantChangeAttempts bounds how often a change is made anew because another of the book came first.
+// maxTenantChangeAttempts limits the attempts at a change that conflicts with concurrent changes.
 const maxTenantChangeAttempts = 100
 
-// changeTenant makes a change of one tenant's entry of a version. Changes of others meanwhile are no conflict: it is made anew on them.
+// changeTenant changes one tenant's entry of the expected version. When other entries change concurrently, it
+// retries the change on the new state.
 func (k *Store) changeTenant(name string, expected uint64, make func(s reader, was tenantRow) (change, error)) (version uint64, err error) {
 	for range maxTenantChangeAttempts {
 		version, err = k.commit(0, func(s reader) (change, error) {
--- a/internal/keybook/terms.go
+++ b/internal/keybook/terms.go
@@ -7,23 +7,24 @@
 	"mossproxy.example/mossproxy/internal/pure/tenant"
 )
 
-// Terms are what a tenant may use. The book knows no numbers of classes, so those of Limits are empty here: see Of.
+// Terms are a tenant's limits and pools. Credentials identify classes by name and not by index, so
+// Limits.Classes is empty here: see LimitsByClass.
 type Terms struct {
 	tenant.Limits
 	ByClass []ClassTerms
-	Pools   []string // it may come to; nil = all
+	Pools   []string // pools that the tenant may use; nil = all
 }
 
-// ClassTerms are the limits on one class, by its name.
+// ClassTerms are the limits on the class of the given name.
 type ClassTerms struct {
 	Class string
 	tenant.ClassLimits
 }
 
-// maxPools bounds the pools that a tenant names.
+// maxPools is the maximum number of pools in a tenant's terms.
 const maxPools = 64
 
-// Check says what is wrong with terms, by the name of the field.
+// Check returns an error that names the first invalid field, if any.
 func (t *Terms) Check() error {
 	if err := t.Limits.Check(); err != nil {
 		return err
@@ -37,7 +38,7 @@
 		seen[c.Class] = true
 		l.Classes = append(l.Classes, c.ClassLimits)
 	}
-	if t.Pools != nil && len(t.Pools) == 0 { // written out it would be left out, and mean all
+	if t.Pools != nil && len(t.Pools) == 0 { // an empty list is omitted when encoded, and would then mean all
 		return fmt.Errorf("pools: none: name one at least, or leave it out for all; suspended is what keeps a tenant out")
 	}
 	if len(t.Pools) > maxPools {
@@ -46,7 +47,7 @@
 	return l.Check()
 }
 
-// CheckNames says which class or pool is none of those that there are, by the name of the field.
+// CheckNames returns an error that names the first class or pool not in the given lists, if any.
 func (t *Terms) CheckNames(classes, pools []string) error {
 	for i, c := range t.ByClass {
 		if !slices.Contains(classes, c.Class) {
@@ -61,7 +62,8 @@
 	return nil
 }
 
-// LimitsByClass gives the limits with classes by their numbers. A class that is not there is passed over.
+// LimitsByClass returns the limits with those on classes at the classes' indexes. Unknown classes are
+// ignored.
 func (t *Terms) LimitsByClass(classes []string) tenant.Limits {
 	l := t.Limits
 	l.Classes = nil
@@ -78,18 +80,19 @@
 	return l
 }
 
-// AllowsPool says whether the tenant may come to a pool.
+// AllowsPool reports whether the tenant may use a pool.
 func (t *Terms) AllowsPool(pool string) bool { return t.Pools == nil || slices.Contains(t.Pools, pool) }
 
-// hasLimits says whether there is any limit, and some whether there are any terms at all.
+// hasLimits reports whether any limit is set.
 func (t *Terms) hasLimits() bool {
 	l := &t.Limits
 	return l.Floor != 0 || l.Weight != 0 || l.Burst != 0 || l.Most != 0 || l.Open != 0 || l.Bytes != 0 || l.Conns != 0 || len(t.ByClass) > 0
 }
 
+// isSet reports whether any limit or a list of pools is set.
 func (t *Terms) isSet() bool { return t.hasLimits() || t.Pools != nil }
 
-// AnyLimited says whether any tenant of a book has limits.
+// AnyLimited reports whether any tenant has limits.
 func AnyLimited(terms map[string]Terms) bool {
 	for _, t := range terms {
 		if t.hasLimits() {
--- a/internal/keybook/tool.go
+++ b/internal/keybook/tool.go
@@ -17,19 +17,19 @@
 	"mossproxy.example/mossproxy/internal/store/fsys"
 )
 
-// Tool is what the commands on a book work by.
+// Tool implements the commands that manage credentials.
 type Tool struct {
-	State     string // folder of the store
-	Export    string // the book file that routers follow, written after each change; "" = none is
-	Pepper    string // file; needed for secrets
-	Actor     string // for the audit
-	IfVersion uint64 // of the book that a change is made on; 0 = whichever there is
+	State     string // directory of the store
+	Export    string // credentials file that routers watch, written after each change; "" = none
+	Pepper    string // path of the pepper file; required for secrets
+	Actor     string // recorded in the audit
+	IfVersion uint64 // version of the credentials that changes are based on; 0 = any
 	JSON      bool
 	Out       io.Writer
 }
 
-// WithStore opens the store, has something done with its book, and exports it where that changed it. A change that could not be exported is
-// made all the same, and the error says so: the next export has it.
+// WithStore opens the store, calls do, and exports the credentials if they changed or the exported file is
+// outdated. If the export fails, the change remains and the error says so; the next export includes it.
 func (t Tool) WithStore(do func(k *Store) error) error {
 	if t.State == "" {
 		return errors.New("--state: missing; it names the folder of the store that has the book")
@@ -52,13 +52,14 @@
 	}
 	version, err := k.Export(t.Export)
 	if err != nil {
-		return fmt.Errorf("the change is made, and routers do not know of it yet; cottonyoke key publish tells them: %w", err)
+		return fmt.Errorf("the change is committed but not exported to routers; run cottonyoke key publish to export it: %w", err)
 	}
 	fmt.Fprintf(t.Out, "%s: version %d; routers that follow it have it within half a second\n", t.Export, version)
 	return nil
 }
 
-// exportIsCurrent says whether a book file is that of the store: a crash between a change and its export leaves an older one.
+// exportIsCurrent reports whether a credentials file has the store's version. A crash between a change and
+// its export leaves an older file.
 func exportIsCurrent(path string, k *Store) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return err == nil && b.Version == book
 }
 
-// CreateSecret makes a caller's secret, whose only copy is what is printed.
+// CreateSecret creates a secret for a caller and prints it. Only its hash is stored.
 func (t Tool) CreateSecret(id, of string, life caller.Lifecycle) error {
 	if t.Pepper == "" {
 		return errors.New("--pepper: needed for secrets")
@@ -92,7 +93,7 @@
 	})
 }
 
-// addKeys adds keys to a book that goes with them.
+// addKeys adds keys after checking that they are consistent with the other credentials.
 func (t Tool) addKeys(k *Store, keys ...caller.Key) error {
 	b, err := k.Load()
 	if err != nil {
@@ -106,7 +107,7 @@
 	return err
 }
 
-// ImportKeys adds the public keys of a JWKS, all or none.
+// ImportKeys adds all public keys of a JWKS file, or none.
 func (t Tool) ImportKeys(path, issuer string, life caller.Lifecycle) error {
 	text, err := readBounded(path, identity.MaxJWKS)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return t.WithStore(func(k *Store) error { return t.addKeys(k, keys...) })
 }
 
-// readBounded reads a file, up to a byte beyond a bound that its reader then refuses.
+// readBounded reads up to most+1 bytes of a file; the extra byte lets the parser reject oversized files.
 func readBounded(path string, most int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -132,7 +133,8 @@
 	return io.ReadAll(io.LimitReader(f, most+1))
 }
 
-// SetState takes a key to a state at a time: announced, active or revoked.
+// SetState schedules a key's transition to announced, active or revoked. The state
+// announced clears the planned times.
 func (t Tool) SetState(id, state string, at time.Time) error {
 	when := float64(at.UnixMicro()) / 1000
 	return t.WithStore(func(k *Store) error {
@@ -150,7 +152,7 @@
 	})
 }
 
-// Retire has a key sign nothing new from a time on, and count no more after an overlap.
+// Retire ends signing with a key at the given time and its validity after the overlap.
 func (t Tool) Retire(id string, at time.Time, overlap time.Duration) error {
 	if overlap < 0 {
 		return fmt.Errorf("--overlap: %v: 0 or more is right", overlap)
@@ -164,7 +166,7 @@
 	})
 }
 
-// ImportBook takes a book file over into an empty store.
+// ImportBook imports a credentials file into an empty store.
 func (t Tool) ImportBook(path string) error {
 	text, err := readBounded(path, MaxFileBytes)
 	if err != nil {
@@ -180,7 +182,8 @@
 	})
 }
 
-// ExportBook writes the book file anew, with the time of now: it tells routers that what it says is still in force.
+// ExportBook writes the credentials file with the current time as its issue time, which confirms its content
+// to routers.
 func (t Tool) ExportBook() error {
 	if t.Export == "" {
 		return errors.New("--export: names no file")
@@ -196,7 +199,7 @@
 	})
 }
 
-// ListKeys writes the keys with their states, for people or as JSON.
+// ListKeys prints the keys with their states, as a table or as JSON.
 func (t Tool) ListKeys() error {
 	return t.WithStore(func(k *Store) error {
 		b, err := k.Load()
@@ -226,7 +229,7 @@
 	})
 }
 
-// formatNextChange is when a life goes on, as text.
+// formatNextChange returns the next state and its time as text; "-" = none.
 func formatNextChange(l caller.Lifecycle, now float64) string {
 	next := l.NextChange(now)
 	if math.IsInf(next, 1) {
@@ -235,7 +238,7 @@
 	return l.StateAt(next).String() + " at " + timeFromMS(next).Format(time.RFC3339)
 }
 
-// writeJSON writes rows as one array behind the book's version.
+// writeJSON writes a JSON object with the credentials' version and n rows.
 func (t Tool) writeJSON(version uint64, n int, row func(i int) any) error {
 	rows := make([]any, n)
 	for i := range rows {
@@ -249,7 +252,7 @@
 	}{version, rows})
 }
 
-// ListCallers writes tenants and callers.
+// ListCallers prints callers, and in the table also tenants.
 func (t Tool) ListCallers() error {
 	return t.WithStore(func(k *Store) error {
 		b, err := k.Load()
@@ -272,7 +275,7 @@
 	})
 }
 
-// SetCaller makes a caller or changes one.
+// SetCaller creates or changes a caller.
 func (t Tool) SetCaller(name, tenant string, roles, subjects, certificates []string) error {
 	p, err := callerRow{name, tenant, roles, subjects, certificates}.principal()
 	if err != nil {
@@ -284,7 +287,7 @@
 	})
 }
 
-// ShowAudit writes the records of changes above a version.
+// ShowAudit prints the audit records of versions greater than above.
 func (t Tool) ShowAudit(above uint64) error {
 	return t.WithStore(func(k *Store) error { return k.Audit(t.Out, above) })
 }
