--- a/internal/keybook/file.go
+++ b/internal/keybook/file.go
@@ -126,9 +126,9 @@
 		b.Callers = append(b.Callers, p)
 	}
 	for i, k := range doc.Keys {
-		key, at, err := k.key()
+		key, field, err := k.key()
 		if err != nil {
-			faults = append(faults, d.Fault(fmt.Sprintf("key[%d].%s", i, at), "%v", err))
+			faults = append(faults, d.Fault(fmt.Sprintf("key[%d].%s", i, field), "%v", err))
 		}
 		b.Keys = append(b.Keys, key)
 	}
@@ -137,8 +137,8 @@
 
 // LocateFaults converts validation errors of a file's contents to faults with the file's line numbers.
 // It returns nil if there are none.
-func LocateFaults(path string, text []byte, of []caller.ValidationError) error {
-	if len(of) == 0 {
+func LocateFaults(path string, text []byte, errs []caller.ValidationError) error {
+	if len(errs) == 0 {
 		return nil
 	}
 	var doc document
@@ -147,7 +147,7 @@
 		return faults
 	}
 	var out tomlfile.Faults
-	for _, f := range of {
+	for _, f := range errs {
 		out = append(out, d.Fault(f.Path, "%s", f.Message))
 	}
 	return out
--- a/internal/keybook/source.go
+++ b/internal/keybook/source.go
@@ -104,9 +104,9 @@
 
 func nowMS() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-func (s *Source) watchFile(part int, to watch.Consumer) *watch.File {
+func (s *Source) watchFile(part int, consumer watch.Consumer) *watch.File {
 	limit := []int64{MaxFileBytes, rights.MaxTextBytes, maxBundleBytes}[part]
-	return watch.New(watch.Config{Path: s.paths[part], MaxBytes: limit, SettleMS: watch.DefaultSettleMS}, nowMS, to)
+	return watch.New(watch.Config{Path: s.paths[part], MaxBytes: limit, SettleMS: watch.DefaultSettleMS}, nowMS, consumer)
 }
 
 // confirmInterval is how often the credentials file is read again to check that it is still there.
@@ -128,7 +128,7 @@
 		wg.Go(func() { f.Run(ctx) })
 	}
 	wg.Go(func() { s.gate.Run(ctx) })
-	look := s.watchFile(credentialsFile, nil)
+	probe := s.watchFile(credentialsFile, nil)
 	t := time.NewTicker(confirmInterval)
 	defer t.Stop()
 	for {
@@ -137,11 +137,11 @@
 			return
 		case <-t.C:
 		}
-		text, err := look.Read()
+		text, err := probe.Read()
 		s.mu.Lock()
-		same := err == nil && string(text) == string(s.inUse[credentialsFile])
+		unchanged := err == nil && string(text) == string(s.inUse[credentialsFile])
 		s.mu.Unlock()
-		if b := s.gate.Book(); same && b != nil && b.Issued() == 0 {
+		if b := s.gate.Book(); unchanged && b != nil && b.Issued() == 0 {
 			s.gate.Confirm(nowMS())
 		}
 	}
@@ -159,22 +159,22 @@
 	s := t.source
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	together := s.inUse
-	others := false
+	combined := s.inUse
+	hasPending := false
 	for i, w := range s.pending {
 		if w != nil && i != t.file {
-			together[i], others = w, true
+			combined[i], hasPending = w, true
 		}
 	}
-	together[t.file] = text
+	combined[t.file] = text
 	alone := s.inUse
 	alone[t.file] = text
-	err := s.applyLocked(together)
+	err := s.applyLocked(combined)
 	if err == nil {
 		s.pending = [fileCount][]byte{}
 		return nil
 	}
-	if others {
+	if hasPending {
 		if err = s.applyLocked(alone); err == nil {
 			s.pending[t.file] = nil
 			return nil
@@ -185,8 +185,8 @@
 }
 
 // Refused logs why the contents of the file were rejected.
-func (t *fileConsumer) Refused(why error) {
-	t.source.log.Warn("callers: file rejected, the previous contents stay in use", "file", t.source.paths[t.file], "why", strings.ReplaceAll(why.Error(), "\n", "; "))
+func (t *fileConsumer) Refused(err error) {
+	t.source.log.Warn("callers: file rejected, the previous contents stay in use", "file", t.source.paths[t.file], "why", strings.ReplaceAll(err.Error(), "\n", "; "))
 }
 
 // NotificationsFailed logs that file change notifications are unavailable.
@@ -235,7 +235,7 @@
 // equalExceptIssued reports whether two files are equal apart from their issue time, which changes without a
 // new version when the content is only confirmed.
 func equalExceptIssued(a, b []byte) bool {
-	cut := func(t []byte) string {
+	withoutIssued := func(t []byte) string {
 		var out []string
 		for l := range strings.SplitSeq(string(t), "\n") {
 			if !strings.HasPrefix(l, "issued ") && !strings.HasPrefix(l, "issued=") {
@@ -244,7 +244,7 @@
 		}
 		return strings.Join(out, "\n")
 	}
-	return cut(a) == cut(b)
+	return withoutIssued(a) == withoutIssued(b)
 }
 
 // Contents combines the parsed credentials, the rights file and the certificate bundle. It checks that the
--- a/internal/keybook/store.go
+++ b/internal/keybook/store.go
@@ -26,7 +26,7 @@
 	auditPrefix      = "callers/audit/" // records by version, in hexadecimal
 )
 
-// Errors that changes return.
+// Errors that changes wrap. ErrConflict means that the credentials changed concurrently.
 var (
 	ErrNotFound  = errors.New("there is none of that name")
 	ErrExists    = errors.New("is there already")
@@ -41,12 +41,12 @@
 	now   func() time.Time
 }
 
-// NewStore returns a Store that records who as the actor of its changes. If now is nil, time.Now is used.
-func NewStore(s *store.Store, who string, now func() time.Time) *Store {
+// NewStore returns a Store that records actor as the author of its changes. If now is nil, time.Now is used.
+func NewStore(s *store.Store, actor string, now func() time.Time) *Store {
 	if now == nil {
 		now = time.Now
 	}
-	return &Store{s, who, now}
+	return &Store{s, actor, now}
 }
 
 // Record is the audit record of a change. It omits public keys and hashes.
@@ -61,8 +61,8 @@
 }
 
 // Load returns a consistent snapshot of the credentials.
-func (k *Store) Load() (*Credentials, error) {
-	sn, err := k.store.Snapshot()
+func (st *Store) Load() (*Credentials, error) {
+	sn, err := st.store.Snapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -85,9 +85,9 @@
 		return nil, err
 	}
 	return b, scanRows(sn, keyPrefix, func(r keyRow) error {
-		key, at, err := r.key()
+		key, field, err := r.key()
 		if err != nil {
-			return fmt.Errorf("%s: %w", at, err)
+			return fmt.Errorf("%s: %w", field, err)
 		}
 		b.Keys = append(b.Keys, key)
 		return nil
@@ -101,7 +101,7 @@
 
 // readHead returns the version of the credentials and the version of its entry in the store; 0 and 0 if there
 // is none.
-func readHead(s reader) (book, entry uint64, err error) {
+func readHead(s reader) (version, entryVersion uint64, err error) {
 	item, err := s.Get(headKey)
 	if errors.Is(err, store.ErrNotFound) {
 		return 0, 0, nil
@@ -109,8 +109,8 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	book, err = strconv.ParseUint(string(item.Value), 10, 64)
-	return book, item.Version, err
+	version, err = strconv.ParseUint(string(item.Value), 10, 64)
+	return version, item.Version, err
 }
 
 // scanRows calls do for each row with the given prefix, until an error.
@@ -161,21 +161,21 @@
 
 // commit applies a change atomically: rows, the new version and the audit record go into one batch. expected
 // is the version of the credentials that the change is based on; 0 = any. It returns the new version.
-func (k *Store) commit(expected uint64, make func(s reader) (change, error)) (version uint64, err error) {
-	book, entry, err := readHead(k.store)
+func (st *Store) commit(expected uint64, build func(s reader) (change, error)) (version uint64, err error) {
+	current, entryVersion, err := readHead(st.store)
 	if err != nil {
 		return 0, err
 	}
-	if expected != 0 && expected != book {
-		return 0, fmt.Errorf("the credentials have version %d, not %d: %w", book, expected, ErrConflict)
+	if expected != 0 && expected != current {
+		return 0, fmt.Errorf("the credentials have version %d, not %d: %w", current, expected, ErrConflict)
 	}
-	c, err := make(k.store)
+	c, err := build(st.store)
 	if err != nil {
 		return 0, err
 	}
-	version = book + 1
+	version = current + 1
 	var b store.Batch
-	b.Expect(headKey, entry)
+	b.Expect(headKey, entryVersion)
 	b.Put(headKey, strconv.AppendUint(nil, version, 10))
 	for name, row := range c.puts {
 		text, err := json.Marshal(row)
@@ -187,12 +187,12 @@
 	for _, name := range c.deletes {
 		b.Delete(name)
 	}
-	text, err := json.Marshal(Record{version, k.now().UTC(), k.actor, c.action, c.name, c.from, c.to})
+	text, err := json.Marshal(Record{version, st.now().UTC(), st.actor, c.action, c.name, c.from, c.to})
 	if err != nil {
 		return 0, fmt.Errorf("audit: %w", err)
 	}
 	b.Put(fmt.Sprintf("%s%016x", auditPrefix, version), text)
-	if _, err := k.store.Apply(&b); errors.Is(err, store.ErrConflict) {
+	if _, err := st.store.Apply(&b); errors.Is(err, store.ErrConflict) {
 		return 0, ErrConflict
 	} else if err != nil {
 		return 0, err
@@ -206,9 +206,9 @@
 	return r
 }
 
-// AddKeys adds all keys or none. It returns ErrExists if an id was used before.
-func (k *Store) AddKeys(expected uint64, keys ...caller.Key) (uint64, error) {
-	return k.commit(expected, func(s reader) (change, error) {
+// AddKeys adds all keys or none. It returns ErrExists if an id is in use.
+func (st *Store) AddKeys(expected uint64, keys ...caller.Key) (uint64, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		c := change{action: "key create", puts: map[string]any{}}
 		var names []string
 		var rows []keyRow
@@ -233,35 +233,35 @@
 
 // SetLifecycle changes the times of a key's state transitions. Planned times may change, but a key never
 // returns to an earlier state: a revoked or retired key stays so, as the reason may be that it was disclosed.
-func (k *Store) SetLifecycle(expected uint64, id, what string, set func(l *caller.Lifecycle)) (uint64, error) {
-	return k.commit(expected, func(s reader) (change, error) {
+func (st *Store) SetLifecycle(expected uint64, id, what string, set func(l *caller.Lifecycle)) (uint64, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[keyRow](s, keyPrefix, "key", id)
 		if err != nil {
 			return change{}, err
 		}
-		now := float64(k.now().UnixMicro()) / 1000
-		was := caller.Lifecycle{Active: unixMS(row.Active), Retiring: unixMS(row.Retiring), Retired: unixMS(row.Retired), Revoked: unixMS(row.Revoked)}
-		is := was
-		set(&is)
-		if err := checkTransition(was, is, now); err != nil {
+		now := float64(st.now().UnixMicro()) / 1000
+		previous := caller.Lifecycle{Active: unixMS(row.Active), Retiring: unixMS(row.Retiring), Retired: unixMS(row.Retired), Revoked: unixMS(row.Revoked)}
+		updated := previous
+		set(&updated)
+		if err := checkTransition(previous, updated, now); err != nil {
 			return change{}, fmt.Errorf("key %s: %w", id, err)
 		}
 		next := row
-		next.Active, next.Retiring, next.Retired, next.Revoked = timeFromMS(is.Active), timeFromMS(is.Retiring), timeFromMS(is.Retired), timeFromMS(is.Revoked)
+		next.Active, next.Retiring, next.Retired, next.Revoked = timeFromMS(updated.Active), timeFromMS(updated.Retiring), timeFromMS(updated.Retired), timeFromMS(updated.Revoked)
 		return change{action: "key " + what, name: id, from: row.redacted(), to: next.redacted(), puts: map[string]any{keyPrefix + id: next}}, nil
 	})
 }
 
-// checkTransition returns an error if lifecycle was may not be replaced by lifecycle is at time now.
-func checkTransition(was, is caller.Lifecycle, now float64) error {
-	planned := is
-	if planned.Revoked = was.Revoked; was.StateAt(now) == caller.Revoked && is != was || was.StateAt(now) == caller.Retired && planned != was {
-		return fmt.Errorf("it is %s: %w", was.StateAt(now), ErrLifecycle)
+// checkTransition returns an error if the updated lifecycle may not replace the previous one at time now.
+func checkTransition(previous, updated caller.Lifecycle, now float64) error {
+	planned := updated
+	if planned.Revoked = previous.Revoked; previous.StateAt(now) == caller.Revoked && updated != previous || previous.StateAt(now) == caller.Retired && planned != previous {
+		return fmt.Errorf("it is %s: %w", previous.StateAt(now), ErrLifecycle)
 	}
-	if is.StateAt(now) < was.StateAt(now) && was.StateAt(now) > caller.Active {
-		return fmt.Errorf("it is %s already: %w", was.StateAt(now), ErrLifecycle)
+	if updated.StateAt(now) < previous.StateAt(now) && previous.StateAt(now) > caller.Active {
+		return fmt.Errorf("it is %s already: %w", previous.StateAt(now), ErrLifecycle)
 	}
-	order := []float64{is.Active, is.Retiring, is.Retired}
+	order := []float64{updated.Active, updated.Retiring, updated.Retired}
 	last := 0.0
 	for _, t := range order {
 		if t > 0 && t < last {
@@ -274,8 +274,8 @@
 
 // CreateTenant creates a tenant. If the name was used before, the tenant gets the next generation, so that
 // nothing of the deleted tenant applies to it.
-func (k *Store) CreateTenant(expected uint64, name string) (uint64, error) {
-	return k.commit(expected, func(s reader) (change, error) {
+func (st *Store) CreateTenant(expected uint64, name string) (uint64, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		if _, there, err := getRow[tenantRow](s, tenantPrefix+name); err != nil {
 			return change{}, err
 		} else if there {
@@ -294,8 +294,8 @@
 }
 
 // SuspendTenant sets whether the tenant's callers are rejected.
-func (k *Store) SuspendTenant(expected uint64, name string, on bool) (uint64, error) {
-	return k.commit(expected, func(s reader) (change, error) {
+func (st *Store) SuspendTenant(expected uint64, name string, on bool) (uint64, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[tenantRow](s, tenantPrefix, "tenant", name)
 		if err != nil {
 			return change{}, err
@@ -307,15 +307,15 @@
 }
 
 // DeleteTenant deletes a tenant with its callers and their secrets.
-func (k *Store) DeleteTenant(expected uint64, name string) (uint64, error) {
-	b, err := k.Load()
+func (st *Store) DeleteTenant(expected uint64, name string) (uint64, error) {
+	b, err := st.Load()
 	if err != nil {
 		return 0, err
 	}
 	if expected == 0 {
 		expected = b.Version // the callers and secrets to delete were read at this version
 	}
-	return k.commit(expected, func(s reader) (change, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[tenantRow](s, tenantPrefix, "tenant", name)
 		if err != nil {
 			return change{}, err
@@ -346,43 +346,43 @@
 }
 
 // SetCaller creates or changes a caller. The result must be consistent with the other credentials.
-func (k *Store) SetCaller(expected uint64, p caller.Principal) (uint64, error) {
-	b, err := k.Load()
+func (st *Store) SetCaller(expected uint64, p caller.Principal) (uint64, error) {
+	b, err := st.Load()
 	if err != nil {
 		return 0, err
 	}
 	if expected == 0 {
 		expected = b.Version
 	}
-	was := -1
+	index := -1
 	for i := range b.Callers {
 		if b.Callers[i].Name == p.Name {
-			was = i
+			index = i
 		}
 	}
 	c := change{action: "caller set", name: p.Name, to: callerRowOf(p), puts: map[string]any{callerPrefix + p.Name: callerRowOf(p)}}
-	if was >= 0 {
-		c.from = callerRowOf(b.Callers[was])
-		b.Callers[was] = p
+	if index >= 0 {
+		c.from = callerRowOf(b.Callers[index])
+		b.Callers[index] = p
 	} else {
 		b.Callers = append(b.Callers, p)
 	}
 	if err := b.Check(); err != nil {
 		return 0, err
 	}
-	return k.commit(expected, func(reader) (change, error) { return c, nil })
+	return st.commit(expected, func(reader) (change, error) { return c, nil })
 }
 
 // DeleteCaller deletes a caller with its secrets.
-func (k *Store) DeleteCaller(expected uint64, name string) (uint64, error) {
-	b, err := k.Load()
+func (st *Store) DeleteCaller(expected uint64, name string) (uint64, error) {
+	b, err := st.Load()
 	if err != nil {
 		return 0, err
 	}
 	if expected == 0 {
 		expected = b.Version
 	}
-	return k.commit(expected, func(s reader) (change, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[callerRow](s, callerPrefix, "caller", name)
 		if err != nil {
 			return change{}, err
@@ -412,11 +412,11 @@
 }
 
 // Import writes credentials into an empty store. It returns ErrExists if the store is not empty.
-func (k *Store) Import(b *Credentials) (uint64, error) {
+func (st *Store) Import(b *Credentials) (uint64, error) {
 	if err := b.Check(); err != nil {
 		return 0, err
 	}
-	return k.commit(0, func(s reader) (change, error) {
+	return st.commit(0, func(s reader) (change, error) {
 		if n, _, err := readHead(s); err != nil {
 			return change{}, err
 		} else if n > 0 {
@@ -441,8 +441,8 @@
 }
 
 // Audit writes the records of versions greater than above, one line of JSON each.
-func (k *Store) Audit(w io.Writer, above uint64) error {
-	sn, err := k.store.Snapshot()
+func (st *Store) Audit(w io.Writer, above uint64) error {
+	sn, err := st.store.Snapshot()
 	if err != nil {
 		return err
 	}
@@ -460,12 +460,12 @@
 
 // Export writes the credentials to the file that routers watch and returns their version. It replaces the
 // file atomically, so that routers see either the old or the new content.
-func (k *Store) Export(path string) (version uint64, err error) {
-	b, err := k.Load()
+func (st *Store) Export(path string) (version uint64, err error) {
+	b, err := st.Load()
 	if err != nil {
 		return 0, err
 	}
-	b.Issued = k.now().Truncate(time.Millisecond)
+	b.Issued = st.now().Truncate(time.Millisecond)
 	text, err := b.Encode()
 	if err != nil {
 		return 0, err
@@ -476,8 +476,8 @@
 // replaceFile atomically replaces a file by way of a synced temporary file. One that a crash leaves behind is
 // overwritten by the next call.
 func replaceFile(path string, text []byte) error {
-	next := path + ".next"
-	f, err := os.OpenFile(next, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	tempPath := path + ".next"
+	f, err := os.OpenFile(tempPath, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("export: %w", err)
 	}
@@ -488,10 +488,10 @@
 		err = e
 	}
 	if err == nil {
-		err = os.Rename(next, path)
+		err = os.Rename(tempPath, path)
 	}
 	if err != nil {
-		os.Remove(next) //nolint:errcheck // the write error is returned
+		os.Remove(tempPath) //nolint:errcheck // the write error is returned
 		return fmt.Errorf("export: %w", err)
 	}
 	d, err := os.Open(filepath.Dir(path))
--- a/internal/keybook/tenants.go
+++ b/internal/keybook/tenants.go
@@ -28,20 +28,20 @@
 	return fmt.Sprintf("it is of version %d by now", e.Current)
 }
 
-// WithActor returns a Store that records who as the actor in the audit.
-func (k *Store) WithActor(who string) *Store { return &Store{k.store, who, k.now} }
+// WithActor returns a Store that names actor in its audit records.
+func (st *Store) WithActor(actor string) *Store { return &Store{st.store, actor, st.now} }
 
 // Version returns the version of the credentials; 0 = there are none.
-func (k *Store) Version() (uint64, error) {
-	v, _, err := readHead(k.store)
+func (st *Store) Version() (uint64, error) {
+	v, _, err := readHead(st.store)
 	return v, err
 }
 
 // WaitForVersion waits until the credentials' version is greater than above, or ctx is done.
-func (k *Store) WaitForVersion(ctx context.Context, above uint64) error {
+func (st *Store) WaitForVersion(ctx context.Context, above uint64) error {
 	for {
-		w := k.store.Watch(k.store.Version()) // before reading the version, so that no change is missed
-		v, err := k.Version()
+		w := st.store.Watch(st.store.Version()) // before reading the version, so that no change is missed
+		v, err := st.Version()
 		if err != nil || v > above {
 			return err
 		}
@@ -52,8 +52,8 @@
 }
 
 // Tenant returns a tenant; its Version is 0 if it does not exist.
-func (k *Store) Tenant(name string) (Tenant, error) {
-	row, version, err := readTenant(k.store, name)
+func (st *Store) Tenant(name string) (Tenant, error) {
+	row, version, err := readTenant(st.store, name)
 	return row.withVersion(version), err
 }
 
@@ -74,10 +74,10 @@
 	return row, item.Version, err
 }
 
-// Tenants returns up to most tenants with names after the given one, ordered by name, and the credentials'
+// Tenants returns up to limit tenants with names after the given one, ordered by name, and the credentials'
 // version.
-func (k *Store) Tenants(after string, most int) (out []Tenant, version uint64, err error) {
-	sn, err := k.store.Snapshot()
+func (st *Store) Tenants(after string, limit int) (out []Tenant, version uint64, err error) {
+	sn, err := st.store.Snapshot()
 	if err != nil {
 		return nil, 0, err
 	}
@@ -86,7 +86,7 @@
 		return nil, 0, err
 	}
 	for name, entry := range sn.Keys(tenantPrefix, tenantPrefix+after+"\x00") {
-		if len(out) == most {
+		if len(out) == limit {
 			break
 		}
 		row, _, err := getRow[tenantRow](sn, name)
@@ -101,7 +101,7 @@
 // PutTenant creates a tenant if expected is 0, and otherwise changes the tenant of that version. If the
 // version differs it returns a StaleError and changes nothing. It returns the current tenant and the
 // credentials' version.
-func (k *Store) PutTenant(t Tenant, expected uint64) (Tenant, uint64, error) {
+func (st *Store) PutTenant(t Tenant, expected uint64) (Tenant, uint64, error) {
 	if err := tenant.CheckName(t.Name); err != nil {
 		return Tenant{}, 0, err
 	}
@@ -109,9 +109,9 @@
 		return Tenant{}, 0, err
 	}
 	next := tenantRow{t.Name, 0, t.Suspended, t.Terms.row()}
-	book, err := k.changeTenant(t.Name, expected, func(s reader, was tenantRow) (change, error) {
+	version, err := st.changeTenant(t.Name, expected, func(s reader, previous tenantRow) (change, error) {
 		c := change{action: "tenant set", name: t.Name, puts: map[string]any{}}
-		if next.Generation = was.Generation; expected == 0 {
+		if next.Generation = previous.Generation; expected == 0 {
 			gen, _, err := getRow[uint32](s, generationPrefix+t.Name)
 			if err != nil {
 				return c, err
@@ -119,7 +119,7 @@
 			next.Generation = gen + 1
 			c.action, c.puts[generationPrefix+t.Name] = "tenant create", next.Generation
 		} else {
-			c.from = was
+			c.from = previous
 		}
 		c.to, c.puts[tenantPrefix+t.Name] = next, next
 		return c, nil
@@ -127,22 +127,22 @@
 	if err != nil {
 		return Tenant{}, 0, err
 	}
-	now, err := k.Tenant(t.Name)
-	return now, book, err
+	current, err := st.Tenant(t.Name)
+	return current, version, err
 }
 
 // RemoveTenant deletes the tenant of the expected version with its callers and their secrets. It returns a
 // StaleError if the version differs.
-func (k *Store) RemoveTenant(name string, expected uint64) (uint64, error) {
-	return k.changeTenant(name, expected, func(_ reader, was tenantRow) (change, error) {
-		b, err := k.Load()
+func (st *Store) RemoveTenant(name string, expected uint64) (uint64, error) {
+	return st.changeTenant(name, expected, func(_ reader, previous tenantRow) (change, error) {
+		credentials, err := st.Load()
 		if err != nil {
 			return change{}, err
 		}
-		if was.Name == "" {
+		if previous.Name == "" {
 			return change{}, &StaleError{}
 		}
-		return tenantDeletion(b, was), nil
+		return tenantDeletion(credentials, previous), nil
 	})
 }
 
@@ -151,17 +151,17 @@
 
 // changeTenant changes one tenant's entry of the expected version. When other entries change concurrently, it
 // retries the change on the new state.
-func (k *Store) changeTenant(name string, expected uint64, make func(s reader, was tenantRow) (change, error)) (version uint64, err error) {
+func (st *Store) changeTenant(name string, expected uint64, build func(s reader, previous tenantRow) (change, error)) (version uint64, err error) {
 	for range maxTenantChangeAttempts {
-		version, err = k.commit(0, func(s reader) (change, error) {
-			was, at, err := readTenant(s, name)
+		version, err = st.commit(0, func(s reader) (change, error) {
+			previous, entryVersion, err := readTenant(s, name)
 			if err != nil {
 				return change{}, err
 			}
-			if at != expected {
-				return change{}, &StaleError{at}
+			if entryVersion != expected {
+				return change{}, &StaleError{entryVersion}
 			}
-			return make(s, was)
+			return build(s, previous)
 		})
 		if !errors.Is(err, ErrConflict) {
 			break
--- a/internal/keybook/tool.go
+++ b/internal/keybook/tool.go
@@ -69,12 +69,12 @@
 	if err != nil {
 		return false
 	}
-	book, _, err := readHead(k.store)
-	return err == nil && b.Version == book
+	version, _, err := readHead(k.store)
+	return err == nil && b.Version == version
 }
 
 // CreateSecret creates a secret for a caller and prints it. Only its hash is stored.
-func (t Tool) CreateSecret(id, of string, life caller.Lifecycle) error {
+func (t Tool) CreateSecret(id, callerName string, lifecycle caller.Lifecycle) error {
 	if t.Pepper == "" {
 		return errors.New("--pepper: needed for secrets")
 	}
@@ -83,7 +83,7 @@
 		return err
 	}
 	secret := identity.NewSecret()
-	key := caller.Key{ID: id, Algorithm: caller.Secret, Caller: of, Digest: p.Hash(id, []byte(secret)), Lifecycle: life}
+	key := caller.Key{ID: id, Algorithm: caller.Secret, Caller: callerName, Digest: p.Hash(id, []byte(secret)), Lifecycle: lifecycle}
 	return t.WithStore(func(k *Store) error {
 		if err := t.addKeys(k, key); err != nil {
 			return err
@@ -108,7 +108,7 @@
 }
 
 // ImportKeys adds all public keys of a JWKS file, or none.
-func (t Tool) ImportKeys(path, issuer string, life caller.Lifecycle) error {
+func (t Tool) ImportKeys(path, issuer string, lifecycle caller.Lifecycle) error {
 	text, err := readBounded(path, identity.MaxJWKS)
 	if err != nil {
 		return err
@@ -118,34 +118,34 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	for i := range keys {
-		keys[i].Lifecycle = life
+		keys[i].Lifecycle = lifecycle
 	}
 	return t.WithStore(func(k *Store) error { return t.addKeys(k, keys...) })
 }
 
-// readBounded reads up to most+1 bytes of a file; the extra byte lets the parser reject oversized files.
-func readBounded(path string, most int64) ([]byte, error) {
+// readBounded reads up to limit+1 bytes of a file; the extra byte lets the parser reject oversized files.
+func readBounded(path string, limit int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, most+1))
+	return io.ReadAll(io.LimitReader(f, limit+1))
 }
 
 // SetState schedules a key's transition to announced, active or revoked. The state
 // announced clears the planned times.
 func (t Tool) SetState(id, state string, at time.Time) error {
-	when := float64(at.UnixMicro()) / 1000
+	atMS := float64(at.UnixMicro()) / 1000
 	return t.WithStore(func(k *Store) error {
 		_, err := k.SetLifecycle(t.IfVersion, id, state, func(l *caller.Lifecycle) {
 			switch state {
 			case "announced":
 				l.Active, l.Retiring, l.Retired = 0, 0, 0
 			case "active":
-				l.Active = when
+				l.Active = atMS
 			case "revoked":
-				l.Revoked = when
+				l.Revoked = atMS
 			}
 		})
 		return err
