--- a/internal/keybook/keybook_test.go
+++ b/internal/keybook/keybook_test.go
@@ -41,10 +41,10 @@
 [end]
 `
 
-var good = strings.Replace(bookText, "HASH", strings.Repeat("ab", 32), 1)
+var validFile = strings.Replace(bookText, "HASH", strings.Repeat("ab", 32), 1)
 
 func TestFileThereAndBack(t *testing.T) {
-	b, err := Parse("b", []byte(good))
+	b, err := Parse("b", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 		{`id = "s"`, "id = \"s\"\njwk = '{\"kty\":\"oct\",\"k\":\"AA\",\"kid\":\"s\"}'", "excludes secret_hash"},
 		{"[end]", "", "the last line is missing"},
 	} {
-		if _, err := Parse("b", []byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Parse("b", []byte(strings.Replace(validFile, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.new, err, c.want)
 		}
 	}
@@ -117,8 +117,8 @@
 
 // rotation returns the steps of a key rotation and of tenant changes; each step is one change.
 func rotation(k *Store, s, next *identitytest.Signer, now func() time.Time) []func() error {
-	ms := func() float64 { return float64(now().UnixMilli()) }
-	life := func(id string, set func(*caller.Lifecycle)) func() error {
+	nowMillis := func() float64 { return float64(now().UnixMilli()) }
+	setLifecycle := func(id string, set func(*caller.Lifecycle)) func() error {
 		return func() error { _, err := k.SetLifecycle(0, id, "step", set); return err }
 	}
 	return []func() error{
@@ -129,9 +129,9 @@
 		},
 		func() error { _, err := k.AddKeys(0, s.Live(caller.Lifecycle{Active: 1})); return err },
 		func() error { _, err := k.AddKeys(0, next.Live(caller.Lifecycle{})); return err },
-		life("next", func(l *caller.Lifecycle) { l.Active = ms() }),
-		life("old", func(l *caller.Lifecycle) { l.Retiring = ms(); l.Retired = ms() + 1000 }),
-		life("old", func(l *caller.Lifecycle) { l.Revoked = ms() }),
+		setLifecycle("next", func(l *caller.Lifecycle) { l.Active = nowMillis() }),
+		setLifecycle("old", func(l *caller.Lifecycle) { l.Retiring = nowMillis(); l.Retired = nowMillis() + 1000 }),
+		setLifecycle("old", func(l *caller.Lifecycle) { l.Revoked = nowMillis() }),
 		func() error { _, err := k.DeleteTenant(0, "t"); return err },
 		func() error {
 			_, _, err := k.PutTenant(Tenant{Name: "u", Terms: Terms{Limits: tenant.Limits{Floor: 5}}}, 0)
@@ -190,7 +190,7 @@
 	s.Close()
 	calls := len(d.Calls())
 	for n := range calls {
-		for name, keep := range map[string]disk.Keep{"none": disk.KeepNone, "half": disk.KeepHalf, "some": disk.KeepSome(uint64(n))} {
+		for name, kept := range map[string]disk.Keep{"none": disk.KeepNone, "half": disk.KeepHalf, "some": disk.KeepSome(uint64(n))} {
 			d := disk.New()
 			d.LosePower(n)
 			acked := 0
@@ -203,7 +203,7 @@
 				}
 				s.Close()
 			}
-			s, k := open(d.Restart(keep))
+			s, k := open(d.Restart(kept))
 			b := load(k)
 			at := int(b.Version)
 			if at < acked || at > acked+1 || !reflect.DeepEqual(b, want[at]) {
@@ -273,7 +273,7 @@
 		t.Fatal(err)
 	}
 	if b, err := k.Load(); err != nil || b.Tenants[0].Generation != 2 || len(b.Callers) != 0 {
-		t.Errorf("made again: %v, %+v", err, b)
+		t.Errorf("created again: %v, %+v", err, b)
 	}
 }
 
@@ -297,28 +297,28 @@
 // Guards against applying a truncated file: cut at any byte, it is rejected and the previous credentials stay
 // in use. A file with a lower version, or with the same version and other content, is rejected too.
 func TestBookCutAtEveryByte(t *testing.T) {
-	_, g, s := openSource(t, map[string]string{"book": good, "rights": "role all { allow any }"})
-	was := g.Book()
-	next := strings.Replace(strings.Replace(good, "version = 4", "version = 5", 1), `"acme-d"`, `"acme-e"`, 2)
+	_, g, s := openSource(t, map[string]string{"book": validFile, "rights": "role all { allow any }"})
+	previous := g.Book()
+	next := strings.Replace(strings.Replace(validFile, "version = 4", "version = 5", 1), `"acme-d"`, `"acme-e"`, 2)
 	next += "# the end\n"
-	whole := strings.Index(next, "[end]") + len("[end]")
-	to := &fileConsumer{s, credentialsFile}
-	for n := range next[:whole] {
-		if err := to.Apply([]byte(next[:n])); err == nil || g.Book() != was {
-			t.Fatalf("cut at byte %d it is taken: %q", n, next[max(0, n-20):n])
+	completeLen := strings.Index(next, "[end]") + len("[end]")
+	consumer := &fileConsumer{s, credentialsFile}
+	for n := range next[:completeLen] {
+		if err := consumer.Apply([]byte(next[:n])); err == nil || g.Book() != previous {
+			t.Fatalf("file truncated at byte %d was applied: %q", n, next[max(0, n-20):n])
 		}
 	}
-	if err := to.Apply([]byte(next)); err != nil || g.Book() == was {
-		t.Errorf("whole: %v", err)
+	if err := consumer.Apply([]byte(next)); err != nil || g.Book() == previous {
+		t.Errorf("complete file: %v", err)
 	}
-	if err := to.Apply([]byte(good)); !errors.Is(err, errOlderVersion) {
-		t.Errorf("an older one: %v", err)
+	if err := consumer.Apply([]byte(validFile)); !errors.Is(err, errOlderVersion) {
+		t.Errorf("lower version: %v", err)
 	}
-	if err := to.Apply([]byte(strings.Replace(next, "acme-e", "acme-f", 2))); err == nil || !strings.Contains(err.Error(), "raise it") {
-		t.Errorf("another content of its version: %v", err)
+	if err := consumer.Apply([]byte(strings.Replace(next, "acme-e", "acme-f", 2))); err == nil || !strings.Contains(err.Error(), "raise it") {
+		t.Errorf("other content of the same version: %v", err)
 	}
-	if err := to.Apply([]byte(strings.Replace(next, "12:00:00Z", "13:00:00Z", 1))); err != nil {
-		t.Errorf("confirmed anew: %v", err)
+	if err := consumer.Apply([]byte(strings.Replace(next, "12:00:00Z", "13:00:00Z", 1))); err != nil {
+		t.Errorf("new issue time: %v", err)
 	}
 }
 
@@ -326,17 +326,17 @@
 // reported at the caller's line.
 func TestFilesThatGoTogether(t *testing.T) {
 	for _, first := range []int{credentialsFile, rightsFile} {
-		_, g, s := openSource(t, map[string]string{"book": good, "rights": "role all { allow any }"})
-		was := g.Book()
-		texts := map[int]string{credentialsFile: strings.Replace(strings.Replace(good, "version = 4", "version = 5", 1), `["all"]`, `["other"]`, 1), rightsFile: "role other { allow any read }"}
+		_, g, s := openSource(t, map[string]string{"book": validFile, "rights": "role all { allow any }"})
+		previous := g.Book()
+		texts := map[int]string{credentialsFile: strings.Replace(strings.Replace(validFile, "version = 4", "version = 5", 1), `["all"]`, `["other"]`, 1), rightsFile: "role other { allow any read }"}
 		err := (&fileConsumer{s, first}).Apply([]byte(texts[first]))
-		if err == nil || g.Book() != was {
+		if err == nil || g.Book() != previous {
 			t.Fatalf("alone: %v", err)
 		}
 		if first == credentialsFile && !strings.Contains(err.Error(), `:9: caller[0].roles[0]: "other" is no role`) {
 			t.Error(err)
 		}
-		if err := (&fileConsumer{s, 1 - first}).Apply([]byte(texts[1-first])); err != nil || g.Book() == was {
+		if err := (&fileConsumer{s, 1 - first}).Apply([]byte(texts[1-first])); err != nil || g.Book() == previous {
 			t.Errorf("together: %v", err)
 		}
 	}
@@ -389,16 +389,16 @@
 func TestCommandsReachARouter(t *testing.T) {
 	dir, g, s := openSource(t, map[string]string{"book": "version = 0\n[end]\n", "rights": "role all { allow any }"})
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { defer close(ended); s.Run(ctx) }()
-	defer func() { stop(); <-ended }()
+	done := make(chan struct{})
+	go func() { defer close(done); s.Run(ctx) }()
+	defer func() { stop(); <-done }()
 	var out bytes.Buffer
 	pepper := filepath.Join(dir, "pepper")
 	if err := identity.NewPepper(pepper); err != nil {
 		t.Fatal(err)
 	}
 	if err := identity.NewPepper(pepper); err == nil {
-		t.Error("a pepper was drawn over another")
+		t.Error("an existing pepper file was overwritten")
 	}
 	tool := Tool{State: filepath.Join(dir, "state"), Export: filepath.Join(dir, "book"), Pepper: pepper, Actor: "me", Out: &out}
 	for i, err := range []error{
@@ -420,7 +420,7 @@
 		t.Fatal(err)
 	}
 	if len(secret) != 43 || bytes.Contains(book, []byte(secret)) || strings.Count(text, secret) != 1 {
-		t.Errorf("the secret stands where it should not:\n%s", text)
+		t.Errorf("the secret appears where it must not:\n%s", text)
 	}
 	if err := tool.SetState("s", "revoked", time.Now()); err != nil {
 		t.Fatal(err)
@@ -433,9 +433,9 @@
 		t.Error(err)
 	}
 	// After a crash between a change and its export, the next command of any kind exports it.
-	late := tool
-	late.Export = ""
-	if err := late.WithStore(func(k *Store) error { _, err := k.CreateTenant(0, "u"); return err }); err != nil {
+	noExport := tool
+	noExport.Export = ""
+	if err := noExport.WithStore(func(k *Store) error { _, err := k.CreateTenant(0, "u"); return err }); err != nil {
 		t.Fatal(err)
 	}
 	if err := tool.ListKeys(); err != nil {
@@ -445,7 +445,7 @@
 }
 
 func FuzzBook(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validFile))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		b, err := Parse("b", text)
 		if err != nil || b.Check() != nil {
