--- a/internal/keybook/keybook_test.go
+++ b/internal/keybook/keybook_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	s := identitytest.NewSigner(t, "k", "iss", caller.ES256)
-	b.Keys = append(b.Keys, s.Live(caller.Lifecycle{Active: 1000, Revoked: 5e11}))
+	b.Keys = append(b.Keys, s.KeyWithLifecycle(caller.Lifecycle{Active: 1000, Revoked: 5e11}))
 	text, err := b.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -127,8 +127,8 @@
 			_, err := k.SetCaller(0, caller.Principal{Name: "c", Tenant: "t", Subjects: []caller.Subject{{Issuer: "i", Name: "s"}}})
 			return err
 		},
-		func() error { _, err := k.AddKeys(0, s.Live(caller.Lifecycle{Active: 1})); return err },
-		func() error { _, err := k.AddKeys(0, next.Live(caller.Lifecycle{})); return err },
+		func() error { _, err := k.AddKeys(0, s.KeyWithLifecycle(caller.Lifecycle{Active: 1})); return err },
+		func() error { _, err := k.AddKeys(0, next.KeyWithLifecycle(caller.Lifecycle{})); return err },
 		setLifecycle("next", func(l *caller.Lifecycle) { l.Active = nowMillis() }),
 		setLifecycle("old", func(l *caller.Lifecycle) { l.Retiring = nowMillis(); l.Retired = nowMillis() + 1000 }),
 		setLifecycle("old", func(l *caller.Lifecycle) { l.Revoked = nowMillis() }),
@@ -278,7 +278,7 @@
 }
 
 // openSource writes files and returns a source that reads them, with its gate.
-func openSource(t *testing.T, files map[string]string) (dir string, g *identity.Gate, s *Source) {
+func openSource(t *testing.T, files map[string]string) (dir string, g *identity.Authenticator, s *Source) {
 	t.Helper()
 	dir = t.TempDir()
 	for n, text := range files {
@@ -286,7 +286,7 @@
 			t.Fatal(err)
 		}
 	}
-	g = identity.NewGate(identity.Options{Log: slog.New(slog.DiscardHandler)})
+	g = identity.NewAuthenticator(identity.Options{Log: slog.New(slog.DiscardHandler)})
 	s, err := Open(SourceConfig{CredentialsPath: filepath.Join(dir, "book"), RightsPath: filepath.Join(dir, "rights"), Policy: caller.Policy{Audiences: []string{"r"}}}, g, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -298,17 +298,17 @@
 // in use. A file with a lower version, or with the same version and other content, is rejected too.
 func TestBookCutAtEveryByte(t *testing.T) {
 	_, g, s := openSource(t, map[string]string{"book": validFile, "rights": "role all { allow any }"})
-	previous := g.Book()
+	previous := g.Credentials()
 	next := strings.Replace(strings.Replace(validFile, "version = 4", "version = 5", 1), `"acme-d"`, `"acme-e"`, 2)
 	next += "# the end\n"
 	completeLen := strings.Index(next, "[end]") + len("[end]")
 	consumer := &fileConsumer{s, credentialsFile}
 	for n := range next[:completeLen] {
-		if err := consumer.Apply([]byte(next[:n])); err == nil || g.Book() != previous {
+		if err := consumer.Apply([]byte(next[:n])); err == nil || g.Credentials() != previous {
 			t.Fatalf("file truncated at byte %d was applied: %q", n, next[max(0, n-20):n])
 		}
 	}
-	if err := consumer.Apply([]byte(next)); err != nil || g.Book() == previous {
+	if err := consumer.Apply([]byte(next)); err != nil || g.Credentials() == previous {
 		t.Errorf("complete file: %v", err)
 	}
 	if err := consumer.Apply([]byte(validFile)); !errors.Is(err, errOlderVersion) {
@@ -327,16 +327,16 @@
 func TestFilesThatGoTogether(t *testing.T) {
 	for _, first := range []int{credentialsFile, rightsFile} {
 		_, g, s := openSource(t, map[string]string{"book": validFile, "rights": "role all { allow any }"})
-		previous := g.Book()
+		previous := g.Credentials()
 		texts := map[int]string{credentialsFile: strings.Replace(strings.Replace(validFile, "version = 4", "version = 5", 1), `["all"]`, `["other"]`, 1), rightsFile: "role other { allow any read }"}
 		err := (&fileConsumer{s, first}).Apply([]byte(texts[first]))
-		if err == nil || g.Book() != previous {
+		if err == nil || g.Credentials() != previous {
 			t.Fatalf("alone: %v", err)
 		}
 		if first == credentialsFile && !strings.Contains(err.Error(), `:9: caller[0].roles[0]: "other" is no role`) {
 			t.Error(err)
 		}
-		if err := (&fileConsumer{s, 1 - first}).Apply([]byte(texts[1-first])); err != nil || g.Book() == previous {
+		if err := (&fileConsumer{s, 1 - first}).Apply([]byte(texts[1-first])); err != nil || g.Credentials() == previous {
 			t.Errorf("together: %v", err)
 		}
 	}
@@ -358,28 +358,28 @@
 	} {
 		at := now
 		p := identity.Pepper{1}
-		g := identity.NewGate(identity.Options{Log: slog.New(slog.DiscardHandler), Pepper: &p, Now: func() float64 { return at }})
+		g := identity.NewAuthenticator(identity.Options{Log: slog.New(slog.DiscardHandler), Pepper: &p, Now: func() float64 { return at }})
 		b, faults := caller.NewCredentialStore(caller.Contents{Version: 1, Issued: now, Policy: c.policy, Tenants: []caller.Tenant{{Name: "t"}},
 			Principals: []caller.Principal{{Name: "c", Tenant: "t"}}, Keys: []caller.Key{{ID: "s", Algorithm: caller.Secret, Caller: "c", Digest: p.Hash("s", []byte("x")), Lifecycle: caller.Lifecycle{Active: 1}}}})
 		if faults != nil {
 			t.Fatal(faults)
 		}
-		if err := g.Use(b); err != nil {
+		if err := g.SetCredentials(b); err != nil {
 			t.Fatal(err)
 		}
-		pass, why := g.Secret("127.0.0.1:1", "s", []byte("x"))
+		pass, why := g.AuthenticateSecret("127.0.0.1:1", "s", []byte("x"))
 		if why != caller.None {
 			t.Fatal(why)
 		}
 		at = now + c.age
-		if _, why := g.Secret("127.0.0.1:1", "s", []byte("x")); why != c.isNew {
+		if _, why := g.AuthenticateSecret("127.0.0.1:1", "s", []byte("x")); why != c.isNew {
 			t.Errorf("%+v: new: %v", c, why)
 		}
-		if _, why := g.Check(pass); why != c.wasKnown {
+		if _, why := g.Revalidate(pass); why != c.wasKnown {
 			t.Errorf("%+v: known: %v", c, why)
 		}
 		g.Confirm(at)
-		if _, why := g.Check(pass); why != caller.None {
+		if _, why := g.Revalidate(pass); why != caller.None {
 			t.Errorf("%+v: confirmed: %v", c, why)
 		}
 	}
@@ -411,7 +411,7 @@
 			t.Fatal(i, err)
 		}
 	}
-	standintest.Until(t, "the secret's key", func() bool { return g.Book().Key("s") != nil })
+	standintest.Until(t, "the secret's key", func() bool { return g.Credentials().Key("s") != nil })
 	text := out.String()
 	_, secret, _ := strings.Cut(text, "secret ")
 	secret = strings.Fields(secret)[0]
@@ -426,7 +426,7 @@
 		t.Fatal(err)
 	}
 	standintest.Until(t, "revoked", func() bool {
-		k := g.Book().Key("s")
+		k := g.Credentials().Key("s")
 		return k != nil && k.Lifecycle.StateAt(nowMS()) == caller.Revoked
 	})
 	if err := tool.SetState("s", "active", time.Now()); !errors.Is(err, ErrLifecycle) {
--- a/internal/keybook/source.go
+++ b/internal/keybook/source.go
@@ -45,7 +45,7 @@
 type Source struct {
 	cfg   SourceConfig
 	paths [fileCount]string
-	gate  *identity.Gate
+	gate  *identity.Authenticator
 	log   *slog.Logger
 
 	mu      sync.Mutex
@@ -59,7 +59,7 @@
 
 // Open reads the files and installs the gate's initial credentials. The error lists each fault with file and
 // line.
-func Open(cfg SourceConfig, gate *identity.Gate, log *slog.Logger) (*Source, error) {
+func Open(cfg SourceConfig, gate *identity.Authenticator, log *slog.Logger) (*Source, error) {
 	s := &Source{cfg: cfg, paths: [fileCount]string{cfg.CredentialsPath, cfg.RightsPath, cfg.BundlePath}, gate: gate, log: log}
 	var next [fileCount][]byte
 	for i, path := range s.paths {
@@ -141,7 +141,7 @@
 		s.mu.Lock()
 		unchanged := err == nil && string(text) == string(s.inUse[credentialsFile])
 		s.mu.Unlock()
-		if b := s.gate.Book(); unchanged && b != nil && b.Issued() == 0 {
+		if b := s.gate.Credentials(); unchanged && b != nil && b.Issued() == 0 {
 			s.gate.Confirm(nowMS())
 		}
 	}
@@ -224,7 +224,7 @@
 	if faults != nil {
 		return LocateFaults(s.cfg.CredentialsPath, next[credentialsFile], faults)
 	}
-	if err := s.gate.Use(book); err != nil {
+	if err := s.gate.SetCredentials(book); err != nil {
 		return fmt.Errorf("%s: %w", s.cfg.CredentialsPath, err)
 	}
 	s.inUse, s.version, s.epoch, s.terms, s.tenants = next, b.Version, c.Version, b.Terms, b.Tenants
@@ -269,7 +269,7 @@
 		if err != nil {
 			return caller.Contents{}, err
 		}
-		c.TrustAnchors = identity.Anchors(certs)
+		c.TrustAnchors = identity.TrustAnchors(certs)
 	}
 	return c, nil
 }
--- a/internal/keybook/tool.go
+++ b/internal/keybook/tool.go
@@ -109,7 +109,7 @@
 
 // ImportKeys adds all public keys of a JWKS file, or none.
 func (t Tool) ImportKeys(path, issuer string, lifecycle caller.Lifecycle) error {
-	text, err := readBounded(path, identity.MaxJWKS)
+	text, err := readBounded(path, identity.MaxJWKSBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -41,7 +41,7 @@
 		return nil, fmt.Errorf("admin: %w", err)
 	}
 	a.api = admin.New(admin.Options{Keeper: a.keeper, Tokens: admin.NewTokens(st), Publish: a.publish, Usage: s.usage,
-		InHand: func(name string, generation uint32) int {
+		InFlight: func(name string, generation uint32) int {
 			return s.known.usage.InHand(router.Lifetime{Name: name, Generation: generation})
 		},
 		Classes: s.file.Classes(), Pools: s.file.PoolNames(), Log: slog.Default()})
