--- a/internal/keybook/store.go
+++ b/internal/keybook/store.go
@@ -16,40 +16,40 @@
 	"mossproxy.example/mossproxy/internal/store"
 )
 
-// Keys of the store.
+// Keys and key prefixes in the store.
 const (
-	headKey          = "callers/head"        // the book's version; every change expects it
-	tenantPrefix     = "callers/tenant/"     // rows, in JSON
-	generationPrefix = "callers/generation/" // the last generation of a name, kept when its tenant goes
+	headKey          = "callers/head"        // the credentials' version; every change is conditional on it
+	tenantPrefix     = "callers/tenant/"     // rows in JSON, as below the next prefixes
+	generationPrefix = "callers/generation/" // the last generation of a name, kept after its tenant is deleted
 	callerPrefix     = "callers/caller/"
 	keyPrefix        = "callers/key/"
-	auditPrefix      = "callers/audit/" // records by version
+	auditPrefix      = "callers/audit/" // records by version, in hexadecimal
 )
 
-// Errors of changes.
+// Errors that changes wrap. ErrConflict means that the credentials changed concurrently.
 var (
 	ErrNotFound  = errors.New("there is none of that name")
 	ErrExists    = errors.New("is there already")
 	ErrConflict  = errors.New("changed by another meanwhile; nothing was changed")
-	ErrLifecycle = errors.New("the key's life does not go there")
+	ErrLifecycle = errors.New("the key's lifecycle does not allow the change")
 )
 
-// Store changes a book in a store. One program has the store at a time, so one keeper.
+// Store reads and changes the credentials in an underlying store. Only one process opens that at a time.
 type Store struct {
 	store *store.Store
 	actor string
 	now   func() time.Time
 }
 
-// NewStore changes the book in a store in the name of who.
-func NewStore(s *store.Store, who string, now func() time.Time) *Store {
+// NewStore returns a Store that records actor as the author of its changes. If now is nil, time.Now is used.
+func NewStore(s *store.Store, actor string, now func() time.Time) *Store {
 	if now == nil {
 		now = time.Now
 	}
-	return &Store{s, who, now}
+	return &Store{s, actor, now}
 }
 
-// Record is what the audit keeps of a change: who changed what, from what to what. Public keys and hashes are left out.
+// Record is the audit record of a change. It omits public keys and hashes.
 type Record struct {
 	Version uint64    `json:"version"`
 	At      time.Time `json:"at"`
@@ -60,9 +60,9 @@
 	To      any       `json:"to,omitempty"`
 }
 
-// Load gives the book as it stands.
-func (k *Store) Load() (*Credentials, error) {
-	sn, err := k.store.Snapshot()
+// Load returns a consistent snapshot of the credentials.
+func (st *Store) Load() (*Credentials, error) {
+	sn, err := st.store.Snapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -85,22 +85,23 @@
 		return nil, err
 	}
 	return b, scanRows(sn, keyPrefix, func(r keyRow) error {
-		key, at, err := r.key()
+		key, field, err := r.key()
 		if err != nil {
-			return fmt.Errorf("%s: %w", at, err)
+			return fmt.Errorf("%s: %w", field, err)
 		}
 		b.Keys = append(b.Keys, key)
 		return nil
 	})
 }
 
-// reader is a store or a snapshot of one.
+// reader is implemented by a store and by its snapshots.
 type reader interface {
 	Get(key string) (store.Item, error)
 }
 
-// readHead is the book's version and that of its entry in the store.
-func readHead(s reader) (book, entry uint64, err error) {
+// readHead returns the version of the credentials and the version of its entry in the store; 0 and 0 if there
+// is none.
+func readHead(s reader) (version, entryVersion uint64, err error) {
 	item, err := s.Get(headKey)
 	if errors.Is(err, store.ErrNotFound) {
 		return 0, 0, nil
@@ -108,11 +109,11 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	book, err = strconv.ParseUint(string(item.Value), 10, 64)
-	return book, item.Version, err
+	version, err = strconv.ParseUint(string(item.Value), 10, 64)
+	return version, item.Version, err
 }
 
-// scanRows reads the rows below a prefix.
+// scanRows calls do for each row with the given prefix, until an error.
 func scanRows[R any](sn *store.Snapshot, prefix string, do func(R) error) error {
 	for item, err := range sn.Scan(prefix, "") {
 		if err != nil {
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// getRow reads one row.
+// getRow reads one row and reports whether it exists.
 func getRow[R any](s reader, key string) (r R, ok bool, err error) {
 	item, err := s.Get(key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -141,7 +142,7 @@
 	return r, true, json.Unmarshal(item.Value, &r)
 }
 
-// getRequiredRow is get for a row that must be there.
+// getRequiredRow reads one row and returns ErrNotFound if it does not exist.
 func getRequiredRow[R any](s reader, prefix, kind, name string) (R, error) {
 	r, ok, err := getRow[R](s, prefix+name)
 	if err == nil && !ok {
@@ -150,7 +151,7 @@
 	return r, err
 }
 
-// change is one atomic change of a book.
+// change is one atomic change of the credentials, with the fields of its audit record.
 type change struct {
 	action, name string
 	from, to     any
@@ -158,23 +159,23 @@
 	deletes      []string
 }
 
-// commit makes a change: rows, the book's version and the audit's record in one batch, whole or not at all. expected is the version
-// of the book that the change was made on; 0 = whichever there is.
-func (k *Store) commit(expected uint64, make func(s reader) (change, error)) (version uint64, err error) {
-	book, entry, err := readHead(k.store)
+// commit applies a change atomically: rows, the new version and the audit record go into one batch. expected
+// is the version of the credentials that the change is based on; 0 = any. It returns the new version.
+func (st *Store) commit(expected uint64, build func(s reader) (change, error)) (version uint64, err error) {
+	current, entryVersion, err := readHead(st.store)
 	if err != nil {
 		return 0, err
 	}
-	if expected != 0 && expected != book {
-		return 0, fmt.Errorf("the book is of version %d, not %d: %w", book, expected, ErrConflict)
+	if expected != 0 && expected != current {
+		return 0, fmt.Errorf("the credentials have version %d, not %d: %w", current, expected, ErrConflict)
 	}
-	c, err := make(k.store)
+	c, err := build(st.store)
 	if err != nil {
 		return 0, err
 	}
-	version = book + 1
+	version = current + 1
 	var b store.Batch
-	b.Expect(headKey, entry)
+	b.Expect(headKey, entryVersion)
 	b.Put(headKey, strconv.AppendUint(nil, version, 10))
 	for name, row := range c.puts {
 		text, err := json.Marshal(row)
@@ -186,12 +187,12 @@
 	for _, name := range c.deletes {
 		b.Delete(name)
 	}
-	text, err := json.Marshal(Record{version, k.now().UTC(), k.actor, c.action, c.name, c.from, c.to})
+	text, err := json.Marshal(Record{version, st.now().UTC(), st.actor, c.action, c.name, c.from, c.to})
 	if err != nil {
 		return 0, fmt.Errorf("audit: %w", err)
 	}
 	b.Put(fmt.Sprintf("%s%016x", auditPrefix, version), text)
-	if _, err := k.store.Apply(&b); errors.Is(err, store.ErrConflict) {
+	if _, err := st.store.Apply(&b); errors.Is(err, store.ErrConflict) {
 		return 0, ErrConflict
 	} else if err != nil {
 		return 0, err
@@ -199,15 +200,15 @@
 	return version, nil
 }
 
-// redacted is a key's row as the audit shows it.
+// redacted returns the row without the public key and the hash, for the audit.
 func (r keyRow) redacted() keyRow {
 	r.JWK, r.Hash = "", ""
 	return r
 }
 
-// AddKeys adds keys, all or none.
-func (k *Store) AddKeys(expected uint64, keys ...caller.Key) (uint64, error) {
-	return k.commit(expected, func(s reader) (change, error) {
+// AddKeys adds all keys or none. It returns ErrExists if an id is in use.
+func (st *Store) AddKeys(expected uint64, keys ...caller.Key) (uint64, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		c := change{action: "key create", puts: map[string]any{}}
 		var names []string
 		var rows []keyRow
@@ -230,50 +231,51 @@
 	})
 }
 
-// SetLifecycle changes when a key goes from state to state. Its life may be planned anew, but it never goes back: what was revoked or
-// retired stays so, as the reason for it may be that somebody else has the key.
-func (k *Store) SetLifecycle(expected uint64, id, what string, set func(l *caller.Lifecycle)) (uint64, error) {
-	return k.commit(expected, func(s reader) (change, error) {
+// SetLifecycle changes the times of a key's state transitions. Planned times may change, but a key never
+// returns to an earlier state: a revoked or retired key stays so, as the reason may be that it was disclosed.
+func (st *Store) SetLifecycle(expected uint64, id, what string, set func(l *caller.Lifecycle)) (uint64, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[keyRow](s, keyPrefix, "key", id)
 		if err != nil {
 			return change{}, err
 		}
-		now := float64(k.now().UnixMicro()) / 1000
-		was := caller.Lifecycle{Active: unixMS(row.Active), Retiring: unixMS(row.Retiring), Retired: unixMS(row.Retired), Revoked: unixMS(row.Revoked)}
-		is := was
-		set(&is)
-		if err := checkTransition(was, is, now); err != nil {
+		now := float64(st.now().UnixMicro()) / 1000
+		previous := caller.Lifecycle{Active: unixMS(row.Active), Retiring: unixMS(row.Retiring), Retired: unixMS(row.Retired), Revoked: unixMS(row.Revoked)}
+		updated := previous
+		set(&updated)
+		if err := checkTransition(previous, updated, now); err != nil {
 			return change{}, fmt.Errorf("key %s: %w", id, err)
 		}
 		next := row
-		next.Active, next.Retiring, next.Retired, next.Revoked = timeFromMS(is.Active), timeFromMS(is.Retiring), timeFromMS(is.Retired), timeFromMS(is.Revoked)
+		next.Active, next.Retiring, next.Retired, next.Revoked = timeFromMS(updated.Active), timeFromMS(updated.Retiring), timeFromMS(updated.Retired), timeFromMS(updated.Revoked)
 		return change{action: "key " + what, name: id, from: row.redacted(), to: next.redacted(), puts: map[string]any{keyPrefix + id: next}}, nil
 	})
 }
 
-// checkTransition says whether a life may become another at a time.
-func checkTransition(was, is caller.Lifecycle, now float64) error {
-	planned := is
-	if planned.Revoked = was.Revoked; was.StateAt(now) == caller.Revoked && is != was || was.StateAt(now) == caller.Retired && planned != was {
-		return fmt.Errorf("it is %s: %w", was.StateAt(now), ErrLifecycle)
+// checkTransition returns an error if the updated lifecycle may not replace the previous one at time now.
+func checkTransition(previous, updated caller.Lifecycle, now float64) error {
+	planned := updated
+	if planned.Revoked = previous.Revoked; previous.StateAt(now) == caller.Revoked && updated != previous || previous.StateAt(now) == caller.Retired && planned != previous {
+		return fmt.Errorf("it is %s: %w", previous.StateAt(now), ErrLifecycle)
 	}
-	if is.StateAt(now) < was.StateAt(now) && was.StateAt(now) > caller.Active {
-		return fmt.Errorf("it is %s already: %w", was.StateAt(now), ErrLifecycle)
+	if updated.StateAt(now) < previous.StateAt(now) && previous.StateAt(now) > caller.Active {
+		return fmt.Errorf("it is %s already: %w", previous.StateAt(now), ErrLifecycle)
 	}
-	order := []float64{is.Active, is.Retiring, is.Retired}
+	order := []float64{updated.Active, updated.Retiring, updated.Retired}
 	last := 0.0
 	for _, t := range order {
 		if t > 0 && t < last {
-			return fmt.Errorf("its states would not follow one another: %w", ErrLifecycle)
+			return fmt.Errorf("its states would be out of order: %w", ErrLifecycle)
 		}
 		last = max(last, t)
 	}
 	return nil
 }
 
-// CreateTenant makes a tenant. One of a name that was there before gets the next generation: nothing of the old one reaches it.
-func (k *Store) CreateTenant(expected uint64, name string) (uint64, error) {
-	return k.commit(expected, func(s reader) (change, error) {
+// CreateTenant creates a tenant. If the name was used before, the tenant gets the next generation, so that
+// nothing of the deleted tenant applies to it.
+func (st *Store) CreateTenant(expected uint64, name string) (uint64, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		if _, there, err := getRow[tenantRow](s, tenantPrefix+name); err != nil {
 			return change{}, err
 		} else if there {
@@ -291,9 +293,9 @@
 	})
 }
 
-// SuspendTenant has a tenant's callers not taken, or taken again.
-func (k *Store) SuspendTenant(expected uint64, name string, on bool) (uint64, error) {
-	return k.commit(expected, func(s reader) (change, error) {
+// SuspendTenant sets whether the tenant's callers are rejected.
+func (st *Store) SuspendTenant(expected uint64, name string, on bool) (uint64, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[tenantRow](s, tenantPrefix, "tenant", name)
 		if err != nil {
 			return change{}, err
@@ -304,16 +306,16 @@
 	})
 }
 
-// DeleteTenant ends a tenant, with its callers and their secrets.
-func (k *Store) DeleteTenant(expected uint64, name string) (uint64, error) {
-	b, err := k.Load()
+// DeleteTenant deletes a tenant with its callers and their secrets.
+func (st *Store) DeleteTenant(expected uint64, name string) (uint64, error) {
+	b, err := st.Load()
 	if err != nil {
 		return 0, err
 	}
 	if expected == 0 {
-		expected = b.Version // what goes with it is what is there now
+		expected = b.Version // the callers and secrets to delete were read at this version
 	}
-	return k.commit(expected, func(s reader) (change, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[tenantRow](s, tenantPrefix, "tenant", name)
 		if err != nil {
 			return change{}, err
@@ -322,7 +324,7 @@
 	})
 }
 
-// tenantDeletion is the end of a tenant, with all that is its.
+// tenantDeletion returns the change that deletes a tenant with its callers and their secrets.
 func tenantDeletion(b *Credentials, row tenantRow) change {
 	c := change{action: "tenant delete", name: row.Name, from: row, deletes: []string{tenantPrefix + row.Name}}
 	for _, p := range b.Callers {
@@ -333,7 +335,7 @@
 	return c
 }
 
-// secretKeysOf are the store's names of a caller's secrets.
+// secretKeysOf returns the store keys of a caller's secrets.
 func secretKeysOf(b *Credentials, name string) (out []string) {
 	for _, key := range b.Keys {
 		if key.Caller == name {
@@ -343,44 +345,44 @@
 	return out
 }
 
-// SetCaller makes a caller or changes one. What it says must go with the rest of the book.
-func (k *Store) SetCaller(expected uint64, p caller.Principal) (uint64, error) {
-	b, err := k.Load()
+// SetCaller creates or changes a caller. The result must be consistent with the other credentials.
+func (st *Store) SetCaller(expected uint64, p caller.Principal) (uint64, error) {
+	b, err := st.Load()
 	if err != nil {
 		return 0, err
 	}
 	if expected == 0 {
 		expected = b.Version
 	}
-	was := -1
+	index := -1
 	for i := range b.Callers {
 		if b.Callers[i].Name == p.Name {
-			was = i
+			index = i
 		}
 	}
 	c := change{action: "caller set", name: p.Name, to: callerRowOf(p), puts: map[string]any{callerPrefix + p.Name: callerRowOf(p)}}
-	if was >= 0 {
-		c.from = callerRowOf(b.Callers[was])
-		b.Callers[was] = p
+	if index >= 0 {
+		c.from = callerRowOf(b.Callers[index])
+		b.Callers[index] = p
 	} else {
 		b.Callers = append(b.Callers, p)
 	}
 	if err := b.Check(); err != nil {
 		return 0, err
 	}
-	return k.commit(expected, func(reader) (change, error) { return c, nil })
+	return st.commit(expected, func(reader) (change, error) { return c, nil })
 }
 
-// DeleteCaller ends a caller, with its secrets.
-func (k *Store) DeleteCaller(expected uint64, name string) (uint64, error) {
-	b, err := k.Load()
+// DeleteCaller deletes a caller with its secrets.
+func (st *Store) DeleteCaller(expected uint64, name string) (uint64, error) {
+	b, err := st.Load()
 	if err != nil {
 		return 0, err
 	}
 	if expected == 0 {
 		expected = b.Version
 	}
-	return k.commit(expected, func(s reader) (change, error) {
+	return st.commit(expected, func(s reader) (change, error) {
 		row, err := getRequiredRow[callerRow](s, callerPrefix, "caller", name)
 		if err != nil {
 			return change{}, err
@@ -389,7 +391,8 @@
 	})
 }
 
-// Check says whether a book goes with itself; whether its roles are there, who compiles the rights file says.
+// Check returns an error if the credentials are inconsistent. It accepts any role name; roles are checked
+// against the rights file when that is compiled.
 func (b *Credentials) Check() error {
 	roles := map[string]*caller.Rights{}
 	for _, p := range b.Callers {
@@ -408,16 +411,16 @@
 	return errors.Join(errs...)
 }
 
-// Import takes a whole book over into an empty one.
-func (k *Store) Import(b *Credentials) (uint64, error) {
+// Import writes credentials into an empty store. It returns ErrExists if the store is not empty.
+func (st *Store) Import(b *Credentials) (uint64, error) {
 	if err := b.Check(); err != nil {
 		return 0, err
 	}
-	return k.commit(0, func(s reader) (change, error) {
+	return st.commit(0, func(s reader) (change, error) {
 		if n, _, err := readHead(s); err != nil {
 			return change{}, err
 		} else if n > 0 {
-			return change{}, fmt.Errorf("a book is there, of version %d: %w; import goes into an empty one", n, ErrExists)
+			return change{}, fmt.Errorf("credentials of version %d: %w; import requires an empty store", n, ErrExists)
 		}
 		c := change{action: "import", name: fmt.Sprintf("version %d", b.Version), puts: map[string]any{}}
 		for _, t := range b.Tenants {
@@ -437,9 +440,9 @@
 	})
 }
 
-// Audit writes the records above a version, one line of JSON each.
-func (k *Store) Audit(w io.Writer, above uint64) error {
-	sn, err := k.store.Snapshot()
+// Audit writes the records of versions greater than above, one line of JSON each.
+func (st *Store) Audit(w io.Writer, above uint64) error {
+	sn, err := st.store.Snapshot()
 	if err != nil {
 		return err
 	}
@@ -455,14 +458,14 @@
 	return nil
 }
 
-// Export writes the book to a file that routers follow: beside it first, synced, and then in its place, so that they find the old
-// one or the new one whole.
-func (k *Store) Export(path string) (version uint64, err error) {
-	b, err := k.Load()
+// Export writes the credentials to the file that routers watch and returns their version. It replaces the
+// file atomically, so that routers see either the old or the new content.
+func (st *Store) Export(path string) (version uint64, err error) {
+	b, err := st.Load()
 	if err != nil {
 		return 0, err
 	}
-	b.Issued = k.now().Truncate(time.Millisecond)
+	b.Issued = st.now().Truncate(time.Millisecond)
 	text, err := b.Encode()
 	if err != nil {
 		return 0, err
@@ -470,10 +473,11 @@
 	return b.Version, replaceFile(path, text)
 }
 
-// replaceFile puts a file in another's place. What a crash leaves beside it is overwritten the next time.
+// replaceFile atomically replaces a file by way of a synced temporary file. One that a crash leaves behind is
+// overwritten by the next call.
 func replaceFile(path string, text []byte) error {
-	next := path + ".next"
-	f, err := os.OpenFile(next, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	tempPath := path + ".next"
+	f, err := os.OpenFile(tempPath, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return fmt.Errorf("export: %w", err)
 	}
@@ -484,10 +488,10 @@
 		err = e
 	}
 	if err == nil {
-		err = os.Rename(next, path)
+		err = os.Rename(tempPath, path)
 	}
 	if err != nil {
-		os.Remove(next) //nolint:errcheck // half a file is none
+		os.Remove(tempPath) //nolint:errcheck // the write error is returned
 		return fmt.Errorf("export: %w", err)
 	}
 	d, err := os.Open(filepath.Dir(path))
--- a/internal/keybook/tenants.go
+++ b/internal/keybook/tenants.go
@@ -9,7 +9,7 @@
 	"mossproxy.example/mossproxy/internal/store"
 )
 
-// Tenant is one of the store's, with the version by which a change of it is conditioned.
+// Tenant is a tenant in the store. Version is that of its entry; changes are conditional on it.
 type Tenant struct {
 	Name       string
 	Generation uint32
@@ -18,8 +18,8 @@
 	Version uint64
 }
 
-// StaleError tells of a change that was made on another version than the one in the store.
-type StaleError struct{ Current uint64 } // 0 = there is none
+// StaleError is returned for a change that is based on a version other than the current one.
+type StaleError struct{ Current uint64 } // 0 = the tenant does not exist
 
 func (e *StaleError) Error() string {
 	if e.Current == 0 {
@@ -28,20 +28,20 @@
 	return fmt.Sprintf("it is of version %d by now", e.Current)
 }
 
-// WithActor is the keeper in the name of another, for the audit.
-func (k *Store) WithActor(who string) *Store { return &Store{k.store, who, k.now} }
+// WithActor returns a Store that names actor in its audit records.
+func (st *Store) WithActor(actor string) *Store { return &Store{st.store, actor, st.now} }
 
-// Version is the book's.
-func (k *Store) Version() (uint64, error) {
-	v, _, err := readHead(k.store)
+// Version returns the version of the credentials; 0 = there are none.
+func (st *Store) Version() (uint64, error) {
+	v, _, err := readHead(st.store)
 	return v, err
 }
 
-// WaitForVersion waits until the book's version is above one, or ctx ends.
-func (k *Store) WaitForVersion(ctx context.Context, above uint64) error {
+// WaitForVersion waits until the credentials' version is greater than above, or ctx is done.
+func (st *Store) WaitForVersion(ctx context.Context, above uint64) error {
 	for {
-		w := k.store.Watch(k.store.Version()) // ahead of the look, so that no change falls between
-		v, err := k.Version()
+		w := st.store.Watch(st.store.Version()) // before reading the version, so that no change is missed
+		v, err := st.Version()
 		if err != nil || v > above {
 			return err
 		}
@@ -51,9 +51,9 @@
 	}
 }
 
-// Tenant gives one; its Version is 0 where there is none.
-func (k *Store) Tenant(name string) (Tenant, error) {
-	row, version, err := readTenant(k.store, name)
+// Tenant returns a tenant; its Version is 0 if it does not exist.
+func (st *Store) Tenant(name string) (Tenant, error) {
+	row, version, err := readTenant(st.store, name)
 	return row.withVersion(version), err
 }
 
@@ -61,7 +61,7 @@
 	return Tenant{r.Name, r.Generation, r.Suspended, r.terms(), version}
 }
 
-// readTenant gives a row and the version of its entry.
+// readTenant returns a tenant's row and the version of its entry, which is 0 if there is none.
 func readTenant(s reader, name string) (tenantRow, uint64, error) {
 	item, err := s.Get(tenantPrefix + name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -74,9 +74,10 @@
 	return row, item.Version, err
 }
 
-// Tenants gives up to so many whose names come after one, in their order, and the book's version that they are of.
-func (k *Store) Tenants(after string, most int) (out []Tenant, version uint64, err error) {
-	sn, err := k.store.Snapshot()
+// Tenants returns up to limit tenants with names after the given one, ordered by name, and the credentials'
+// version.
+func (st *Store) Tenants(after string, limit int) (out []Tenant, version uint64, err error) {
+	sn, err := st.store.Snapshot()
 	if err != nil {
 		return nil, 0, err
 	}
@@ -85,7 +86,7 @@
 		return nil, 0, err
 	}
 	for name, entry := range sn.Keys(tenantPrefix, tenantPrefix+after+"\x00") {
-		if len(out) == most {
+		if len(out) == limit {
 			break
 		}
 		row, _, err := getRow[tenantRow](sn, name)
@@ -97,9 +98,10 @@
 	return out, version, nil
 }
 
-// PutTenant makes a tenant, where expected is 0, or changes the one of that version. Who loses against another gets a StaleError, and
-// nothing is changed. It gives the tenant as it is now, and the book's version.
-func (k *Store) PutTenant(t Tenant, expected uint64) (Tenant, uint64, error) {
+// PutTenant creates a tenant if expected is 0, and otherwise changes the tenant of that version. If the
+// version differs it returns a StaleError and changes nothing. It returns the current tenant and the
+// credentials' version.
+func (st *Store) PutTenant(t Tenant, expected uint64) (Tenant, uint64, error) {
 	if err := tenant.CheckName(t.Name); err != nil {
 		return Tenant{}, 0, err
 	}
@@ -107,9 +109,9 @@
 		return Tenant{}, 0, err
 	}
 	next := tenantRow{t.Name, 0, t.Suspended, t.Terms.row()}
-	book, err := k.changeTenant(t.Name, expected, func(s reader, was tenantRow) (change, error) {
+	version, err := st.changeTenant(t.Name, expected, func(s reader, previous tenantRow) (change, error) {
 		c := change{action: "tenant set", name: t.Name, puts: map[string]any{}}
-		if next.Generation = was.Generation; expected == 0 {
+		if next.Generation = previous.Generation; expected == 0 {
 			gen, _, err := getRow[uint32](s, generationPrefix+t.Name)
 			if err != nil {
 				return c, err
@@ -117,7 +119,7 @@
 			next.Generation = gen + 1
 			c.action, c.puts[generationPrefix+t.Name] = "tenant create", next.Generation
 		} else {
-			c.from = was
+			c.from = previous
 		}
 		c.to, c.puts[tenantPrefix+t.Name] = next, next
 		return c, nil
@@ -125,39 +127,41 @@
 	if err != nil {
 		return Tenant{}, 0, err
 	}
-	now, err := k.Tenant(t.Name)
-	return now, book, err
+	current, err := st.Tenant(t.Name)
+	return current, version, err
 }
 
-// RemoveTenant ends the tenant of a version, with its callers and their secrets.
-func (k *Store) RemoveTenant(name string, expected uint64) (uint64, error) {
-	return k.changeTenant(name, expected, func(_ reader, was tenantRow) (change, error) {
-		b, err := k.Load()
+// RemoveTenant deletes the tenant of the expected version with its callers and their secrets. It returns a
+// StaleError if the version differs.
+func (st *Store) RemoveTenant(name string, expected uint64) (uint64, error) {
+	return st.changeTenant(name, expected, func(_ reader, previous tenantRow) (change, error) {
+		credentials, err := st.Load()
 		if err != nil {
 			return change{}, err
 		}
-		if was.Name == "" {
+		if previous.Name == "" {
 			return change{}, &StaleError{}
 		}
-		return tenantDeletion(b, was), nil
+		return tenantDeletion(credentials, previous), nil
 	})
 }
 
-// maxTenantChangeAttempts bounds how often a change is made anew because another of the book came first.
+// maxTenantChangeAttempts limits the attempts at a change that conflicts with concurrent changes.
 const maxTenantChangeAttempts = 100
 
-// changeTenant makes a change of one tenant's entry of a version. Changes of others meanwhile are no conflict: it is made anew on them.
-func (k *Store) changeTenant(name string, expected uint64, make func(s reader, was tenantRow) (change, error)) (version uint64, err error) {
+// changeTenant changes one tenant's entry of the expected version. When other entries change concurrently, it
+// retries the change on the new state.
+func (st *Store) changeTenant(name string, expected uint64, build func(s reader, previous tenantRow) (change, error)) (version uint64, err error) {
 	for range maxTenantChangeAttempts {
-		version, err = k.commit(0, func(s reader) (change, error) {
-			was, at, err := readTenant(s, name)
+		version, err = st.commit(0, func(s reader) (change, error) {
+			previous, entryVersion, err := readTenant(s, name)
 			if err != nil {
 				return change{}, err
 			}
-			if at != expected {
-				return change{}, &StaleError{at}
+			if entryVersion != expected {
+				return change{}, &StaleError{entryVersion}
 			}
-			return make(s, was)
+			return build(s, previous)
 		})
 		if !errors.Is(err, ErrConflict) {
 			break
