--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's text protocol and the decide package: one Balancer for each
-// router instance, sharing nothing. It decides nothing.
+// Package wire translates between the simulator's text protocol and the decide package. Each router instance
+// has a Balancer of its own, and instances share no state. All decisions are made by the Balancers.
 package wire
 
 import (
@@ -17,7 +17,7 @@
 	"mossproxy.example/mossproxy/internal/settings"
 )
 
-// instance is one router: its Balancer and the actions it took in this batch.
+// instance is one simulated router. It implements decide.Host by writing each action to the reply.
 type instance struct {
 	balancer *decide.Balancer
 	id       string
@@ -25,10 +25,10 @@
 	columns  []string
 }
 
-// Session hosts the instances of one adapter process.
+// Session holds the router instances of one adapter process.
 type Session struct {
 	instances map[string]*instance
-	out       *bytes.Buffer // the reply to the batch in hand, written once the batch has been understood
+	out       *bytes.Buffer // reply to the current batch, written only after the whole batch was parsed
 }
 
 var statusByName = map[string]decide.Status{
@@ -43,7 +43,8 @@
 
 var stateByName = map[string]decide.State{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Removed}
 
-// Run answers batches from in on out until in ends. A malformed batch ends it with an error that names the line.
+// Run reads batches from in and writes a reply to each to out until in ends. A malformed batch ends it with
+// an error that contains the line number; no part of that batch's reply is written.
 func Run(in io.Reader, out io.Writer) error {
 	r := newLineReader(in)
 	s := &Session{instances: map[string]*instance{}, out: new(bytes.Buffer)}
@@ -62,7 +63,7 @@
 	}
 }
 
-// lineReader reads lines of any length and counts them.
+// lineReader reads lines of any length and counts them for error messages.
 type lineReader struct {
 	reader     *bufio.Reader
 	lineNumber int
@@ -72,7 +73,8 @@
 	return &lineReader{reader: bufio.NewReaderSize(in, 1<<20)}
 }
 
-// readLine returns the next line without its end; io.EOF only at a clean end of input.
+// readLine returns the next line without its line ending. It returns io.EOF only if the input ends after a
+// complete line.
 func (l *lineReader) readLine() (string, error) {
 	text, err := l.reader.ReadString('\n')
 	if errors.Is(err, io.EOF) && text == "" {
@@ -88,7 +90,7 @@
 	return strings.TrimSuffix(text[:len(text)-1], "\r"), nil
 }
 
-// handleBatch reads one batch and acts on its events; false at the end of input.
+// handleBatch reads one batch and processes its events. It returns false at the end of input.
 func (s *Session) handleBatch(r *lineReader) (bool, error) {
 	text, err := r.readLine()
 	for err == nil && text == "" {
@@ -128,7 +130,7 @@
 	}
 }
 
-// fields walks through the parts of a line; the first error sticks.
+// fields parses the space-separated fields of a line and keeps the first error.
 type fields struct {
 	rest    string
 	hasMore bool
@@ -153,7 +155,7 @@
 	}
 }
 
-// remainder returns the remainder of the line.
+// remainder returns the unparsed rest of the line, spaces included.
 func (f *fields) remainder() string {
 	if !f.hasMore {
 		return f.next()
@@ -162,7 +164,7 @@
 	return f.rest
 }
 
-// parseNumber reads a finite number; an absent one is 0 where that is allowed.
+// parseNumber parses a finite number. If absent is true, "-" stands for a missing value and yields 0.
 func (f *fields) parseNumber(name string, absent bool) float64 {
 	w := f.next()
 	if absent && w == "-" {
@@ -212,7 +214,8 @@
 	return v
 }
 
-// parseLoad reads a report; its absent figures stay below 0.
+// parseLoad parses a server's load report. Values that the report leaves out keep decide.NoLoad's negative
+// value.
 func (f *fields) parseLoad(columns []string) decide.Load {
 	l := decide.NoLoad
 	w := f.next()
@@ -238,7 +241,8 @@
 	return l
 }
 
-// handleEvent reads one event and hands it to its instance. Events for unknown instances are passed over.
+// handleEvent parses one event and passes it to its instance. Events for unknown instances are parsed and
+// ignored.
 func (s *Session) handleEvent(now float64, text string, r *lineReader) error {
 	f := fields{rest: text, hasMore: true}
 	kind := f.next()
@@ -247,7 +251,7 @@
 		f.fail("instance", id)
 	}
 	in := s.instances[id]
-	var do func(b *decide.Balancer)
+	var deliver func(b *decide.Balancer)
 	switch kind {
 	case "OPEN_INSTANCE":
 		w := f.next()
@@ -264,7 +268,7 @@
 		}
 		return s.openInstance(id, seed, info)
 	case "DIRECTORY_UPDATE":
-		lk := parseEnum(&f, "kind", listKindByName)
+		listKind := parseEnum(&f, "kind", listKindByName)
 		f.parseNumber("version", true)
 		n := f.parseUint("number of entries")
 		if err := f.expectEnd(kind); err != nil {
@@ -278,7 +282,7 @@
 			}
 			entries = append(entries, e)
 		}
-		do = func(b *decide.Balancer) { b.Servers(now, lk, entries) }
+		deliver = func(b *decide.Balancer) { b.Servers(now, listKind, entries) }
 	case "ASK":
 		q := decide.Request{ID: f.parseUint("requestId"), Class: f.next(), Tenant: f.next()}
 		if k := f.next(); k != "-" {
@@ -290,18 +294,18 @@
 		}
 		q.Left, q.Hint, q.Size = f.parseNumber("remaining", false), f.parseNumber("weightHint", true), f.parseNumber("size", true)
 		q.Retry, q.Write = f.parseBool("isRetry"), f.parseBool("isWrite")
-		do = func(b *decide.Balancer) { b.Request(now, q) }
+		deliver = func(b *decide.Balancer) { b.Request(now, q) }
 	case "VANISHED":
 		q := f.parseUint("requestId")
-		do = func(b *decide.Balancer) { b.ClientGone(now, q) }
+		deliver = func(b *decide.Balancer) { b.ClientGone(now, q) }
 	case "UNDER_WAY":
 		q := f.parseUint("requestId")
 		f.parseUint("leg")
 		f.parseUint("server")
 		f.parseNumber("lag", true)
-		do = func(b *decide.Balancer) { b.StreamStarted(now, q) }
+		deliver = func(b *decide.Balancer) { b.StreamStarted(now, q) }
 	case "STATUS_BACK":
-		sv, st := f.parseUint("server"), parseEnum(&f, "outcome", statusByName)
+		server, status := f.parseUint("server"), parseEnum(&f, "outcome", statusByName)
 		f.parseNumber("lag", true)
 		var columns []string
 		if in != nil {
@@ -313,7 +317,7 @@
 		} else {
 			f.next()
 		}
-		do = func(b *decide.Balancer) { b.ProbeResult(now, sv, st, l) }
+		deliver = func(b *decide.Balancer) { b.ProbeResult(now, server, status, l) }
 	case "MESSAGE":
 		from := int(f.parseUint("sender"))
 		w := f.next()
@@ -321,7 +325,7 @@
 		if err != nil {
 			f.fail("octets", w)
 		}
-		do = func(b *decide.Balancer) { b.PeerMessage(now, from, data) }
+		deliver = func(b *decide.Balancer) { b.PeerMessage(now, from, data) }
 	case "SHUTDOWN":
 		if err := f.expectEnd(kind); err != nil {
 			return err
@@ -337,12 +341,12 @@
 		} else {
 			f.next()
 		}
-		do = func(b *decide.Balancer) { b.Outcome(now, o) }
+		deliver = func(b *decide.Balancer) { b.Outcome(now, o) }
 	case "FIRED":
 		w := f.next()
 		token, err := strconv.ParseUint(w, 10, 64)
-		do = func(b *decide.Balancer) {
-			if err == nil { // a token that is not ours has nothing to say
+		deliver = func(b *decide.Balancer) {
+			if err == nil { // a Balancer's tokens are numbers; any other is ignored
 				b.Timer(now, token)
 			}
 		}
@@ -353,25 +357,25 @@
 		return err
 	}
 	if in != nil {
-		do(in.balancer)
+		deliver(in.balancer)
 	}
 	return nil
 }
 
 func (s *Session) openInstance(id string, seed uint64, info string) error {
-	set, err := settings.Parse([]byte(info))
+	parsed, err := settings.Parse([]byte(info))
 	if err != nil {
 		return err
 	}
-	in := &instance{id: id, out: s.out, columns: set.Columns}
-	if in.balancer, err = decide.New(set.Config, seed, in); err != nil {
+	in := &instance{id: id, out: s.out, columns: parsed.Columns}
+	if in.balancer, err = decide.New(parsed.Config, seed, in); err != nil {
 		return err
 	}
 	s.instances[id] = in
 	return nil
 }
 
-// readEntry reads one line of a list.
+// readEntry parses one entry of a server list.
 func readEntry(r *lineReader) (decide.Entry, error) {
 	text, err := r.readLine()
 	if err == io.EOF {
@@ -389,7 +393,7 @@
 	return e, f.expectEnd("list entry")
 }
 
-// The methods of decide.Host write one action each.
+// The methods of decide.Host each write one action to the reply, by writeAction.
 
 func (in *instance) writeAction(name string, parts ...string) {
 	w := in.out
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// A reply longer than a writer's buffer went out in part before the batch turned out to be malformed.
+// Guards against a partial reply to a malformed batch. With a buffered writer, the start of a long reply is
+// sent as soon as the buffer is full, before the malformed line is read.
 func TestNothingOfAMalformedBatchIsAnswered(t *testing.T) {
 	var in strings.Builder
 	in.WriteString(openingBatch + "SYNC 1005\n")
@@ -114,7 +115,7 @@
 	}
 }
 
-// Instances act alike whether they share a process or not.
+// An instance takes the same actions whether it shares the process with others or not.
 func TestInstancesShareNothing(t *testing.T) {
 	script := func(ids ...int) string {
 		var in strings.Builder
@@ -155,7 +156,7 @@
 			t.Fatal(err)
 		}
 		if id := fmt.Sprint(i); of(both, id) != of(alone, id) || of(alone, id) == "" {
-			t.Errorf("instance %d acts otherwise in company", i)
+			t.Errorf("instance %d acts differently when it shares the process", i)
 		}
 	}
 }
@@ -169,10 +170,10 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		var out bytes.Buffer
 		if err := Run(strings.NewReader(in), &out); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("an error of several lines: %q", err)
+			t.Errorf("error text has several lines: %q", err)
 		}
 		if s := out.String(); strings.Contains(s, "NaN") || strings.Contains(s, "Inf") {
-			t.Errorf("a figure that is none: %q", s)
+			t.Errorf("reply contains NaN or Inf: %q", s)
 		}
 	})
 }
