--- a/cmd/cottonyoke/fleet.go
+++ b/cmd/cottonyoke/fleet.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// queryOnce queries all routers once and prints the result. It reports whether all routers answered and agree.
+// queryOnce queries all routers once, prints the result and reports whether all routers answered and agree.
 func (s *fleetQuery) queryOnce(ctx context.Context, printResult func(io.Writer, []operator.Asked) bool) (agree bool) {
 	asked := operator.AskFleets(ctx, s.Addrs)
 	if !s.JSON {
