--- a/cmd/cottonyoke/callers.go
+++ b/cmd/cottonyoke/callers.go
@@ -109,13 +109,13 @@
 	case "list":
 		return t.ListKeys()
 	case "announce":
-		return t.Step(c.Announce.ID, "announced", c.Announce.effectiveTime())
+		return t.SetState(c.Announce.ID, "announced", c.Announce.effectiveTime())
 	case "activate":
-		return t.Step(c.Activate.ID, "active", c.Activate.effectiveTime())
+		return t.SetState(c.Activate.ID, "active", c.Activate.effectiveTime())
 	case "retire":
 		return t.Retire(c.Retire.ID, c.Retire.effectiveTime(), c.Retire.Overlap)
 	case "revoke":
-		return t.Step(c.Revoke.ID, "revoked", c.Revoke.effectiveTime())
+		return t.SetState(c.Revoke.ID, "revoked", c.Revoke.effectiveTime())
 	case "pepper":
 		return identity.NewPepper(c.Pepper.File)
 	}
@@ -155,8 +155,8 @@
 // run executes the named subcommand.
 func (c *callerCmd) run(name string) error {
 	t := c.keybookTool()
-	change := func(do func(k *keybook.Keeper) (uint64, error)) error {
-		return t.Use(func(k *keybook.Keeper) error {
+	change := func(do func(k *keybook.Store) (uint64, error)) error {
+		return t.WithStore(func(k *keybook.Store) error {
 			_, err := do(k)
 			return err
 		})
@@ -166,19 +166,19 @@
 	case "set":
 		return t.SetCaller(c.Set.Name, c.Set.Tenant, c.Set.Role, c.Set.Subject, c.Set.Certificate)
 	case "remove":
-		return change(func(k *keybook.Keeper) (uint64, error) { return k.DeleteCaller(n, c.Remove.Name) })
+		return change(func(k *keybook.Store) (uint64, error) { return k.DeleteCaller(n, c.Remove.Name) })
 	case "import":
 		return t.ImportBook(c.Import.File)
 	case "audit":
 		return t.ShowAudit(c.Audit.Above)
 	case "tenant":
-		return change(func(k *keybook.Keeper) (uint64, error) { return k.CreateTenant(n, c.Tenant.Name) })
+		return change(func(k *keybook.Store) (uint64, error) { return k.CreateTenant(n, c.Tenant.Name) })
 	case "suspend":
-		return change(func(k *keybook.Keeper) (uint64, error) { return k.SuspendTenant(n, c.Suspend.Name, true) })
+		return change(func(k *keybook.Store) (uint64, error) { return k.SuspendTenant(n, c.Suspend.Name, true) })
 	case "resume":
-		return change(func(k *keybook.Keeper) (uint64, error) { return k.SuspendTenant(n, c.Resume.Name, false) })
+		return change(func(k *keybook.Store) (uint64, error) { return k.SuspendTenant(n, c.Resume.Name, false) })
 	case "delete":
-		return change(func(k *keybook.Keeper) (uint64, error) { return k.DeleteTenant(n, c.Delete.Name) })
+		return change(func(k *keybook.Store) (uint64, error) { return k.DeleteTenant(n, c.Delete.Name) })
 	}
 	return t.ListCallers()
 }
@@ -206,7 +206,7 @@
 		good, err = check.Rights(os.Stdout, c.Check.File, c.Check.Config)
 	} else {
 		explain := c.Explain
-		good, err = check.Explain(os.Stdout, explain.File, check.Question{Roles: explain.Role, Class: explain.Class, Key: explain.Key, Write: explain.Write, At: explain.At})
+		good, err = check.Explain(os.Stdout, explain.File, check.AccessQuery{Roles: explain.Role, Class: explain.Class, Key: explain.Key, Write: explain.Write, At: explain.At})
 	}
 	if err == nil && !good {
 		os.Exit(1) // check has already printed the faults
--- a/cmd/cottonyoke/fleet.go
+++ b/cmd/cottonyoke/fleet.go
@@ -42,9 +42,9 @@
 
 // run executes the named subcommand.
 func (c *fleetCmd) run(name string) error {
-	s, printResult := &c.Status, operator.Status
+	s, printResult := &c.Status, operator.WriteStatus
 	if name == "load" {
-		s, printResult = &c.Load, operator.Load
+		s, printResult = &c.Load, operator.WriteLoad
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -65,8 +65,8 @@
 }
 
 // queryOnce queries all routers once, prints the result and reports whether all routers answered and agree.
-func (s *fleetQuery) queryOnce(ctx context.Context, printResult func(io.Writer, []operator.Asked) bool) (agree bool) {
-	asked := operator.AskFleets(ctx, s.Addrs)
+func (s *fleetQuery) queryOnce(ctx context.Context, printResult func(io.Writer, []operator.ViewResult) bool) (agree bool) {
+	asked := operator.QueryViews(ctx, s.Addrs)
 	if !s.JSON {
 		return printResult(os.Stdout, asked)
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -24,14 +24,14 @@
 
 // Options are what the API works by.
 type Options struct {
-	Keeper *keybook.Keeper
+	Keeper *keybook.Store
 	Tokens *Tokens
 	// Publish brings the store's book to the routers and waits until its version is in force here, or ctx ends.
 	Publish func(ctx context.Context, version uint64) error
 	// Usage is what a tenant asked of this router in the last hour, by minute.
 	Usage func(name string, generation uint32) []tenant.Minute
-	// InHand is how many requests of one of the tenants of a name are taken and not answered at this router.
-	InHand func(name string, generation uint32) int
+	// InFlight is how many requests of one of the tenants of a name are taken and not answered at this router.
+	InFlight func(name string, generation uint32) int
 	// Classes and Pools are those of the configuration.
 	Classes, Pools []string
 	Log            *slog.Logger
@@ -39,30 +39,30 @@
 
 // Bounds of the API.
 const (
-	maxPage     = 1000
-	maxBody     = 64 << 10
-	forceWithin = 3 * time.Second // for a change to be in force
-	headTime    = 5 * time.Second
-	idleTime    = time.Minute
+	maxPageSize    = 1000
+	maxBodyBytes   = 64 << 10
+	publishTimeout = 3 * time.Second // for a change to be in force
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = time.Minute
 )
 
 // API is the administration API.
 type API struct {
-	o    Options
+	opts Options
 	mux  *http.ServeMux
 	huma huma.API
 }
 
 // New makes the API.
 func New(o Options) *API {
-	a := &API{o: o, mux: http.NewServeMux()}
+	a := &API{opts: o, mux: http.NewServeMux()}
 	cfg := huma.DefaultConfig("cottonyoke administration", "1.0.0")
 	cfg.DocsPath, cfg.SchemasPath, cfg.CreateHooks = "", "", nil
 	cfg.Components.SecuritySchemes = map[string]*huma.SecurityScheme{"token": {Type: "http", Scheme: "bearer"}}
 	cfg.Security = []map[string][]string{{"token": {}}}
 	a.huma = humago.New(a.mux, cfg)
 	a.huma.UseMiddleware(a.authorize)
-	a.operations()
+	a.registerOperations()
 	return a
 }
 
@@ -73,8 +73,8 @@
 func (a *API) Serve(ctx context.Context, ln net.Listener) error {
 	life, over := context.WithCancel(context.WithoutCancel(ctx)) // of calls: watches end with it, changes go on
 	defer over()
-	srv := &http.Server{Handler: http.MaxBytesHandler(a.mux, maxBody), BaseContext: func(net.Listener) context.Context { return life }, ReadHeaderTimeout: headTime, ReadTimeout: 2 * headTime, IdleTimeout: idleTime, MaxHeaderBytes: 16 << 10,
-		ErrorLog: slog.NewLogLogger(a.o.Log.Handler(), slog.LevelWarn)}
+	srv := &http.Server{Handler: http.MaxBytesHandler(a.mux, maxBodyBytes), BaseContext: func(net.Listener) context.Context { return life }, ReadHeaderTimeout: headerTimeout, ReadTimeout: 2 * headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
+		ErrorLog: slog.NewLogLogger(a.opts.Log.Handler(), slog.LevelWarn)}
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(ln) }()
 	select {
@@ -83,7 +83,7 @@
 	case <-ctx.Done():
 	}
 	over()
-	end, stop := context.WithTimeout(context.Background(), 2*forceWithin)
+	end, stop := context.WithTimeout(context.Background(), 2*publishTimeout)
 	defer stop()
 	err := srv.Shutdown(end)
 	if err != nil {
@@ -120,8 +120,8 @@
 	Limits    Limits   `json:"limits,omitempty"`
 }
 
-// terms are what the book keeps of it.
-func (s *Spec) terms() keybook.Terms {
+// toTerms are what the book keeps of it.
+func (s *Spec) toTerms() keybook.Terms {
 	l := s.Limits
 	t := keybook.Terms{Limits: tenant.Limits{Floor: l.Floor, Weight: l.Weight, Burst: l.Burst, Most: l.Most, Open: l.Open, Bytes: l.Bytes, Conns: l.Conns}, Pools: s.Pools}
 	for _, c := range l.Classes {
@@ -138,7 +138,7 @@
 	Version uint64 `json:"version" doc:"Of its last change; the ETag."`
 }
 
-func shown(t keybook.Tenant) Tenant {
+func toTenant(t keybook.Tenant) Tenant {
 	l := Limits{Floor: t.Floor, Weight: t.Weight, Burst: t.Burst, Most: t.Most, Open: t.Open, Bytes: t.Bytes, Conns: t.Conns}
 	for _, c := range t.ByClass {
 		l.Classes = append(l.Classes, ClassLimits{c.Class, c.Most, c.Open})
@@ -151,8 +151,8 @@
 	Body Tenant
 }
 
-func answerOf(t keybook.Tenant) *tenantAnswer {
-	return &tenantAnswer{etag(t.Version), shown(t)}
+func tenantResponse(t keybook.Tenant) *tenantAnswer {
+	return &tenantAnswer{etag(t.Version), toTenant(t)}
 }
 
 func etag(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
@@ -169,8 +169,8 @@
 	IfNoneMatch string `header:"If-None-Match" doc:"* = the tenant must not be there."`
 }
 
-// expected is the version that a change is conditioned by: 0 = the tenant must not be there.
-func (c Conditioned) expected() (uint64, error) {
+// expectedVersion is the version that a change is conditioned by: 0 = the tenant must not be there.
+func (c Conditioned) expectedVersion() (uint64, error) {
 	switch {
 	case c.IfMatch != "" && c.IfNoneMatch != "":
 		return 0, huma.Error400BadRequest("If-Match and If-None-Match don't go together")
@@ -218,8 +218,8 @@
 	Body        []byte
 }
 
-// operations are what the API can do.
-func (a *API) operations() {
+// registerOperations are what the API can do.
+func (a *API) registerOperations() {
 	huma.Get(a.huma, "/v1/tenants", a.list)
 	huma.Get(a.huma, "/v1/tenants/{name}", a.get)
 	huma.Put(a.huma, "/v1/tenants/{name}", a.put)
@@ -231,9 +231,9 @@
 }
 
 func (a *API) list(_ context.Context, p *page) (*pageAnswer, error) {
-	got, version, err := a.o.Keeper.Tenants(p.After, min(p.Limit, maxPage)+1)
+	got, version, err := a.opts.Keeper.Tenants(p.After, min(p.Limit, maxPageSize)+1)
 	if err != nil {
-		return nil, problem(err)
+		return nil, toProblem(err)
 	}
 	out := &pageAnswer{}
 	out.Body.Version, out.Body.Tenants = version, []Tenant{}
@@ -242,71 +242,71 @@
 			out.Body.Next = got[i-1].Name
 			break
 		}
-		out.Body.Tenants = append(out.Body.Tenants, shown(t))
+		out.Body.Tenants = append(out.Body.Tenants, toTenant(t))
 	}
 	return out, nil
 }
 
 func (a *API) get(_ context.Context, in *Named) (*tenantAnswer, error) {
-	t, err := a.o.Keeper.Tenant(in.Name)
+	t, err := a.opts.Keeper.Tenant(in.Name)
 	if err == nil && t.Version == 0 {
 		return nil, huma.Error404NotFound("there is no tenant of that name")
 	}
 	if err != nil {
-		return nil, problem(err)
+		return nil, toProblem(err)
 	}
-	return answerOf(t), nil
+	return tenantResponse(t), nil
 }
 
 func (a *API) put(ctx context.Context, in *struct {
 	Conditioned
 	Body Spec
 }) (*tenantAnswer, error) {
-	expected, err := in.expected()
+	expected, err := in.expectedVersion()
 	if err != nil {
 		return nil, err
 	}
-	terms := in.Body.terms()
-	if err := terms.CheckNames(a.o.Classes, a.o.Pools); err != nil {
-		return nil, problem(err)
+	terms := in.Body.toTerms()
+	if err := terms.CheckNames(a.opts.Classes, a.opts.Pools); err != nil {
+		return nil, toProblem(err)
 	}
 	t, book, err := a.keeper(ctx).PutTenant(keybook.Tenant{Name: in.Name, Suspended: in.Body.Suspended, Terms: terms}, expected)
 	if err != nil {
-		return nil, problem(err)
+		return nil, toProblem(err)
 	}
 	if err := a.publish(ctx, book); err != nil {
 		return nil, err
 	}
-	return answerOf(t), nil
+	return tenantResponse(t), nil
 }
 
 func (a *API) remove(ctx context.Context, in *Conditioned) (*deleted, error) {
-	expected, err := in.expected()
+	expected, err := in.expectedVersion()
 	if err == nil && expected == 0 {
 		err = huma.Error400BadRequest("a tenant that is not there can't be deleted: say If-Match")
 	}
 	if err != nil {
 		return nil, err
 	}
-	was, err := a.o.Keeper.Tenant(in.Name)
+	was, err := a.opts.Keeper.Tenant(in.Name)
 	if err != nil {
-		return nil, problem(err)
+		return nil, toProblem(err)
 	}
 	book, err := a.keeper(ctx).RemoveTenant(in.Name, expected)
 	if err != nil {
-		return nil, problem(err)
+		return nil, toProblem(err)
 	}
 	if err := a.publish(ctx, book); err != nil {
 		return nil, err
 	}
 	out := &deleted{}
 	out.Body.Version, out.Body.Generation = book, was.Generation // the version that was expected is the one that was read, or it had failed
-	out.Body.InHand = a.o.InHand(in.Name, was.Generation)
+	out.Body.InHand = a.opts.InFlight(in.Name, was.Generation)
 	return out, nil
 }
 
-// endingEvery is how often it is looked at whether a tenant's last request is over.
-const endingEvery = 10 * time.Millisecond
+// drainPollInterval is how often it is looked at whether a tenant's last request is over.
+const drainPollInterval = 10 * time.Millisecond
 
 // ending tells what one of the tenants of a name has in hand, and waits until that is nothing.
 func (a *API) ending(ctx context.Context, in *struct {
@@ -314,13 +314,13 @@
 	Generation uint32 `query:"generation" required:"true" minimum:"1" doc:"Which of the tenants of that name."`
 	Wait       int    `query:"wait_s" default:"0" minimum:"0" maximum:"30" doc:"For which the last one is waited for."`
 }) (*ending, error) {
-	ctx, stop := context.WithTimeout(ctx, time.Duration(min(in.Wait, maxWait))*time.Second)
+	ctx, stop := context.WithTimeout(ctx, time.Duration(min(in.Wait, maxWaitSeconds))*time.Second)
 	defer stop()
 	out := &ending{}
-	t := time.NewTicker(endingEvery)
+	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 	for {
-		if out.Body.InHand = a.o.InHand(in.Name, in.Generation); out.Body.InHand == 0 {
+		if out.Body.InHand = a.opts.InFlight(in.Name, in.Generation); out.Body.InHand == 0 {
 			return out, nil
 		}
 		select {
@@ -335,8 +335,8 @@
 	Above uint64 `query:"above" doc:"Records above this version of the book."`
 }) (*records, error) {
 	var b strings.Builder
-	if err := a.o.Keeper.Audit(&b, in.Above); err != nil {
-		return nil, problem(err)
+	if err := a.opts.Keeper.Audit(&b, in.Above); err != nil {
+		return nil, toProblem(err)
 	}
 	return &records{"application/x-ndjson", []byte(b.String())}, nil
 }
@@ -358,56 +358,56 @@
 }
 
 func (a *API) usage(_ context.Context, in *Named) (*usageAnswer, error) {
-	t, err := a.o.Keeper.Tenant(in.Name)
+	t, err := a.opts.Keeper.Tenant(in.Name)
 	if err != nil {
-		return nil, problem(err)
+		return nil, toProblem(err)
 	}
 	if t.Version == 0 {
 		return nil, huma.Error404NotFound("there is no tenant of that name")
 	}
 	out := &usageAnswer{}
 	out.Body.Minutes = []Usage{}
-	for _, m := range a.o.Usage(in.Name, t.Generation) {
+	for _, m := range a.opts.Usage(in.Name, t.Generation) {
 		c := m.Counts
 		out.Body.Minutes = append(out.Body.Minutes, Usage{time.Unix(60*m.At, 0).UTC(), c[tenant.Guaranteed], c[tenant.Leased], c[tenant.Exceeded], c[tenant.HardLimited], c[tenant.Suspended]})
 	}
 	return out, nil
 }
 
-// maxWait bounds a watch, in s: what stands between may end it any time.
-const maxWait = 30
+// maxWaitSeconds bounds a watch, in s: what stands between may end it any time.
+const maxWaitSeconds = 30
 
 // watch gives the audit's records above a version of the book, and waits for one where there is none yet.
 func (a *API) watch(ctx context.Context, in *struct {
 	From uint64 `query:"from" doc:"The version of the book that is known already."`
 	Wait int    `query:"wait_s" default:"20" minimum:"0" maximum:"30" doc:"For which a change is waited for."`
 }) (*records, error) {
-	if err := a.await(ctx, in.From, time.Now().Add(time.Duration(min(in.Wait, maxWait))*time.Second)); err != nil {
+	if err := a.await(ctx, in.From, time.Now().Add(time.Duration(min(in.Wait, maxWaitSeconds))*time.Second)); err != nil {
 		return nil, err
 	}
 	var b strings.Builder
-	if err := a.o.Keeper.Audit(&b, in.From); err != nil {
-		return nil, problem(err)
+	if err := a.opts.Keeper.Audit(&b, in.From); err != nil {
+		return nil, toProblem(err)
 	}
 	return &records{"application/x-ndjson", []byte(b.String())}, nil
 }
 
-// stillEvery is how often it is looked at, while a call waits, whether its token still counts.
-const stillEvery = time.Second
+// tokenCheckInterval is how often it is looked at, while a call waits, whether its token still counts.
+const tokenCheckInterval = time.Second
 
 // await waits until the book's version is above one, until a time, the end of ctx or that of the caller's token.
 func (a *API) await(ctx context.Context, above uint64, until time.Time) error {
-	who, _ := ctx.Value(whoKey{}).(string)
+	who, _ := ctx.Value(callerKey{}).(string)
 	for {
-		wait, stop := context.WithTimeout(ctx, min(time.Until(until), stillEvery))
-		err := a.o.Keeper.Await(wait, above)
+		wait, stop := context.WithTimeout(ctx, min(time.Until(until), tokenCheckInterval))
+		err := a.opts.Keeper.WaitForVersion(wait, above)
 		stop()
 		if err != nil && !errors.Is(err, context.DeadlineExceeded) && !errors.Is(err, context.Canceled) {
-			return problem(err)
+			return toProblem(err)
 		}
-		switch lives, bad := a.o.Tokens.lives(who); {
+		switch lives, bad := a.opts.Tokens.exists(who); {
 		case bad != nil:
-			return problem(bad)
+			return toProblem(bad)
 		case !lives:
 			return huma.Error401Unauthorized("the token was revoked")
 		case err == nil || ctx.Err() != nil || !time.Now().Before(until):
@@ -418,17 +418,17 @@
 
 // publish has a change in force, or says that it is made and not in force yet.
 func (a *API) publish(ctx context.Context, version uint64) error {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), forceWithin) // an admin who leaves takes nothing back
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), publishTimeout) // an admin who leaves takes nothing back
 	defer stop()
-	if err := a.o.Publish(ctx, version); err != nil {
-		a.o.Log.Warn("administration: a change is not in force yet", "version", version, "why", err)
+	if err := a.opts.Publish(ctx, version); err != nil {
+		a.opts.Log.Warn("administration: a change is not in force yet", "version", version, "why", err)
 		return huma.Error503ServiceUnavailable(fmt.Sprintf("the change is made, as version %d, and not in force yet: don't make it again", version))
 	}
 	return nil
 }
 
-// problem is an error as the API tells it (RFC 9457).
-func problem(err error) error {
+// toProblem is an error as the API tells it (RFC 9457).
+func toProblem(err error) error {
 	var stale *keybook.StaleError
 	var known huma.StatusError
 	switch {
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -22,8 +22,8 @@
 	Out   io.Writer
 }
 
-// maxAnswer bounds what is read of an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds what is read of an answer, in bytes.
+const maxResponseBytes = 64 << 20
 
 // problemBody is an error as the API tells it (RFC 9457).
 type problemBody struct {
@@ -63,11 +63,11 @@
 		return nil, err
 	}
 	defer r.Body.Close()
-	if text, err = io.ReadAll(io.LimitReader(r.Body, maxAnswer)); err != nil {
+	if text, err = io.ReadAll(io.LimitReader(r.Body, maxResponseBytes)); err != nil {
 		return nil, err
 	}
 	if r.StatusCode/100 != 2 {
-		return nil, problemOf(r.Status, text)
+		return nil, parseProblem(r.Status, text)
 	}
 	if into == nil {
 		return text, nil
@@ -78,7 +78,7 @@
 	return text, nil
 }
 
-func problemOf(status string, text []byte) error {
+func parseProblem(status string, text []byte) error {
 	var p problemBody
 	if json.Unmarshal(text, &p) != nil || p.Detail == "" {
 		return fmt.Errorf("%s", status)
@@ -109,13 +109,13 @@
 			state = "suspended"
 		}
 		l := t.Limits
-		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%v\t%v\t%d\t%d\t%d\t%s\t%d\n", t.Name, t.Generation, state, l.Floor, l.Most, max(l.Weight, 0), l.Open, l.Bytes, l.Conns, pools(t.Pools), t.Version)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%v\t%v\t%d\t%d\t%d\t%s\t%d\n", t.Name, t.Generation, state, l.Floor, l.Most, max(l.Weight, 0), l.Open, l.Bytes, l.Conns, formatPools(t.Pools), t.Version)
 	}
 	return w.Flush()
 }
 
-// pools names the pools of a tenant for a table.
-func pools(names []string) string {
+// formatPools names the pools of a tenant for a table.
+func formatPools(names []string) string {
 	if names == nil {
 		return "all"
 	}
@@ -127,7 +127,7 @@
 	var all []Tenant
 	for after := ""; ; {
 		var p pageAnswer
-		text, err := c.call(ctx, http.MethodGet, "/v1/tenants?limit="+strconv.Itoa(maxPage)+"&after="+url.QueryEscape(after), "", nil, &p.Body)
+		text, err := c.call(ctx, http.MethodGet, "/v1/tenants?limit="+strconv.Itoa(maxPageSize)+"&after="+url.QueryEscape(after), "", nil, &p.Body)
 		if err != nil {
 			return err
 		}
@@ -207,7 +207,7 @@
 	for left > 0 { // none of them lasts longer than its class allows
 		fmt.Fprintf(c.Out, "%s, generation %d: %d requests in hand\n", name, out.Body.Generation, left)
 		var e ending
-		path := fmt.Sprintf("%s/ending?generation=%d&wait_s=%d", tenantPath(name), out.Body.Generation, maxWait)
+		path := fmt.Sprintf("%s/ending?generation=%d&wait_s=%d", tenantPath(name), out.Body.Generation, maxWaitSeconds)
 		if _, err := c.call(ctx, http.MethodGet, path, "", nil, &e.Body); err != nil {
 			return err
 		}
@@ -238,7 +238,7 @@
 // Watch writes the records of changes above a version of the book as they come, until ctx ends.
 func (c Client) Watch(ctx context.Context, from uint64) error {
 	for ctx.Err() == nil {
-		text, err := c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/watch?wait_s=%d&from=%d", maxWait, from), "", nil, nil)
+		text, err := c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/watch?wait_s=%d&from=%d", maxWaitSeconds, from), "", nil, nil)
 		if ctx.Err() != nil {
 			return nil
 		}
--- a/internal/admin/tokens.go
+++ b/internal/admin/tokens.go
@@ -32,21 +32,21 @@
 // A token's calls are bounded, so that a loop of one admin's leaves the others theirs.
 const (
 	callsPerSecond = 20
-	callsAtOnce    = 40
+	callBurst      = 40
 	maxTokens      = 1000
 )
 
 // Tokens are the API's bearer tokens. The store has the SHA-256 of each: they are drawn with 256 bits, so there is nothing to guess.
 type Tokens struct {
-	s    *store.Store
-	mu   sync.Mutex
-	used map[string]*rate.Limiter // by id; bounded as the tokens are
+	s        *store.Store
+	mu       sync.Mutex
+	limiters map[string]*rate.Limiter // by id; bounded as the tokens are
 }
 
 // NewTokens are those of a store.
-func NewTokens(s *store.Store) *Tokens { return &Tokens{s: s, used: map[string]*rate.Limiter{}} }
+func NewTokens(s *store.Store) *Tokens { return &Tokens{s: s, limiters: map[string]*rate.Limiter{}} }
 
-type tokenRow struct {
+type tokenRecord struct {
 	ID     string    `json:"id"`
 	Right  string    `json:"right"`
 	SHA256 string    `json:"sha256"`
@@ -74,7 +74,7 @@
 	}
 	secret := identity.NewSecret()
 	sum := sha256.Sum256([]byte(secret))
-	text, err := json.Marshal(tokenRow{id, right, hex.EncodeToString(sum[:]), now.UTC()})
+	text, err := json.Marshal(tokenRecord{id, right, hex.EncodeToString(sum[:]), now.UTC()})
 	if err != nil {
 		return "", fmt.Errorf("token: %w", err)
 	}
@@ -105,51 +105,51 @@
 // Revoke ends a token. It counts for no call that comes from then on; one that is under way is answered.
 func (t *Tokens) Revoke(id string) error {
 	if _, err := t.s.Get(tokenPrefix + id); err != nil {
-		return fmt.Errorf("token %.70q: %w", id, keybook.ErrNoSuch)
+		return fmt.Errorf("token %.70q: %w", id, keybook.ErrNotFound)
 	}
 	_, err := t.s.Delete(tokenPrefix + id)
 	t.mu.Lock()
-	delete(t.used, id)
+	delete(t.limiters, id)
 	t.mu.Unlock()
 	return err
 }
 
-// errCalls tells of a token that calls too often.
-var errCalls = errors.New("too many calls")
+// errTooManyCalls tells of a token that calls too often.
+var errTooManyCalls = errors.New("too many calls")
 
-// check gives the id and right of a token.
-func (t *Tokens) check(text string) (id, right string, err error) {
+// authenticate gives the id and right of a token.
+func (t *Tokens) authenticate(text string) (id, right string, err error) {
 	id, secret, _ := strings.Cut(text, ".")
 	item, err := t.s.Get(tokenPrefix + id)
 	if errors.Is(err, store.ErrNotFound) || id == "" {
-		return "", "", keybook.ErrNoSuch
+		return "", "", keybook.ErrNotFound
 	}
 	if err != nil {
 		return "", "", err
 	}
-	var row tokenRow
+	var row tokenRecord
 	if err := json.Unmarshal(item.Value, &row); err != nil {
 		return "", "", fmt.Errorf("token: %w", err)
 	}
 	sum := sha256.Sum256([]byte(secret))
 	if hex.EncodeToString(sum[:]) != row.SHA256 { // of hashes: how far they agree tells nothing of the secret
-		return "", "", keybook.ErrNoSuch
+		return "", "", keybook.ErrNotFound
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.used[id]
+	l := t.limiters[id]
 	if l == nil {
-		l = rate.NewLimiter(callsPerSecond, callsAtOnce)
-		t.used[id] = l
+		l = rate.NewLimiter(callsPerSecond, callBurst)
+		t.limiters[id] = l
 	}
 	if !l.Allow() {
-		return "", "", errCalls
+		return "", "", errTooManyCalls
 	}
 	return id, row.Right, nil
 }
 
-// lives says whether a token has not been revoked.
-func (t *Tokens) lives(id string) (bool, error) {
+// exists says whether a token has not been revoked.
+func (t *Tokens) exists(id string) (bool, error) {
 	_, err := t.s.Get(tokenPrefix + id)
 	if errors.Is(err, store.ErrNotFound) {
 		return false, nil
@@ -157,28 +157,28 @@
 	return err == nil, err
 }
 
-// whoKey is the context's key of who calls.
-type whoKey struct{}
+// callerKey is the context's key of who calls.
+type callerKey struct{}
 
 // keeper is the store's in the name of who calls.
-func (a *API) keeper(ctx context.Context) *keybook.Keeper {
-	who, _ := ctx.Value(whoKey{}).(string)
-	return a.o.Keeper.As("token " + who)
+func (a *API) keeper(ctx context.Context) *keybook.Store {
+	who, _ := ctx.Value(callerKey{}).(string)
+	return a.opts.Keeper.WithActor("token " + who)
 }
 
 // authorize lets calls through whose token has the right to make them.
 func (a *API) authorize(ctx huma.Context, next func(huma.Context)) {
 	text, ok := strings.CutPrefix(ctx.Header("Authorization"), "Bearer ")
-	id, right, err := "", "", keybook.ErrNoSuch
+	id, right, err := "", "", keybook.ErrNotFound
 	if ok {
-		id, right, err = a.o.Tokens.check(text)
+		id, right, err = a.opts.Tokens.authenticate(text)
 	}
 	status, what := 0, ""
 	switch {
-	case errors.Is(err, errCalls):
+	case errors.Is(err, errTooManyCalls):
 		status, what = http.StatusTooManyRequests, "this token calls too often"
 		ctx.SetHeader("Retry-After", "1")
-	case errors.Is(err, keybook.ErrNoSuch):
+	case errors.Is(err, keybook.ErrNotFound):
 		status, what = http.StatusUnauthorized, "Authorization: Bearer with a token of this service is needed"
 	case err != nil:
 		status, what = http.StatusServiceUnavailable, "tokens can't be read"
@@ -186,11 +186,11 @@
 		status, what = http.StatusForbidden, "the token has no right to do that"
 	}
 	if status != 0 {
-		a.o.Log.Warn("administration: refused", "token", clean(id), "status", status, "method", ctx.Method(), "path", clean(ctx.URL().Path))
+		a.opts.Log.Warn("administration: refused", "token", sanitize(id), "status", status, "method", ctx.Method(), "path", sanitize(ctx.URL().Path))
 		huma.WriteErr(a.huma, ctx, status, what) //nolint:errcheck // the client has gone then
 		return
 	}
-	next(huma.WithValue(ctx, whoKey{}, id))
+	next(huma.WithValue(ctx, callerKey{}, id))
 }
 
 // allows says whether a right covers a call.
@@ -205,8 +205,8 @@
 	return method == http.MethodGet
 }
 
-// clean bounds what comes from outside.
-func clean(v string) string {
+// sanitize bounds what comes from outside.
+func sanitize(v string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
 			return '?'
--- a/internal/check/callers.go
+++ b/internal/check/callers.go
@@ -13,8 +13,8 @@
 	"mossproxy.example/mossproxy/internal/pure/rights"
 )
 
-// readUpTo reads a file, up to a byte beyond a bound, which its parser refuses.
-func readUpTo(path string, most int64) ([]byte, error) {
+// readLimited reads a file, up to a byte beyond a bound, which its parser refuses.
+func readLimited(path string, most int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -27,14 +27,14 @@
 	return text, nil
 }
 
-// callers checks the files that a configuration's book of callers is made of, together, as a router would.
-func callers(out io.Writer, f *config.File, rightsFile string) bool {
+// checkCallers checks the files that a configuration's book of callers is made of, together, as a router would.
+func checkCallers(out io.Writer, f *config.File, rightsFile string) bool {
 	c := f.Callers
 	if rightsFile != "" {
 		c.Rights = rightsFile
 	}
 	err := func() error {
-		text, err := readUpTo(c.Book, keybook.MaxFile)
+		text, err := readLimited(c.Book, keybook.MaxFileBytes)
 		if err != nil {
 			return err
 		}
@@ -42,22 +42,22 @@
 		if err != nil {
 			return err
 		}
-		rules, err := readUpTo(c.Rights, rights.MaxTextBytes)
+		rules, err := readLimited(c.Rights, rights.MaxTextBytes)
 		if err != nil {
 			return err
 		}
 		var bundle []byte
 		if c.Bundle != "" {
-			if bundle, err = readUpTo(c.Bundle, 1<<20); err != nil {
+			if bundle, err = readLimited(c.Bundle, 1<<20); err != nil {
 				return err
 			}
 		}
-		contents, err := keybook.SourceConfig{Book: c.Book, Rights: c.Rights, Bundle: c.Bundle, Classes: f.Classes(), Pools: f.PoolNames(), Policy: c.Policy}.Contents(b, rules, bundle)
+		contents, err := keybook.SourceConfig{CredentialsPath: c.Book, RightsPath: c.Rights, BundlePath: c.Bundle, Classes: f.Classes(), Pools: f.PoolNames(), Policy: c.Policy}.Contents(b, rules, bundle)
 		if err != nil {
 			return err
 		}
 		_, faults := caller.NewCredentialStore(contents)
-		return keybook.Faults(c.Book, text, faults)
+		return keybook.LocateFaults(c.Book, text, faults)
 	}()
 	if err != nil {
 		fmt.Fprintln(out, err)
@@ -67,7 +67,7 @@
 
 // Rights checks a rights file, with a configuration also against its classes and its book.
 func Rights(out io.Writer, path, cfg string) (good bool, err error) {
-	text, err := readUpTo(path, rights.MaxTextBytes)
+	text, err := readLimited(path, rights.MaxTextBytes)
 	if err != nil {
 		return false, err
 	}
@@ -84,7 +84,7 @@
 		fmt.Fprintln(out, faults)
 		return false, nil
 	}
-	if f != nil && f.Callers != nil && !callers(out, f, path) {
+	if f != nil && f.Callers != nil && !checkCallers(out, f, path) {
 		return false, nil
 	}
 	rules := 0
@@ -95,8 +95,8 @@
 	return true, nil
 }
 
-// Question is a request of a caller.
-type Question struct {
+// AccessQuery is a request of a caller.
+type AccessQuery struct {
 	Roles      []string
 	Class, Key string
 	Write      bool
@@ -104,8 +104,8 @@
 }
 
 // Explain says which rule of a rights file decides a request; it is good where that is allowed.
-func Explain(out io.Writer, path string, q Question) (good bool, err error) {
-	text, err := readUpTo(path, rights.MaxTextBytes)
+func Explain(out io.Writer, path string, q AccessQuery) (good bool, err error) {
+	text, err := readLimited(path, rights.MaxTextBytes)
 	if err != nil {
 		return false, err
 	}
@@ -133,7 +133,7 @@
 	rule, ok := r.Allows(now, q.Class, q.Key, access)
 	lines := strings.Split(string(text), "\n")
 	if rule < 0 {
-		fmt.Fprintf(out, "denied: no rule of %s fits class %s, key %q, %s at %s UTC\n", strings.Join(q.Roles, ", "), q.Class, q.Key, does(access), q.At.UTC().Format("Mon 15:04"))
+		fmt.Fprintf(out, "denied: no rule of %s fits class %s, key %q, %s at %s UTC\n", strings.Join(q.Roles, ", "), q.Class, q.Key, accessVerb(access), q.At.UTC().Format("Mon 15:04"))
 		return false, nil
 	}
 	x := r.Rules()[rule]
@@ -148,7 +148,7 @@
 	return ok, nil
 }
 
-func does(a caller.Access) string {
+func accessVerb(a caller.Access) string {
 	if a == caller.Write {
 		return "write"
 	}
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -24,7 +24,7 @@
 
 // Run checks and prints to out. An error tells that nothing could be checked.
 func Run(out io.Writer, o Options) (good bool, err error) {
-	rules, known, err := rulesOf(o)
+	rules, known, err := poolRules(o)
 	if err != nil {
 		return false, err
 	}
@@ -32,17 +32,17 @@
 		if len(o.Files) != 1 {
 			return false, fmt.Errorf("--against takes one file, not %d", len(o.Files))
 		}
-		return against(out, o.Against, o.Files[0], rules, known), nil
+		return checkChange(out, o.Against, o.Files[0], rules, known), nil
 	}
 	good = true
 	for _, path := range o.Files {
-		good = one(out, path, rules, known) && good
+		good = checkFile(out, path, rules, known) && good
 	}
 	return good, nil
 }
 
-// rulesOf finds the rules of the pool that is meant; known is false where there is no configuration to tell them.
-func rulesOf(o Options) (r member.Rules, known bool, err error) {
+// poolRules finds the rules of the pool that is meant; known is false where there is no configuration to tell them.
+func poolRules(o Options) (r member.Rules, known bool, err error) {
 	if o.Config == "" {
 		return member.Rules{GoneShare: member.DefaultGoneShare}, false, nil
 	}
@@ -58,18 +58,18 @@
 	return r, false, fmt.Errorf("%s: no pool %q; name one of its %d with --pool", o.Config, o.Pool, len(f.Pools))
 }
 
-// lists tells server files from configurations, also where they don't parse.
-var lists = regexp.MustCompile(`(?m)^\s*servers\s*=`)
+// serversPattern tells server files from configurations, also where they don't parse.
+var serversPattern = regexp.MustCompile(`(?m)^\s*servers\s*=`)
 
-// one checks a file.
-func one(out io.Writer, path string, rules member.Rules, known bool) bool {
-	text, err := read(path)
+// checkFile checks a file.
+func checkFile(out io.Writer, path string, rules member.Rules, known bool) bool {
+	text, err := readFile(path)
 	if err != nil {
 		fmt.Fprintln(out, err)
 		return false
 	}
-	if lists.Match(text) {
-		f, ok := servers(out, path, text, rules, known)
+	if serversPattern.Match(text) {
+		f, ok := checkServers(out, path, text, rules, known)
 		if ok {
 			fmt.Fprintf(out, "%s: good: %d servers\n", path, len(f.Servers))
 		}
@@ -83,11 +83,11 @@
 	good := true
 	for _, p := range f.Pools {
 		if p.Source.Path != "" {
-			good = one(out, p.Source.Path, p.Source.Rules, true) && good
+			good = checkFile(out, p.Source.Path, p.Source.Rules, true) && good
 		}
 	}
 	if f.Callers != nil {
-		good = callers(out, f, "") && good
+		good = checkCallers(out, f, "") && good
 	}
 	if good {
 		fmt.Fprintf(out, "%s: good: %d pool(s)\n", path, len(f.Pools))
@@ -95,8 +95,8 @@
 	return good
 }
 
-// read reads a file, up to a byte beyond what either kind may hold.
-func read(path string) ([]byte, error) {
+// readFile reads a file, up to a byte beyond what either kind may hold.
+func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -109,8 +109,8 @@
 	return text, nil
 }
 
-// servers checks a server file. Without known rules it may list an origin or none.
-func servers(out io.Writer, path string, text []byte, rules member.Rules, known bool) (member.File, bool) {
+// checkServers checks a server file. Without known rules it may list an origin or none.
+func checkServers(out io.Writer, path string, text []byte, rules member.Rules, known bool) (member.File, bool) {
 	f, faults := member.ParseFile(path, text, rules)
 	if !known && faults != nil {
 		rules.Origin = true
@@ -125,17 +125,17 @@
 	return f, true
 }
 
-// against prints what going from one server file to another does.
-func against(out io.Writer, from, to string, rules member.Rules, known bool) bool {
+// checkChange prints what going from one server file to another does.
+func checkChange(out io.Writer, from, to string, rules member.Rules, known bool) bool {
 	var files [2]member.File
 	for i, path := range []string{from, to} {
-		text, err := read(path)
+		text, err := readFile(path)
 		if err != nil {
 			fmt.Fprintln(out, err)
 			return false
 		}
 		var ok bool
-		if files[i], ok = servers(out, path, text, rules, known); !ok {
+		if files[i], ok = checkServers(out, path, text, rules, known); !ok {
 			return false
 		}
 	}
--- a/internal/config/callers.go
+++ b/internal/config/callers.go
@@ -29,8 +29,8 @@
 	Name                     string // that servers must prove; "" = the host of their address
 }
 
-// ClientChoices are what a listener can ask of client certificates.
-var ClientChoices = []string{"none", "may", "required"}
+// ClientCertModes are what a listener can ask of client certificates.
+var ClientCertModes = []string{"none", "may", "required"}
 
 type callersKeys struct {
 	Book      string   `toml:"book"`
@@ -54,20 +54,20 @@
 	State  string `toml:"state"`
 }
 
-// admin checks [admin]; nil where there is none.
-func (c *checker) admin(callers *Callers, addresses *[]string) *Admin {
+// checkAdmin checks [checkAdmin]; nil where there is none.
+func (c *checker) checkAdmin(callers *Callers, addresses *[]string) *Admin {
 	k := c.doc.Admin
 	if k == (adminKeys{}) {
 		return nil
 	}
-	c.listen("admin.listen", k.Listen, addresses)
+	c.checkListen("admin.listen", k.Listen, addresses)
 	if k.State == "" {
-		c.bad("admin.state", "missing; it names the folder of the store that has the book")
+		c.addFault("admin.state", "missing; it names the folder of the store that has the book")
 	}
 	if callers == nil {
-		c.bad("admin", "changes the book of callers, and there is none: it takes [callers] and a pool with callers = true")
+		c.addFault("admin", "changes the book of callers, and there is none: it takes [callers] and a pool with callers = true")
 	}
-	return &Admin{k.Listen, c.relative(k.State)}
+	return &Admin{k.Listen, c.resolvePath(k.State)}
 }
 
 type tlsKeys struct {
@@ -96,39 +96,39 @@
 	Level string // debug, info, warn or error
 }
 
-var levels = []string{"debug", "info", "warn", "error"}
+var logLevels = []string{"debug", "info", "warn", "error"}
 
-// log checks [log].
-func (c *checker) log() Log {
+// checkLog checks [checkLog].
+func (c *checker) checkLog() Log {
 	k := c.doc.Log
 	if k.Format != "" && k.Format != "text" && k.Format != "json" {
-		c.bad("log.format", "%.20q is no format; text and json are", k.Format)
+		c.addFault("log.format", "%.20q is no format; text and json are", k.Format)
 	}
 	if k.Level == "" {
 		k.Level = "info"
 	}
-	if !slices.Contains(levels, k.Level) {
-		c.bad("log.level", "%.20q is no level; %s are", k.Level, strings.Join(levels, ", "))
+	if !slices.Contains(logLevels, k.Level) {
+		c.addFault("log.level", "%.20q is no level; %s are", k.Level, strings.Join(logLevels, ", "))
 	}
 	return Log{k.Format == "json", k.Level}
 }
 
-// callers checks [callers]; nil where no pool has callers.
-func (c *checker) callers() *Callers {
+// checkCallers checks [checkCallers]; nil where no pool has callers.
+func (c *checker) checkCallers() *Callers {
 	k := &c.doc.Callers
 	used := slices.ContainsFunc(c.doc.Pools, func(p poolKeys) bool { return p.Callers })
 	if !used {
 		if k.Book != "" {
-			c.bad("callers", "no pool has callers = true, so nobody is asked; set it, or take [callers] away")
+			c.addFault("callers", "no pool has callers = true, so nobody is asked; set it, or take [callers] away")
 		}
 		return nil
 	}
-	out := &Callers{Remember: number(c, "callers.remembered_tokens", k.Remember, 16384, 16, 1<<20, " tokens"),
-		Share: number(c, "callers.checks_share", k.Share, 0.2, 0.01, 1, " of a core")}
+	out := &Callers{Remember: boundedNumber(c, "callers.remembered_tokens", k.Remember, 16384, 16, 1<<20, " tokens"),
+		Share: boundedNumber(c, "callers.checks_share", k.Share, 0.2, 0.01, 1, " of a core")}
 	second := func(key string, v *float64, def, hi float64) float64 {
-		return 1000 * number(c, key, v, def, 0, hi, " s")
+		return 1000 * boundedNumber(c, key, v, def, 0, hi, " s")
 	}
-	out.Policy = caller.Policy{Audiences: k.Audiences, Skew: number(c, "callers.skew_ms", k.Skew, 30e3, 0, 600e3, " ms"),
+	out.Policy = caller.Policy{Audiences: k.Audiences, Skew: boundedNumber(c, "callers.skew_ms", k.Skew, 30e3, 0, 600e3, " ms"),
 		Longest:  second("callers.longest_token_s", k.Longest, 3600, 30*86400),
 		StaleNew: second("callers.stale_new_s", k.StaleNew, 0, 365*86400), StaleAll: second("callers.stale_all_s", k.StaleAll, 0, 365*86400)}
 	for _, p := range []struct {
@@ -139,62 +139,62 @@
 		{"client_bundle", k.Bundle, false, &out.Bundle}} {
 		if p.value == "" {
 			if p.needed {
-				c.bad("callers."+p.key, "missing; a pool has callers = true")
+				c.addFault("callers."+p.key, "missing; a pool has callers = true")
 			}
 			continue
 		}
-		*p.to = c.relative(p.value)
+		*p.to = c.resolvePath(p.value)
 	}
 	if len(k.Audiences) == 0 {
-		c.bad("callers.audiences", "missing; name what tokens for this router are meant for, or any token of the issuer would do here")
+		c.addFault("callers.audiences", "missing; name what tokens for this router are meant for, or any token of the issuer would do here")
 	}
 	return out
 }
 
-// tls checks [pool.tls]; nil where there is none.
-func (c *checker) tls(at string, p *poolKeys, callers *Callers, addresses *[]string) *TLS {
+// checkTLS checks [pool.tls]; nil where there is none.
+func (c *checker) checkTLS(at string, p *poolKeys, callers *Callers, addresses *[]string) *TLS {
 	k, in := p.TLS, at+".tls"
 	if k == (tlsKeys{}) {
 		return nil
 	}
-	c.listen(in+".listen", k.Listen, addresses)
+	c.checkListen(in+".listen", k.Listen, addresses)
 	if k.Certificate == "" || k.Key == "" {
-		c.bad(in+".certificate", "certificate and key are both needed")
+		c.addFault(in+".certificate", "certificate and key are both needed")
 	}
 	if k.Clients == "" {
 		k.Clients = "none"
 	}
-	out := &TLS{Listen: k.Listen, Certificate: c.relative(k.Certificate), Key: c.relative(k.Key), Clients: k.Clients}
+	out := &TLS{Listen: k.Listen, Certificate: c.resolvePath(k.Certificate), Key: c.resolvePath(k.Key), Clients: k.Clients}
 	if k.Tickets != "" {
-		out.Tickets = c.relative(k.Tickets)
+		out.Tickets = c.resolvePath(k.Tickets)
 	}
 	switch {
-	case !slices.Contains(ClientChoices, k.Clients):
-		c.bad(in+".clients", "%.20q is no choice; %s are", k.Clients, strings.Join(ClientChoices, ", "))
+	case !slices.Contains(ClientCertModes, k.Clients):
+		c.addFault(in+".clients", "%.20q is no choice; %s are", k.Clients, strings.Join(ClientCertModes, ", "))
 	case k.Clients == "none":
 	case callers == nil || callers.Bundle == "":
-		c.bad(in+".clients", "certificates are asked for, and callers.client_bundle, to check them by, is missing")
+		c.addFault(in+".clients", "certificates are asked for, and callers.client_bundle, to check them by, is missing")
 	default:
 		out.Bundle = callers.Bundle
 	}
 	return out
 }
 
-// serverTLS checks [pool.server_tls]; nil where there is none.
-func (c *checker) serverTLS(at string, p *poolKeys) *ServerTLS {
+// checkServerTLS checks [pool.server_tls]; nil where there is none.
+func (c *checker) checkServerTLS(at string, p *poolKeys) *ServerTLS {
 	k, in := p.ServerTLS, at+".server_tls"
 	if k == (serverTLSKeys{}) {
 		return nil
 	}
 	if k.Bundle == "" {
-		c.bad(in+".bundle", "missing; without it any server would do")
+		c.addFault(in+".bundle", "missing; without it any server would do")
 	}
 	if (k.Certificate == "") != (k.Key == "") {
-		c.bad(in+".certificate", "certificate and key go together")
+		c.addFault(in+".certificate", "certificate and key go together")
 	}
-	out := &ServerTLS{Bundle: c.relative(k.Bundle), Name: k.Name}
+	out := &ServerTLS{Bundle: c.resolvePath(k.Bundle), Name: k.Name}
 	if k.Certificate != "" {
-		out.Certificate, out.Key = c.relative(k.Certificate), c.relative(k.Key)
+		out.Certificate, out.Key = c.resolvePath(k.Certificate), c.resolvePath(k.Key)
 	}
 	return out
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -46,8 +46,8 @@
 	Site string
 }
 
-// MaxFile is the longest configuration that is read, in bytes.
-const MaxFile = 1 << 20
+// MaxFileBytes is the longest configuration that is read, in bytes.
+const MaxFileBytes = 1 << 20
 
 // document mirrors the configuration file. deploy/cottonyoke.toml explains each key.
 type document struct {
@@ -74,11 +74,11 @@
 	End       *struct{}    `toml:"end"`
 }
 
-// mark is the last line of a whole file: one that was cut short, also where what is there would parse, lacks it.
-var mark = regexp.MustCompile(`^\s*\[end\]\s*(#.*)?$`)
+// endMarker is the last line of a whole file: one that was cut short, also where what is there would parse, lacks it.
+var endMarker = regexp.MustCompile(`^\s*\[end\]\s*(#.*)?$`)
 
-// lastLine is the last line that holds more than a comment.
-func lastLine(text []byte) []byte {
+// lastSignificantLine is the last line that holds more than a comment.
+func lastSignificantLine(text []byte) []byte {
 	lines := bytes.Split(text, []byte("\n"))
 	for _, l := range slices.Backward(lines) {
 		if l = bytes.TrimSpace(l); len(l) > 0 && l[0] != '#' {
@@ -180,8 +180,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if !i.Mode().IsRegular() || i.Size() > MaxFile {
-		return nil, fmt.Errorf("configuration: %s: not a regular file of up to %d bytes", path, MaxFile)
+	if !i.Mode().IsRegular() || i.Size() > MaxFileBytes {
+		return nil, fmt.Errorf("configuration: %s: not a regular file of up to %d bytes", path, MaxFileBytes)
 	}
 	text := make([]byte, i.Size())
 	n, err := f.ReadAt(text, 0)
@@ -200,10 +200,10 @@
 		return nil, faults
 	}
 	c := checker{d: d, doc: &doc, dir: filepath.Dir(path)}
-	if !mark.Match(lastLine(text)) {
-		c.bad("", "the last line is missing, so the file may be cut short; if it is whole, add as its last line: [end]")
+	if !endMarker.Match(lastSignificantLine(text)) {
+		c.addFault("", "the last line is missing, so the file may be cut short; if it is whole, add as its last line: [end]")
 	}
-	out := c.file()
+	out := c.checkFile()
 	if c.faults != nil {
 		return nil, c.faults
 	}
@@ -221,37 +221,37 @@
 // maxFaults bounds what is said about one file.
 const maxFaults = 100
 
-func (c *checker) bad(key, format string, args ...any) {
+func (c *checker) addFault(key, format string, args ...any) {
 	if len(c.faults) < maxFaults {
 		c.faults = append(c.faults, c.d.Fault(key, format, args...))
 	}
 }
 
-// number is a key's value, its default where it is missing; out of range it is a fault.
-func number[T int | int64 | float64](c *checker, key string, v *T, def, lo, hi T, unit string) T {
+// boundedNumber is a key's value, its default where it is missing; out of range it is a fault.
+func boundedNumber[T int | int64 | float64](c *checker, key string, v *T, def, lo, hi T, unit string) T {
 	if v == nil {
 		return def
 	}
 	if f := float64(*v); !(f >= float64(lo) && f <= float64(hi)) {
-		c.bad(key, "%v is out of range; from %v to %v%s is right", *v, lo, hi, unit)
+		c.addFault(key, "%v is out of range; from %v to %v%s is right", *v, lo, hi, unit)
 		return def
 	}
 	return *v
 }
 
-func flag(v *bool, def bool) bool {
+func boolOrDefault(v *bool, def bool) bool {
 	if v == nil {
 		return def
 	}
 	return *v
 }
 
-// name checks a name, which must stand once among those seen.
-func (c *checker) name(key, v string, seen *[]string) {
+// checkName checks a name, which must stand once among those seen.
+func (c *checker) checkName(key, v string, seen *[]string) {
 	if v == "" || len(v) > 64 || strings.Trim(v, ".") == "" || strings.ContainsFunc(v, func(r rune) bool { return r <= ' ' || r > '~' || strings.ContainsRune(`,=/\`, r) }) {
-		c.bad(key, "%.40q is no name; up to 64 letters, digits and signs but , = / and \\ are", v)
+		c.addFault(key, "%.40q is no name; up to 64 letters, digits and signs but , = / and \\ are", v)
 	} else if slices.Contains(*seen, v) {
-		c.bad(key, "%q stands twice; each name stands once", v)
+		c.addFault(key, "%q stands twice; each name stands once", v)
 	}
 	*seen = append(*seen, v)
 }
@@ -259,55 +259,55 @@
 // maxCores bounds the engines of a pool: each has its part of all limits.
 const maxCores = 64
 
-// hour bounds times, in milliseconds.
-const hour = 3600e3
+// hourMS bounds times, in milliseconds.
+const hourMS = 3600e3
 
-// file checks all of it.
-func (c *checker) file() *File {
+// checkFile checks all of it.
+func (c *checker) checkFile() *File {
 	doc := c.doc
 	var none []string
 	if doc.Name == "" {
 		doc.Name = "cottonyoke"
 	}
-	c.name("name", doc.Name, &none)
-	out := &File{Name: doc.Name, Cores: number(c, "limits.cores", doc.Limits.Cores, 1, 1, maxCores, " cores")}
-	out.Log, out.Callers = c.log(), c.callers()
-	base := c.module()
-	base.Classes, base.Tenants = c.classes(), c.tenants()
-	limits := c.limits(base.Classes)
+	c.checkName("name", doc.Name, &none)
+	out := &File{Name: doc.Name, Cores: boundedNumber(c, "limits.cores", doc.Limits.Cores, 1, 1, maxCores, " cores")}
+	out.Log, out.Callers = c.checkLog(), c.checkCallers()
+	base := c.balancerConfig()
+	base.Classes, base.Tenants = c.checkClasses(), c.checkTenants()
+	limits := c.checkTenantLimits(base.Classes)
 	out.FetchCost = c.fetchCost()
 	if out.Costs = c.costs(); limits != nil {
 		limits.Costs, limits.Fetch = out.Costs, out.FetchCost
 	}
-	memory := number(c, "limits.memory_mb", doc.Limits.Memory, 192, 16, 1<<20, " MB")
-	sockets := number(c, "limits.descriptors", doc.Limits.Sockets, 1024, 2*FDReserve, 1<<20, "")
-	seed := c.seed()
+	memory := boundedNumber(c, "limits.memory_mb", doc.Limits.Memory, 192, 16, 1<<20, " MB")
+	sockets := boundedNumber(c, "limits.descriptors", doc.Limits.Sockets, 1024, 2*FDReserve, 1<<20, "")
+	seed := c.parseSeed()
 	if len(doc.Pools) == 0 {
-		c.bad("pool", "there is none; add [[pool]] with a name, listen and servers")
+		c.addFault("pool", "there is none; add [[pool]] with a name, listen and servers")
 	}
 	var names, addresses []string
-	out.Admin = c.admin(out.Callers, &addresses)
+	out.Admin = c.checkAdmin(out.Callers, &addresses)
 	if out.Operator = doc.Operator; doc.Operator != "" {
-		c.listen("operator", doc.Operator, &addresses)
+		c.checkListen("operator", doc.Operator, &addresses)
 		sockets -= OperatorReserve
 	}
-	out.Handover = c.handover(out.Admin)
+	out.Handover = c.checkHandover(out.Admin)
 	out.Site = doc.Site
-	if out.Fleet = c.fleet(doc.Name, doc.Site, &addresses); out.Fleet != nil {
+	if out.Fleet = c.checkFleet(doc.Name, doc.Site, &addresses); out.Fleet != nil {
 		sockets -= FleetReserve
 	}
 	total := 0.0
 	for i := range doc.Pools {
-		part := number(c, fmt.Sprintf("pool[%d].part", i), doc.Pools[i].Part, 1, 0.01, 100, "")
+		part := boundedNumber(c, fmt.Sprintf("pool[%d].part", i), doc.Pools[i].Part, 1, 0.01, 100, "")
 		doc.Pools[i].Part = &part
 		total += part
 	}
 	for i := range doc.Pools {
 		p := &doc.Pools[i]
-		cfg := c.pool(fmt.Sprintf("pool[%d]", i), p, base, &names, &addresses)
+		cfg := c.checkPool(fmt.Sprintf("pool[%d]", i), p, base, &names, &addresses)
 		cfg.Tenants = limits
-		cfg.TLS = c.tls(fmt.Sprintf("pool[%d]", i), p, out.Callers, &addresses)
-		cfg.ServerTLS = c.serverTLS(fmt.Sprintf("pool[%d]", i), p)
+		cfg.TLS = c.checkTLS(fmt.Sprintf("pool[%d]", i), p, out.Callers, &addresses)
+		cfg.ServerTLS = c.checkServerTLS(fmt.Sprintf("pool[%d]", i), p)
 		if p.Callers {
 			cfg.Callers = out.Callers
 		}
@@ -315,20 +315,20 @@
 		if len(doc.Pools) > 1 {
 			cfg.Name += "/" + p.Name
 		}
-		cfg.Grace = time.Duration(number(c, "rules.drain_grace_ms", doc.Rules.Grace, 500, 0, 60e3, " ms") * float64(time.Millisecond))
+		cfg.Grace = time.Duration(boundedNumber(c, "rules.drain_grace_ms", doc.Rules.Grace, 500, 0, 60e3, " ms") * float64(time.Millisecond))
 		cfg.Limits.MemoryMB = int64(float64(memory) * *p.Part / total)
 		cfg.Limits.Sockets = int(float64(sockets) * *p.Part / total)
 		if cfg.Limits.MemoryMB < 16 || cfg.Limits.Sockets < 2*FDReserve {
-			c.bad(fmt.Sprintf("pool[%d].part", i), "leaves the pool %d MB and %d descriptors; it takes 16 and %d at least: raise limits, or the part",
+			c.addFault(fmt.Sprintf("pool[%d].part", i), "leaves the pool %d MB and %d descriptors; it takes 16 and %d at least: raise limits, or the part",
 				cfg.Limits.MemoryMB, cfg.Limits.Sockets, 2*FDReserve)
 		}
 		if n := out.Cores; n > 1 && (cfg.Limits.MemoryMB/int64(n) < 8 || cfg.Limits.Sockets/n < 2*FDReserve) {
-			c.bad("limits.cores", "leaves each of %d engines of pool %s %d MB and %d descriptors; it takes 8 and %d at least: raise the limits",
+			c.addFault("limits.cores", "leaves each of %d engines of pool %s %d MB and %d descriptors; it takes 8 and %d at least: raise the limits",
 				n, p.Name, cfg.Limits.MemoryMB/int64(n), cfg.Limits.Sockets/n, 2*FDReserve)
 		}
 		out.Pools = append(out.Pools, cfg)
 	}
-	c.doors(out, doc.Name)
+	c.checkFleetPeers(out, doc.Name)
 	if c.faults == nil {
 		c.validate(out)
 	}
@@ -339,208 +339,208 @@
 func (c *checker) validate(f *File) {
 	for i, p := range f.Pools {
 		if err := p.Checked.Config.Validate(); err != nil {
-			c.bad(fmt.Sprintf("pool[%d]", i), "%v", err)
+			c.addFault(fmt.Sprintf("pool[%d]", i), "%v", err)
 		}
 	}
 }
 
-func (c *checker) seed() uint64 {
+func (c *checker) parseSeed() uint64 {
 	if c.doc.Seed == "" {
 		return 0 // the program draws one
 	}
 	n, err := strconv.ParseUint(c.doc.Seed, 16, 64)
 	if err != nil || n == 0 {
-		c.bad("seed", "%.40q is no seed; up to 16 hex digits that are not all 0 are", c.doc.Seed)
+		c.addFault("seed", "%.40q is no seed; up to 16 hex digits that are not all 0 are", c.doc.Seed)
 	}
 	return n
 }
 
-// module is what all pools tell the module alike.
-func (c *checker) module() decide.Config {
+// balancerConfig is what all pools tell the module alike.
+func (c *checker) balancerConfig() decide.Config {
 	d := c.doc
 	if d.Site == "" {
-		c.bad("site", "missing; name the site that this router stands in")
+		c.addFault("site", "missing; name the site that this router stands in")
 	}
 	m := decide.Config{Zone: d.Site, Weighted: true,
-		Routers:     number(c, "tier.routers", d.Tier.Routers, 1, 1, 4096, " routers"),
-		Me:          number(c, "tier.me", d.Tier.Me, 0, 0, 4095, ""),
-		OverWorth:   number(c, "over_share_worth", d.Over, 0.25, 0, 1, ""),
-		MaxAttempts: number(c, "attempts.max", d.Attempts.Most, 4, 1, 5, " attempts"),
-		ConnIdle:    number(c, "attempts.server_idle_ms", d.Attempts.Idle, 10000, 1000, hour, " ms"),
-		Cancel:      flag(d.Attempts.Cancel, true),
-		Probes:      flag(d.Attempts.Probes, true),
-		Cold:        number(c, "rules.cold_ms", d.Rules.Cold, 8000, 0, hour, " ms"),
-		ColdFrom:    number(c, "rules.cold_from", d.Rules.ColdFrom, 0.3, 0.01, 1, ""),
-		FallMult:    number(c, "rules.overload_factor", d.Rules.Factor, 3, 1, 100, ""),
-		FallFor:     number(c, "rules.overload_for_ms", d.Rules.For, 2000, 1, hour, " ms"),
+		Routers:     boundedNumber(c, "tier.routers", d.Tier.Routers, 1, 1, 4096, " routers"),
+		Me:          boundedNumber(c, "tier.me", d.Tier.Me, 0, 0, 4095, ""),
+		OverWorth:   boundedNumber(c, "over_share_worth", d.Over, 0.25, 0, 1, ""),
+		MaxAttempts: boundedNumber(c, "attempts.max", d.Attempts.Most, 4, 1, 5, " attempts"),
+		ConnIdle:    boundedNumber(c, "attempts.server_idle_ms", d.Attempts.Idle, 10000, 1000, hourMS, " ms"),
+		Cancel:      boolOrDefault(d.Attempts.Cancel, true),
+		Probes:      boolOrDefault(d.Attempts.Probes, true),
+		Cold:        boundedNumber(c, "rules.cold_ms", d.Rules.Cold, 8000, 0, hourMS, " ms"),
+		ColdFrom:    boundedNumber(c, "rules.cold_from", d.Rules.ColdFrom, 0.3, 0.01, 1, ""),
+		FallMult:    boundedNumber(c, "rules.overload_factor", d.Rules.Factor, 3, 1, 100, ""),
+		FallFor:     boundedNumber(c, "rules.overload_for_ms", d.Rules.For, 2000, 1, hourMS, " ms"),
 	}
 	if m.Me >= m.Routers {
-		c.bad("tier.me", "%d is no number of a tier of %d; they count from 0", m.Me, m.Routers)
+		c.addFault("tier.me", "%d is no number of a tier of %d; they count from 0", m.Me, m.Routers)
 	}
 	return m
 }
 
-var scopes = []string{"all", "zone", "cell"}
+var keyScopes = []string{"all", "zone", "cell"}
 
-func (c *checker) classes() []decide.Class {
+func (c *checker) checkClasses() []decide.Class {
 	if len(c.doc.Classes) == 0 {
-		c.bad("class", "there is none; add [[class]] with a name, an effect, aim_ms and deadline_ms")
+		c.addFault("class", "there is none; add [[class]] with a name, an effect, aim_ms and deadline_ms")
 	}
 	var names []string
 	var out []decide.Class
 	for i := range c.doc.Classes {
 		k, at := &c.doc.Classes[i], fmt.Sprintf("class[%d].", i)
-		c.name(at+"name", k.Name, &names)
+		c.checkName(at+"name", k.Name, &names)
 		if k.Aim == nil || k.Deadline == nil {
-			c.bad(at+"aim_ms", "aim_ms and deadline_ms are needed; a class has no usual time")
+			c.addFault(at+"aim_ms", "aim_ms and deadline_ms are needed; a class has no usual time")
 		}
-		e, ok := settings.EffectOf(k.Effect)
+		e, ok := settings.ParseEffect(k.Effect)
 		if !ok {
-			c.bad(at+"effect", "%.40q is no effect; repeatable, by_key and once are", k.Effect)
+			c.addFault(at+"effect", "%.40q is no effect; repeatable, by_key and once are", k.Effect)
 		}
 		cl := decide.Class{Name: k.Name, Effect: e, Scope: k.Scope,
-			Aim:      number(c, at+"aim_ms", k.Aim, 1, 1, hour, " ms"),
-			Deadline: number(c, at+"deadline_ms", k.Deadline, hour, 1, hour, " ms"),
-			Window:   number(c, at+"window_ms", k.Window, 0, 0, 24*hour, " ms"),
-			Stretch:  number(c, at+"aim_stretch", k.Stretch, 0, 0, 100, ""),
-			Worth:    number(c, at+"worth", k.Worth, 1, 0, 1e6, ""),
-			Late:     number(c, at+"late_worth", k.Late, 0, 0, 1, "")}
+			Aim:      boundedNumber(c, at+"aim_ms", k.Aim, 1, 1, hourMS, " ms"),
+			Deadline: boundedNumber(c, at+"deadline_ms", k.Deadline, hourMS, 1, hourMS, " ms"),
+			Window:   boundedNumber(c, at+"window_ms", k.Window, 0, 0, 24*hourMS, " ms"),
+			Stretch:  boundedNumber(c, at+"aim_stretch", k.Stretch, 0, 0, 100, ""),
+			Worth:    boundedNumber(c, at+"worth", k.Worth, 1, 0, 1e6, ""),
+			Late:     boundedNumber(c, at+"late_worth", k.Late, 0, 0, 1, "")}
 		if cl.Aim > cl.Deadline {
-			c.bad(at+"aim_ms", "%v is later than the deadline of %v", cl.Aim, cl.Deadline)
+			c.addFault(at+"aim_ms", "%v is later than the deadline of %v", cl.Aim, cl.Deadline)
 		}
 		switch keyed := ok && e == decide.Keyed; {
-		case keyed && !slices.Contains(scopes, cl.Scope):
-			c.bad(at+"scope", "%.40q is no scope; %s are", cl.Scope, strings.Join(scopes, ", "))
+		case keyed && !slices.Contains(keyScopes, cl.Scope):
+			c.addFault(at+"scope", "%.40q is no scope; %s are", cl.Scope, strings.Join(keyScopes, ", "))
 		case keyed && k.Window == nil:
-			c.bad(at+"window_ms", "missing; how long does the group that drops repeats remember a key?")
+			c.addFault(at+"window_ms", "missing; how long does the group that drops repeats remember a key?")
 		case ok && !keyed && (cl.Scope != "" || k.Window != nil):
-			c.bad(at+"scope", "scope and window_ms belong to the effect by_key alone")
+			c.addFault(at+"scope", "scope and window_ms belong to the effect by_key alone")
 		}
 		out = append(out, cl)
 	}
 	return out
 }
 
-func (c *checker) tenants() []decide.Tenant {
+func (c *checker) checkTenants() []decide.Tenant {
 	var names []string
 	var out []decide.Tenant
 	for i, t := range c.doc.Tenants {
 		at := fmt.Sprintf("tenant[%d].", i)
-		c.name(at+"name", t.Name, &names)
-		if t.Share == nil && slices.ContainsFunc(c.doc.Tenants, func(t tenantKeys) bool { return t.limited() }) {
+		c.checkName(at+"name", t.Name, &names)
+		if t.Share == nil && slices.ContainsFunc(c.doc.Tenants, func(t tenantKeys) bool { return t.hasLimits() }) {
 			continue
 		}
 		if t.Share == nil {
-			c.bad(at+"share_per_s", "missing; how many requests a second over all routers count in full?")
+			c.addFault(at+"share_per_s", "missing; how many requests a second over all routers count in full?")
 		}
-		out = append(out, decide.Tenant{Name: t.Name, Quota: number(c, at+"share_per_s", t.Share, 0, 0, 1e9, " requests a second")})
+		out = append(out, decide.Tenant{Name: t.Name, Quota: boundedNumber(c, at+"share_per_s", t.Share, 0, 0, 1e9, " requests a second")})
 	}
 	return out
 }
 
-// origins are the ways of a pool to values that no cache server has.
-var origins = []string{"router", "servers"}
+// originModes are the ways of a pool to values that no cache server has.
+var originModes = []string{"router", "servers"}
 
-// pool checks one pool. Names and addresses are those of the pools before it.
-func (c *checker) pool(at string, p *poolKeys, base decide.Config, names, addresses *[]string) *Config {
-	c.name(at+".name", p.Name, names)
-	cfg := &Config{Listen: p.Listen, Own: true}
-	c.listen(at+".listen", p.Listen, addresses)
+// checkPool checks one pool. Names and addresses are those of the pools before it.
+func (c *checker) checkPool(at string, p *poolKeys, base decide.Config, names, addresses *[]string) *Config {
+	c.checkName(at+".name", p.Name, names)
+	cfg := &Config{Listen: p.Listen, Standalone: true}
+	c.checkListen(at+".listen", p.Listen, addresses)
 	if p.Origin == "" {
 		p.Origin = "router"
 	}
-	if !slices.Contains(origins, p.Origin) {
-		c.bad(at+".origin", "%.40q is no way to the origin; router (asks it after a miss) and servers (fetch by themselves) are", p.Origin)
+	if !slices.Contains(originModes, p.Origin) {
+		c.addFault(at+".origin", "%.40q is no way to the origin; router (asks it after a miss) and servers (fetch by themselves) are", p.Origin)
 	}
 	m := base
 	if m.Aside = p.Origin == "router"; m.Aside {
 		m.OriginKind = "origin"
 	}
 	if len(p.Sites) > 0 && m.Zone != "" && !slices.Contains(p.Sites, m.Zone) {
-		c.bad(at+".sites", "the router's own site %q is not among them", m.Zone)
+		c.addFault(at+".sites", "the router's own site %q is not among them", m.Zone)
 	}
-	cfg.Checked = settings.Settings{Config: m, ConnectTimeout: number(c, "attempts.connect_timeout_ms", c.doc.Attempts.Connect, 250, 1, 60e3, " ms")}
+	cfg.Checked = settings.Settings{Config: m, ConnectTimeout: boundedNumber(c, "attempts.connect_timeout_ms", c.doc.Attempts.Connect, 250, 1, 60e3, " ms")}
 	switch p.Protocol {
 	case "", "meta":
 		if len(p.RESP.Seeds) > 0 {
-			c.bad(at+".resp", `belongs to a pool with protocol = "resp"`)
+			c.addFault(at+".resp", `belongs to a pool with protocol = "resp"`)
 		}
 	case "resp":
-		c.resp(at, p, cfg, addresses)
+		c.checkRESP(at, p, cfg, addresses)
 		return cfg
 	default:
-		c.bad(at+".protocol", "%.40q is no protocol; meta and resp are", p.Protocol)
+		c.addFault(at+".protocol", "%.40q is no protocol; meta and resp are", p.Protocol)
 	}
-	cfg.Source = c.source(at+".servers", p, m.Aside)
+	cfg.Source = c.checkSource(at+".servers", p, m.Aside)
 	cfg.Discovery = p.Servers.Discovery
 	return cfg
 }
 
-// address checks HOST:PORT.
-func (c *checker) address(key, v string, zero bool) {
+// checkAddress checks HOST:PORT.
+func (c *checker) checkAddress(key, v string, zero bool) {
 	host, port, err := net.SplitHostPort(v)
 	n, perr := strconv.ParseUint(port, 10, 16)
 	if err != nil || host == "" || perr != nil || n == 0 && !zero {
-		c.bad(key, "%.60q is no address; HOST:PORT is", v)
+		c.addFault(key, "%.60q is no address; HOST:PORT is", v)
 	}
 }
 
-// listen checks an address for clients, which must be nobody else's.
-func (c *checker) listen(key, v string, addresses *[]string) {
-	c.address(key, v, true)
+// checkListen checks an address for clients, which must be nobody else's.
+func (c *checker) checkListen(key, v string, addresses *[]string) {
+	c.checkAddress(key, v, true)
 	if slices.Contains(*addresses, v) && !strings.HasSuffix(v, ":0") {
-		c.bad(key, "%q is another's; each listens at its own", v)
+		c.addFault(key, "%q is another's; each listens at its own", v)
 	}
 	*addresses = append(*addresses, v)
 }
 
-// source checks where a pool's servers come from.
-func (c *checker) source(at string, p *poolKeys, origin bool) member.FileConfig {
+// checkSource checks where a pool's servers come from.
+func (c *checker) checkSource(at string, p *poolKeys, origin bool) member.FileConfig {
 	s := &p.Servers
-	out := member.FileConfig{SettleMS: number(c, at+".settle_ms", s.Settle, watch.DefaultSettleMS, 0, 200, " ms"),
-		NoNotices: !flag(s.Notices, true),
+	out := member.FileConfig{SettleMS: boundedNumber(c, at+".settle_ms", s.Settle, watch.DefaultSettleMS, 0, 200, " ms"),
+		NoNotices: !boolOrDefault(s.Notices, true),
 		Rules: member.Rules{Sites: p.Sites, Kinds: p.Kinds, Origin: origin,
-			GoneShare: number(c, at+".gone_share", s.Gone, member.DefaultGoneShare, 0.01, 1, "")}}
+			GoneShare: boundedNumber(c, at+".gone_share", s.Gone, member.DefaultGoneShare, 0.01, 1, "")}}
 	switch {
 	case (s.File == "") == (s.Discovery == ""):
-		c.bad(at, "takes one of the two: file = PATH or discovery = HOST:PORT")
+		c.addFault(at, "takes one of the two: file = PATH or discovery = HOST:PORT")
 	case s.Discovery != "":
-		c.address(at+".discovery", s.Discovery, false)
+		c.checkAddress(at+".discovery", s.Discovery, false)
 		if s.Gone != nil || s.Settle != nil || s.Notices != nil {
-			c.bad(at, "gone_share, settle_ms and notices belong to a file alone")
+			c.addFault(at, "gone_share, settle_ms and notices belong to a file alone")
 		}
 		return member.FileConfig{}
 	default:
-		out.Path = c.relative(s.File)
+		out.Path = c.resolvePath(s.File)
 		if c.doc.StateDir != "" {
-			out.State = filepath.Join(c.relative(c.doc.StateDir), p.Name+".servers.json")
+			out.State = filepath.Join(c.resolvePath(c.doc.StateDir), p.Name+".servers.json")
 		}
 	}
 	return out
 }
 
-// relative takes a path from the folder of the configuration.
-func (c *checker) relative(path string) string {
+// resolvePath takes a path from the folder of the configuration.
+func (c *checker) resolvePath(path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(c.dir, path)
 }
 
-// maxSocketPath is the longest name of a Unix socket, with room for the process's number behind it.
-const maxSocketPath = 96
+// maxSocketPathBytes is the longest name of a Unix socket, with room for the process's number behind it.
+const maxSocketPathBytes = 96
 
-// handover checks the way from one process of the router to the next.
-func (c *checker) handover(admin *Admin) string {
+// checkHandover checks the way from one process of the router to the next.
+func (c *checker) checkHandover(admin *Admin) string {
 	if c.doc.Handover == "" {
 		return ""
 	}
-	path := c.relative(c.doc.Handover)
-	if len(path) > maxSocketPath {
-		c.bad("handover", "%q has %d bytes; a socket's name has %d at most", path, len(path), maxSocketPath)
+	path := c.resolvePath(c.doc.Handover)
+	if len(path) > maxSocketPathBytes {
+		c.addFault("handover", "%q has %d bytes; a socket's name has %d at most", path, len(path), maxSocketPathBytes)
 	}
 	if admin != nil {
-		c.bad("handover", "there is an [admin], whose store one process alone can hold; leave one of them out")
+		c.addFault("handover", "there is an [admin], whose store one process alone can hold; leave one of them out")
 	}
 	return path
 }
@@ -583,12 +583,12 @@
 		a, b := p.Checked.Config, q.Checked.Config
 		a.Classes, a.Tenants, a.OverWorth, a.Aside, a.OriginKind = nil, nil, 0, false, ""
 		b.Classes, b.Tenants, b.OverWorth, b.Aside, b.OriginKind = nil, nil, 0, false, ""
-		differs("site, tier, attempts or rules", !sameModule(a, b))
+		differs("site, tier, attempts or rules", !sameBalancerConfig(a, b))
 	}
 	return slices.Compact(keys)
 }
 
-// sameModule compares what is no list.
-func sameModule(a, b decide.Config) bool {
+// sameBalancerConfig compares what is no list.
+func sameBalancerConfig(a, b decide.Config) bool {
 	return fmt.Sprint(a) == fmt.Sprint(b) && !math.IsNaN(a.Cold)
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -31,59 +31,59 @@
 	KeyFile   string   `toml:"key_file"`
 }
 
-func (k fleetKeys) none() bool {
+func (k fleetKeys) isZero() bool {
 	return k.Listen == "" && k.Advertise == "" && len(k.Join) == 0 && k.KeyFile == ""
 }
 
-// fleet checks [fleet]; nil where there is none.
-func (c *checker) fleet(name, site string, addresses *[]string) *Fleet {
+// checkFleet checks [checkFleet]; nil where there is none.
+func (c *checker) checkFleet(name, site string, addresses *[]string) *Fleet {
 	k := c.doc.Fleet
-	if k.none() {
+	if k.isZero() {
 		return nil
 	}
 	if len(name) > pure.MaxName {
-		c.bad("name", "%q has %d bytes; where there is a [fleet], %d are the most", name, len(name), pure.MaxName)
+		c.addFault("name", "%q has %d bytes; where there is a [fleet], %d are the most", name, len(name), pure.MaxName)
 	}
 	if len(site) > pure.MaxSite || strings.ContainsFunc(site, func(r rune) bool { return r <= ' ' || r > '~' }) {
-		c.bad("site", "%.60q; where there is a [fleet], up to %d letters, digits and signs are right", site, pure.MaxSite)
+		c.addFault("site", "%.60q; where there is a [fleet], up to %d letters, digits and signs are right", site, pure.MaxSite)
 	}
-	c.listen("fleet.listen", k.Listen, addresses)
+	c.checkListen("fleet.listen", k.Listen, addresses)
 	out := &Fleet{Listen: k.Listen, Advertise: k.Advertise, Join: slices.Clone(k.Join), Key: c.fleetKey(k.KeyFile)}
 	if k.Advertise != "" {
-		c.address("fleet.advertise", k.Advertise, false)
-		c.reachable("fleet.advertise", k.Advertise, out.Key)
+		c.checkAddress("fleet.advertise", k.Advertise, false)
+		c.checkReachable("fleet.advertise", k.Advertise, out.Key)
 	} else {
-		c.reachable("fleet.listen", k.Listen, out.Key)
+		c.checkReachable("fleet.listen", k.Listen, out.Key)
 	}
 	if len(k.Join) > fleet.MaxJoinAddrs {
-		c.bad("fleet.join", "%d addresses; %d are the most: a few members are enough", len(k.Join), fleet.MaxJoinAddrs)
+		c.addFault("fleet.join", "%d addresses; %d are the most: a few members are enough", len(k.Join), fleet.MaxJoinAddrs)
 	}
 	for _, a := range k.Join {
-		c.address("fleet.join", a, false)
-		c.reachable("fleet.join", a, out.Key)
+		c.checkAddress("fleet.join", a, false)
+		c.checkReachable("fleet.join", a, out.Key)
 	}
 	return out
 }
 
-// doors checks the pools whose clients find all routers of the fleet: each is reached at the host by which the others reach the router.
-func (c *checker) doors(out *File, name string) {
+// checkFleetPeers checks the pools whose clients find all routers of the fleet: each is reached at the host by which the others reach the router.
+func (c *checker) checkFleetPeers(out *File, name string) {
 	tags := map[uint16]int{}
 	for i, p := range out.Pools {
-		if p.RESP == nil || !slices.Contains(p.RESP.Peers, fleetPeers) || out.Fleet == nil {
+		if p.RESP == nil || !slices.Contains(p.RESP.Peers, fleetPeersKeyword) || out.Fleet == nil {
 			continue
 		}
 		at := fmt.Sprintf("pool[%d]", i)
 		p.RESP.Fleet, p.RESP.Peers, p.RESP.FleetName, p.RESP.FleetHost = true, nil, name, out.Fleet.host()
 		tag := tier.PoolTag(p.Pool)
 		if j, taken := tags[tag]; taken {
-			c.bad(at+".name", "%q and that of pool[%d] are the same to the other routers; name one otherwise", p.Pool, j)
+			c.addFault(at+".name", "%q and that of pool[%d] are the same to the other routers; name one otherwise", p.Pool, j)
 		}
 		tags[tag] = i
 		if len(tags) == tier.MaxEndpoints+1 {
-			c.bad(at+".resp.peers", "%d pools at most can have the routers of [fleet] as peers", tier.MaxEndpoints)
+			c.addFault(at+".resp.peers", "%d pools at most can have the routers of [fleet] as peers", tier.MaxEndpoints)
 		}
 		if host, _, err := net.SplitHostPort(p.Listen); err == nil && !sameHost(host, p.RESP.FleetHost) {
-			c.bad(at+".listen", "%q: the others reach this router at %s, by [fleet], and send clients there; listen there, or on all addresses", p.Listen, p.RESP.FleetHost)
+			c.addFault(at+".listen", "%q: the others reach this router at %s, by [fleet], and send clients there; listen there, or on all addresses", p.Listen, p.RESP.FleetHost)
 		}
 	}
 }
@@ -104,17 +104,17 @@
 	return listens == "" || err == nil && ip.IsUnspecified() || listens == reached
 }
 
-// reachable checks an address by which routers reach each other. Without a key anybody who reaches it could speak as one of them.
-func (c *checker) reachable(key, v string, secret []byte) {
+// checkReachable checks an address by which routers reach each other. Without a key anybody who reaches it could speak as one of them.
+func (c *checker) checkReachable(key, v string, secret []byte) {
 	host, _, err := net.SplitHostPort(v)
 	ip, perr := netip.ParseAddr(host)
 	switch {
 	case err != nil:
 		return // said before
 	case perr == nil && ip.IsUnspecified():
-		c.bad(key, "%q is no address that others can reach; name one, or set advertise", v)
+		c.addFault(key, "%q is no address that others can reach; name one, or set advertise", v)
 	case secret == nil && !(perr == nil && ip.IsLoopback()):
-		c.bad(key, "%q is no loopback address, and without key_file anybody could speak as a router; make one: head -c 32 /dev/urandom | base64", v)
+		c.addFault(key, "%q is no loopback address, and without key_file anybody could speak as a router; make one: head -c 32 /dev/urandom | base64", v)
 	}
 }
 
@@ -123,14 +123,14 @@
 	if path == "" {
 		return nil
 	}
-	text, err := os.ReadFile(c.relative(path))
+	text, err := os.ReadFile(c.resolvePath(path))
 	if err != nil {
-		c.bad("fleet.key_file", "%v", err)
+		c.addFault("fleet.key_file", "%v", err)
 		return []byte{}
 	}
 	key, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(key) != 32 {
-		c.bad("fleet.key_file", "%s does not hold 32 bytes in base64", path)
+		c.addFault("fleet.key_file", "%s does not hold 32 bytes in base64", path)
 		return []byte{}
 	}
 	return key
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fleetFile is a configuration with a [fleet] of so many lines, named by the file that it would stand in.
+// fleetFile is a configuration with a [checkFleet] of so many lines, named by the file that it would stand in.
 func fleetFile(t *testing.T, lines string) (path string, text []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -64,7 +64,7 @@
 	}
 }
 
-// A fault of [fleet] is named with file, line and key.
+// A fault of [checkFleet] is named with file, line and key.
 func TestFaultsOfFleet(t *testing.T) {
 	for lines, want := range map[string]string{
 		"join = [\"127.0.0.1:1\"]\n":                                                            `c.toml:13: fleet.listen: "" is no address`,
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -32,16 +32,16 @@
 	SeedNumber uint64            `json:"-"` // Seed, read
 	Checked    settings.Settings `json:"-"` // Settings, read and checked
 
-	Pool      string            `json:"-"` // of the program's own configuration
-	Own       bool              `json:"-"` // comes from the program's own configuration, not from the platform's
-	RESP      *RESP             `json:"-"` // the pool speaks RESP; nil = the meta commands
-	Cores     int               `json:"-"` // engines that share the pool; 0 counts as 1
-	Callers   *Callers          `json:"-"` // who may call; nil = nobody is asked
-	TLS       *TLS              `json:"-"` // a listener for links with TLS; nil = there is none
-	Tenants   *Tenants          `json:"-"` // their limits; nil = they have none but the module's quotas
-	ServerTLS *ServerTLS        `json:"-"` // of links to servers and origin; nil = they are plain
-	Grace     time.Duration     `json:"-"` // how long connections are taken once the router is told to stop
-	Source    member.FileConfig `json:"-"` // the server file; without a path, Discovery tells of servers
+	Pool       string            `json:"-"` // of the program's own configuration
+	Standalone bool              `json:"-"` // comes from the program's own configuration, not from the platform's
+	RESP       *RESP             `json:"-"` // the pool speaks RESP; nil = the meta commands
+	Cores      int               `json:"-"` // engines that share the pool; 0 counts as 1
+	Callers    *Callers          `json:"-"` // who may call; nil = nobody is asked
+	TLS        *TLS              `json:"-"` // a listener for links with TLS; nil = there is none
+	Tenants    *Tenants          `json:"-"` // their limits; nil = they have none but the module's quotas
+	ServerTLS  *ServerTLS        `json:"-"` // of links to servers and origin; nil = they are plain
+	Grace      time.Duration     `json:"-"` // how long connections are taken once the router is told to stop
+	Source     member.FileConfig `json:"-"` // the server file; without a path, Discovery tells of servers
 }
 
 // FDReserve is what the process holds beside connections: standard streams, the listener, the poller, discovery.
@@ -51,9 +51,9 @@
 // call that has come before another one gives way.
 const OperatorReserve = 18
 
-// comeAfterStop is for how long connections are taken on the platform once the router is told to stop: for 0.4 s new
+// platformDrainGrace is for how long connections are taken on the platform once the router is told to stop: for 0.4 s new
 // ones still come.
-const comeAfterStop = 500 * time.Millisecond
+const platformDrainGrace = 500 * time.Millisecond
 
 // Load reads the configuration at path; getenv fills in what the file leaves out. An error is one line that
 // names the setting.
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	c := &Config{Grace: comeAfterStop}
+	c := &Config{Grace: platformDrainGrace}
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %s: %w", path, err)
 	}
--- a/internal/config/resp.go
+++ b/internal/config/resp.go
@@ -21,7 +21,7 @@
 	Logins      []RESPLogin
 	Tenant      string // of clients that need not log in
 	Peers       []string
-	Fleet       bool // the routers of [fleet] are the peers; this one is FleetName there, and reached by FleetHost
+	Fleet       bool // the routers of [checkFleet] are the peers; this one is FleetName there, and reached by FleetHost
 	FleetName   string
 	FleetHost   string
 	Meta        string // where clients that speak the meta commands come to; "" = nowhere
@@ -75,8 +75,8 @@
 	Tenant string `toml:"tenant"`
 }
 
-// resp checks a pool that speaks RESP.
-func (c *checker) resp(at string, p *poolKeys, cfg *Config, addresses *[]string) {
+// checkRESP checks a pool that speaks RESP.
+func (c *checker) checkRESP(at string, p *poolKeys, cfg *Config, addresses *[]string) {
 	k, in := &p.RESP, at+".resp"
 	m := &cfg.Checked.Config
 	// A server that speaks RESP says LOADING until it has its data, and a replica that takes over has them: none is cold.
@@ -85,23 +85,23 @@
 	if p.Origin != "" && p.Origin != "none" {
 		// The default has been filled in by now.
 		if c.d.Line(at+".origin") != c.d.Line(at) {
-			c.bad(at+".origin", "belongs to pools that speak the meta commands; [pool.resp.origin] names one with its address")
+			c.addFault(at+".origin", "belongs to pools that speak the meta commands; [pool.resp.origin] names one with its address")
 		}
 	}
 	if p.Servers != (serversKeys{}) {
-		c.bad(at+".servers", "the servers of a pool that speaks RESP come from its cluster; name resp.seeds alone")
+		c.addFault(at+".servers", "the servers of a pool that speaks RESP come from its cluster; name resp.seeds alone")
 	}
 	if len(k.Seeds) == 0 {
-		c.bad(in+".seeds", "missing; name one server of the cluster at least, HOST:PORT")
+		c.addFault(in+".seeds", "missing; name one server of the cluster at least, HOST:PORT")
 	}
 	for i, s := range k.Seeds {
-		c.address(fmt.Sprintf("%s.seeds[%d]", in, i), s, false)
+		c.checkAddress(fmt.Sprintf("%s.seeds[%d]", in, i), s, false)
 	}
 	out := &RESP{Seeds: k.Seeds, User: k.User, Replicas: k.Replicas, Tenant: k.Tenant, Peers: k.Peers}
-	out.Read, out.Write = c.respClass(in+".read_class", k.Read, m), c.respClass(in+".write_class", k.Write, m)
+	out.Read, out.Write = c.checkRESPClass(in+".read_class", k.Read, m), c.checkRESPClass(in+".write_class", k.Write, m)
 	for _, cl := range m.Classes {
 		if cl.Name == k.Write && cl.Effect == decide.Repeatable {
-			c.bad(in+".write_class", "%q may run twice, and INCR must not: name a class with the effect once", k.Write)
+			c.addFault(in+".write_class", "%q may run twice, and INCR must not: name a class with the effect once", k.Write)
 		}
 	}
 	for i, r := range k.Rules {
@@ -109,111 +109,111 @@
 		for j, n := range r.Commands {
 			r.Commands[j] = strings.ToUpper(n)
 		}
-		out.Rules = append(out.Rules, RESPRule{r.Commands, r.Prefix, c.respClass(here+".class", r.Class, m)})
+		out.Rules = append(out.Rules, RESPRule{r.Commands, r.Prefix, c.checkRESPClass(here+".class", r.Class, m)})
 	}
-	c.logins(in, k, out)
-	c.behind(in, k, m, out)
+	c.checkLogins(in, k, out)
+	c.checkRESPOrigin(in, k, m, out)
 	if k.Meta != "" {
-		c.listen(in+".meta_listen", k.Meta, addresses)
+		c.checkListen(in+".meta_listen", k.Meta, addresses)
 		out.Meta = k.Meta
 	}
 	if k.PasswordFile != "" {
-		text, err := os.ReadFile(c.relative(k.PasswordFile))
+		text, err := os.ReadFile(c.resolvePath(k.PasswordFile))
 		if err != nil {
-			c.bad(in+".password_file", "can't be read: %v", err)
+			c.addFault(in+".password_file", "can't be read: %v", err)
 		}
 		out.Password = strings.TrimSpace(string(text))
 	}
-	c.peers(in, k.Peers, m.Routers)
+	c.checkRESPPeers(in, k.Peers, m.Routers)
 	cfg.RESP = out
 }
 
-// fleetPeers stands in place of peers' addresses for the routers of [fleet].
-const fleetPeers = "fleet"
+// fleetPeersKeyword stands in place of peers' addresses for the routers of [checkFleet].
+const fleetPeersKeyword = "fleet"
 
-// peers checks the other routers that a pool's clients are sent to.
-func (c *checker) peers(in string, peers []string, routers int) {
-	if slices.Contains(peers, fleetPeers) {
+// checkRESPPeers checks the other routers that a pool's clients are sent to.
+func (c *checker) checkRESPPeers(in string, peers []string, routers int) {
+	if slices.Contains(peers, fleetPeersKeyword) {
 		if len(peers) > 1 {
-			c.bad(in+".peers", "%q stands alone: it names all routers of [fleet]", fleetPeers)
+			c.addFault(in+".peers", "%q stands alone: it names all routers of [fleet]", fleetPeersKeyword)
 		}
-		if c.doc.Fleet.none() {
-			c.bad(in+".peers", "%q names the routers of [fleet], and there is none", fleetPeers)
+		if c.doc.Fleet.isZero() {
+			c.addFault(in+".peers", "%q names the routers of [fleet], and there is none", fleetPeersKeyword)
 		}
 		return
 	}
-	if len(peers) > 0 && !c.doc.Fleet.none() {
-		c.bad(in+".peers", "where there is a [fleet] it says which routers there are: write peers = [%q], or [] for this one alone", fleetPeers)
+	if len(peers) > 0 && !c.doc.Fleet.isZero() {
+		c.addFault(in+".peers", "where there is a [fleet] it says which routers there are: write peers = [%q], or [] for this one alone", fleetPeersKeyword)
 	}
 	if len(peers) > 0 && len(peers) != routers {
-		c.bad(in+".peers", "%d addresses, and tier.routers says %d; name each router's, in the order of their numbers", len(peers), routers)
+		c.addFault(in+".peers", "%d addresses, and tier.routers says %d; name each router's, in the order of their numbers", len(peers), routers)
 	}
 	for i, s := range peers {
-		c.address(fmt.Sprintf("%s.peers[%d]", in, i), s, false)
+		c.checkAddress(fmt.Sprintf("%s.peers[%d]", in, i), s, false)
 	}
 }
 
 // OriginKind is how the origin of a pool that speaks RESP stands on its list.
 const OriginKind = "origin"
 
-// behind checks the origin behind a cluster.
-func (c *checker) behind(in string, k *respKeys, m *decide.Config, out *RESP) {
+// checkRESPOrigin checks the origin behind a cluster.
+func (c *checker) checkRESPOrigin(in string, k *respKeys, m *decide.Config, out *RESP) {
 	if k.Origin == (behindKeys{}) {
 		return
 	}
-	c.address(in+".origin.address", k.Origin.Address, false)
+	c.checkAddress(in+".origin.address", k.Origin.Address, false)
 	if k.Origin.Keep == nil {
-		c.bad(in+".origin.keep_ms", "missing; for how long may the servers give a value that the origin has changed since?")
+		c.addFault(in+".origin.keep_ms", "missing; for how long may the servers give a value that the origin has changed since?")
 	}
-	out.Origin, out.KeepMS = k.Origin.Address, number(c, in+".origin.keep_ms", k.Origin.Keep, 1, 1, 365*24*hour, " ms")
+	out.Origin, out.KeepMS = k.Origin.Address, boundedNumber(c, in+".origin.keep_ms", k.Origin.Keep, 1, 1, 365*24*hourMS, " ms")
 	m.Alone, m.Aside, m.OriginKind = false, true, OriginKind
 }
 
-// respClass checks that a class is there, and that RESP servers can keep what it asks.
-func (c *checker) respClass(key, name string, m *decide.Config) string {
+// checkRESPClass checks that a class is there, and that RESP servers can keep what it asks.
+func (c *checker) checkRESPClass(key, name string, m *decide.Config) string {
 	for _, cl := range m.Classes {
 		if cl.Name == name {
 			if cl.Effect == decide.Keyed {
-				c.bad(key, "%q has the effect by_key, and servers that speak RESP drop no repeats; once and repeatable do", name)
+				c.addFault(key, "%q has the effect by_key, and servers that speak RESP drop no repeats; once and repeatable do", name)
 			}
 			return name
 		}
 	}
-	c.bad(key, "%.40q is no class", name)
+	c.addFault(key, "%.40q is no class", name)
 	return name
 }
 
-func (c *checker) logins(in string, k *respKeys, out *RESP) {
+func (c *checker) checkLogins(in string, k *respKeys, out *RESP) {
 	tenant := func(key, name string) {
 		for _, t := range c.doc.Tenants {
 			if t.Name == name {
 				return
 			}
 		}
-		c.bad(key, "%.40q is no tenant", name)
+		c.addFault(key, "%.40q is no tenant", name)
 	}
 	if len(k.Logins) == 0 && k.Tenant != "" {
 		tenant(in+".tenant", k.Tenant)
 	}
-	if p := len(k.Logins); p > 0 && c.callersOf(in) {
-		c.bad(in+".login", "logins and callers = true don't go together: the book of callers has the keys")
+	if p := len(k.Logins); p > 0 && c.requiresCallers(in) {
+		c.addFault(in+".login", "logins and callers = true don't go together: the book of callers has the keys")
 	}
 	var users []string
 	for i, l := range k.Logins {
 		here := fmt.Sprintf("%s.login[%d]", in, i)
-		c.name(here+".user", l.User, &users)
+		c.checkName(here+".user", l.User, &users)
 		tenant(here+".tenant", l.Tenant)
 		sum, err := hex.DecodeString(l.SHA256)
 		if err != nil || len(sum) != 32 {
-			c.bad(here+".password_sha256", "not the 64 hex digits of a SHA-256")
+			c.addFault(here+".password_sha256", "not the 64 hex digits of a SHA-256")
 			continue
 		}
 		out.Logins = append(out.Logins, RESPLogin{l.User, [32]byte(sum), l.Tenant})
 	}
 }
 
-// callersOf says whether the pool of a key like pool[2].resp asks who calls.
-func (c *checker) callersOf(in string) bool {
+// requiresCallers says whether the pool of a key like pool[2].resp asks who calls.
+func (c *checker) requiresCallers(in string) bool {
 	for i, p := range c.doc.Pools {
 		if fmt.Sprintf("pool[%d].resp", i) == in {
 			return p.Callers
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -144,8 +144,8 @@
 	}
 	parts, changes, doubt := map[string]int{}, uint64(0), 0
 	for _, a := range r.Views(r.All()...) {
-		parts[fmt.Sprintf("1 of %v for %d s, then %v, settled %.0f s", a.View.Part.Of, a.View.Part.LeftMS/1000, a.View.Part.Then, a.View.SettledS)]++
-		changes, doubt = changes+a.View.Figures.Changes, doubt+a.View.Doubt
+		parts[fmt.Sprintf("1 of %v for %d s, then %v, settled %.0f s", a.View.ResourceShare.Divisor, a.View.ResourceShare.RemainingMS/1000, a.View.ResourceShare.NextDivisor, a.View.SettledS)]++
+		changes, doubt = changes+a.View.Gossip.Changes, doubt+a.View.FailureSuspicion
 	}
 	r.say("%s: parts %v, %d changes of members in all, doubt %d", when, parts, changes, doubt)
 }
@@ -199,7 +199,7 @@
 	}
 	l.rig.say("%s: runs a second at each server %v", o.Name, each)
 	for i, a := range l.rig.Views(0, len(l.rig.Nodes)-1) {
-		l.rig.say("%s: router %d has lines %+v", o.Name, i, a.View.Lines)
+		l.rig.say("%s: router %d has lines %+v", o.Name, i, a.View.Admissions)
 	}
 }
 
--- a/internal/fleettest/loans_test.go
+++ b/internal/fleettest/loans_test.go
@@ -45,16 +45,16 @@
 }
 
 // shares waits until what nodes say that they may use is as it should be.
-func (r *Rig) sharesAre(t *testing.T, why string, is func(parts []operator.Part) bool, nodes ...int) time.Duration {
+func (r *Rig) sharesAre(t *testing.T, why string, is func(parts []operator.ResourceShare) bool, nodes ...int) time.Duration {
 	t.Helper()
-	var last []operator.Part
+	var last []operator.ResourceShare
 	took, err := r.Until(slow, func() error {
 		last = nil
 		for _, a := range r.Views(nodes...) {
 			if a.Err != nil {
 				return a.Err
 			}
-			last = append(last, a.View.Part)
+			last = append(last, a.View.ResourceShare)
 		}
 		if !is(last) {
 			return fmt.Errorf("%+v", last)
@@ -78,9 +78,9 @@
 }
 
 // evenly says whether all have their equal part, and nothing is lent.
-func evenly(parts []operator.Part) bool {
+func evenly(parts []operator.ResourceShare) bool {
 	for _, p := range parts {
-		if p.Lent > 0 || p.Borrowed > 0 || p.Share < 0.999/float64(len(parts)) {
+		if p.LeasedOut > 0 || p.LeasedIn > 0 || p.Effective < 0.999/float64(len(parts)) {
 			return false
 		}
 	}
@@ -93,7 +93,7 @@
 	r := lending(t, 6)
 	up(r, t)
 	r.sharesAre(t, "calm", evenly, r.All()...)
-	most := func(parts []operator.Part) bool { return parts[1].Share > 0.6 && parts[1].Borrowed > 0.45 }
+	most := func(parts []operator.ResourceShare) bool { return parts[1].Effective > 0.6 && parts[1].LeasedIn > 0.45 }
 	stop := r.busy(r.Nodes[1], 400)
 	r.sharesAre(t, "work at one", most, r.All()...)
 	stop()
@@ -104,7 +104,7 @@
 	r.Nodes[1].Stop()
 	r.pause(3 * time.Second)
 	r.Nodes[1].Continue()
-	r.sharesAre(t, "the others after a hang", func(parts []operator.Part) bool { return parts[0].Share > 0 }, 0)
+	r.sharesAre(t, "the others after a hang", func(parts []operator.ResourceShare) bool { return parts[0].Effective > 0 }, 0)
 	r.sharesAre(t, "it goes on", most, r.All()...)
 
 	r.Nodes[1].Kill()
@@ -125,12 +125,12 @@
 		}
 	}()
 	r.Split(func(i int) int { return i % 2 })
-	inHalf := func(parts []operator.Part) bool {
+	inHalf := func(parts []operator.ResourceShare) bool {
 		sum := 0.0
 		for _, p := range parts {
-			sum += p.Share
+			sum += p.Effective
 		}
-		return parts[0].Share > 0.3 && sum < 0.501
+		return parts[0].Effective > 0.3 && sum < 0.501
 	}
 	r.sharesAre(t, "a half", inHalf, 0, 2, 4)
 	r.sharesAre(t, "the other half", inHalf, 1, 3, 5)
--- a/internal/fleettest/measure.go
+++ b/internal/fleettest/measure.go
@@ -83,7 +83,7 @@
 	t.Start = time.Since(began).Round(time.Millisecond)
 	doubts := 0
 	for _, a := range r.Views(all...) {
-		doubts += a.View.Doubt
+		doubts += a.View.FailureSuspicion
 	}
 	r.say("doubt of all in themselves after being asked so often: %d", doubts)
 	r.pause(calm) // asking all for their views starves them, where cores are few
--- a/internal/fleettest/rig.go
+++ b/internal/fleettest/rig.go
@@ -206,12 +206,12 @@
 }
 
 // Views asks processes for their views, all at once.
-func (r *Rig) Views(nodes ...int) []operator.Asked {
+func (r *Rig) Views(nodes ...int) []operator.ViewResult {
 	var addrs []string
 	for _, i := range nodes {
 		addrs = append(addrs, r.Nodes[i].Operator())
 	}
-	return operator.AskFleets(r.ctx, addrs)
+	return operator.QueryViews(r.ctx, addrs)
 }
 
 // Until looks again and again, for as long as that may take. The error is that of the last look.
@@ -231,7 +231,7 @@
 // Agree says what keeps the views of some processes from being equal and from having exactly them as alive; nil where they are.
 func (r *Rig) Agree(nodes ...int) error {
 	asked := r.Views(nodes...)
-	if line, ok := operator.Agreement(asked); !ok {
+	if line, ok := operator.SummarizeAgreement(asked); !ok {
 		return fmt.Errorf("%s", line)
 	}
 	alive := map[string]bool{}
@@ -258,8 +258,8 @@
 // Spent is what some processes together say that they may use of a whole of 1.
 func (r *Rig) Spent(nodes ...int) (sum float64) {
 	for _, a := range r.Views(nodes...) {
-		if a.Err == nil && a.View.Part.Of > 0 {
-			sum += 1 / a.View.Part.Of
+		if a.Err == nil && a.View.ResourceShare.Divisor > 0 {
+			sum += 1 / a.View.ResourceShare.Divisor
 		}
 	}
 	return sum
--- a/internal/front/callers.go
+++ b/internal/front/callers.go
@@ -10,14 +10,14 @@
 // Authenticator identifies and authorizes callers. Its methods may be called from any goroutine and do not
 // block.
 type Authenticator interface {
-	Token(from, text string) (*caller.Identity, caller.Reason) // for a connection
-	Once(from, text string) (*caller.Identity, caller.Reason)  // for a single request
-	Secret(from, id string, secret []byte) (*caller.Identity, caller.Reason)
-	Certificate(from string, link *tls.ConnectionState) (*caller.Identity, caller.Reason)
-	Check(*caller.Identity) (*caller.Identity, caller.Reason) // returns the pass that now applies
-	Allow(from string, p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason)
-	Withdrawn(from string, p *caller.Identity, reason caller.Reason) // audits a revoked pass
-	Refused(from string, p *caller.Identity, reason caller.Reason)   // audits a rejected request
+	AuthenticateToken(from, text string) (*caller.Identity, caller.Reason)   // for a connection
+	AuthenticateRequest(from, text string) (*caller.Identity, caller.Reason) // for a single request
+	AuthenticateSecret(from, id string, secret []byte) (*caller.Identity, caller.Reason)
+	AuthenticateCertificate(from string, link *tls.ConnectionState) (*caller.Identity, caller.Reason)
+	Revalidate(*caller.Identity) (*caller.Identity, caller.Reason) // returns the pass that now applies
+	Authorize(from string, p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason)
+	RecordWithdrawn(from string, p *caller.Identity, reason caller.Reason) // audits a revoked pass
+	RecordRefused(from string, p *caller.Identity, reason caller.Reason)   // audits a rejected request
 }
 
 // Peer describes the remote end of a connection.
@@ -48,7 +48,7 @@
 		return nil
 	}
 	c := &ConnCaller{authenticator: authenticator, RemoteAddr: p.RemoteAddr}
-	pass, reason := authenticator.Certificate(p.RemoteAddr, p.TLS)
+	pass, reason := authenticator.AuthenticateCertificate(p.RemoteAddr, p.TLS)
 	c.state.Store(&authState{pass: pass, reason: reason})
 	return c
 }
@@ -60,12 +60,12 @@
 	if s.pass == nil {
 		return nil, s.reason
 	}
-	p, reason := c.authenticator.Check(s.pass)
+	p, reason := c.authenticator.Revalidate(s.pass)
 	if p == s.pass {
 		return p, caller.None
 	}
 	if c.state.CompareAndSwap(s, &authState{p, reason, p == nil}) && p == nil {
-		c.authenticator.Withdrawn(c.RemoteAddr, s.pass, reason)
+		c.authenticator.RecordWithdrawn(c.RemoteAddr, s.pass, reason)
 	}
 	return p, reason
 }
@@ -96,13 +96,13 @@
 
 // LoginToken logs in with a token. A failed login leaves the connection's state unchanged.
 func (c *ConnCaller) LoginToken(text string) caller.Reason {
-	return c.storeLogin(c.authenticator.Token(c.RemoteAddr, text))
+	return c.storeLogin(c.authenticator.AuthenticateToken(c.RemoteAddr, text))
 }
 
 // LoginSecret logs in with the id and secret of a key. A failed login leaves the connection's state
 // unchanged.
 func (c *ConnCaller) LoginSecret(id string, secret []byte) caller.Reason {
-	return c.storeLogin(c.authenticator.Secret(c.RemoteAddr, id, secret))
+	return c.storeLogin(c.authenticator.AuthenticateSecret(c.RemoteAddr, id, secret))
 }
 
 func (c *ConnCaller) storeLogin(p *caller.Identity, reason caller.Reason) caller.Reason {
@@ -114,16 +114,16 @@
 
 // AuthenticateRequest returns the pass for a single request that carries its own token.
 func (c *ConnCaller) AuthenticateRequest(text string) (*caller.Identity, caller.Reason) {
-	return c.authenticator.Once(c.RemoteAddr, text)
+	return c.authenticator.AuthenticateRequest(c.RemoteAddr, text)
 }
 
 // Allow reports whether the caller may make a request for the key; caller.None means yes. Otherwise
 // retryAfter is the delay, in ms, after which a retry may be allowed, if it is not 0.
 func (c *ConnCaller) Allow(p *caller.Identity, class, key string, access caller.Access) (retryAfter float64, reason caller.Reason) {
-	return c.authenticator.Allow(c.RemoteAddr, p, class, key, access)
+	return c.authenticator.Authorize(c.RemoteAddr, p, class, key, access)
 }
 
 // ReportRefused reports a rejected request to the audit log.
 func (c *ConnCaller) ReportRefused(p *caller.Identity, reason caller.Reason) {
-	c.authenticator.Refused(c.RemoteAddr, p, reason)
+	c.authenticator.RecordRefused(c.RemoteAddr, p, reason)
 }
--- a/internal/identity/audit.go
+++ b/internal/identity/audit.go
@@ -9,21 +9,21 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// auditRate bounds the records of one kind of event with one reason, a second.
-const auditRate = 20
+// maxAuditRecordsPerSecond bounds the records of one kind of event with one reason, a second.
+const maxAuditRecordsPerSecond = 20
 
 // Audit keeps a record of each login and refusal. In a storm some of each kind are written, and how many were not. It never sees a
 // secret, a token or a key of a value, so it can't show one.
 type Audit struct {
-	log  *slog.Logger
-	now  func() float64
-	mu   sync.Mutex
-	some *caller.Sampler
+	log     *slog.Logger
+	now     func() float64
+	mu      sync.Mutex
+	sampler *caller.Sampler
 }
 
 // NewAudit writes to a logger.
 func NewAudit(log *slog.Logger, now func() float64) *Audit {
-	return &Audit{log: log, now: now, some: caller.NewSampler(auditRate)}
+	return &Audit{log: log, now: now, sampler: caller.NewSampler(maxAuditRecordsPerSecond)}
 }
 
 // Event is what the audit has of one.
@@ -41,7 +41,7 @@
 // Add writes an event, or counts it.
 func (a *Audit) Add(e Event) {
 	a.mu.Lock()
-	write, left := a.some.Allow(a.now(), e.What+" "+e.Reason.String())
+	write, left := a.sampler.Allow(a.now(), e.What+" "+e.Reason.String())
 	a.mu.Unlock()
 	if !write {
 		return
@@ -50,7 +50,7 @@
 	for _, x := range []struct{ name, value string }{{"reason", reasonText(e.Reason)}, {"caller", e.Caller}, {"tenant", e.Tenant}, {"key_id", e.Key},
 		{"from", e.From}, {"class", e.Class}} {
 		if x.value != "" {
-			attrs = append(attrs, slog.String(x.name, clean(x.value)))
+			attrs = append(attrs, slog.String(x.name, sanitize(x.value)))
 		}
 	}
 	if e.Rule > 0 {
@@ -73,8 +73,8 @@
 	return r.String()
 }
 
-// clean bounds what comes from outside and takes out what no name has: a record stays one record.
-func clean(v string) string {
+// sanitize bounds what comes from outside and takes out what no name has: a record stays one record.
+func sanitize(v string) string {
 	b := []byte(v[:min(len(v), caller.MaxTextBytes)])
 	for i, c := range b {
 		if c < ' ' || c > '~' {
@@ -84,8 +84,8 @@
 	return string(b)
 }
 
-// flush tells each second of what was left out of storms that have passed, until ctx ends.
-func (a *Audit) flush(ctx context.Context) {
+// reportSuppressed tells each second of what was left out of storms that have passed, until ctx ends.
+func (a *Audit) reportSuppressed(ctx context.Context) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
@@ -95,7 +95,7 @@
 		case <-t.C:
 		}
 		a.mu.Lock()
-		left := a.some.TakeSuppressed(a.now())
+		left := a.sampler.TakeSuppressed(a.now())
 		a.mu.Unlock()
 		for kind, n := range left {
 			a.log.LogAttrs(ctx, slog.LevelWarn, "caller", slog.String("event", "left out"), slog.String("kind", kind), slog.Int("left_out", n))
--- a/internal/identity/gate.go
+++ b/internal/identity/gate.go
@@ -21,19 +21,19 @@
 
 // Options are what a gate works by.
 type Options struct {
-	Policy   caller.Policy
-	Pepper   *Pepper // nil = secrets are not taken
-	Remember int     // tokens whose check is remembered; 0 = DefaultRemember
-	Share    float64 // of one core that checking may take, 0 to 1; 0 = DefaultShare
-	Portion  float64 // this router's part of the service, for rates of rules; 0 = all
-	Log      *slog.Logger
-	Now      func() float64 // Unix ms; nil = the system's clock
+	Policy      caller.Policy
+	Pepper      *Pepper // nil = secrets are not taken
+	CacheSize   int     // tokens whose check is remembered; 0 = DefaultCacheSize
+	CPUShare    float64 // of one core that checking may take, 0 to 1; 0 = DefaultCPUShare
+	RouterShare float64 // this router's part of the service, for rates of rules; 0 = all
+	Log         *slog.Logger
+	Now         func() float64 // Unix ms; nil = the system's clock
 }
 
 // The usual values of Options.
 const (
-	DefaultRemember = 16 << 10
-	DefaultShare    = 0.2
+	DefaultCacheSize = 16 << 10
+	DefaultCPUShare  = 0.2
 )
 
 // What a check costs, in ms of one core (BenchmarkVerify on 2 cores of this project's machine, 2026-12-01, rounded up). The budget
@@ -46,39 +46,39 @@
 
 // state is the book in force with its keys made ready. It does not change.
 type state struct {
-	book *caller.CredentialStore
-	keys map[string]crypto.PublicKey
+	credentials *caller.CredentialStore
+	keys        map[string]crypto.PublicKey
 }
 
-// Gate settles for connections who calls. Its methods may be called from any goroutine; none blocks.
-type Gate struct {
-	o         Options
+// Authenticator settles for connections who calls. Its methods may be called from any goroutine; none blocks.
+type Authenticator struct {
+	opts      Options
 	now       func() float64
 	state     atomic.Pointer[state]
 	confirmed atomic.Uint64 // when the book was last known to be in force: bits of a float64
-	hash      *tokenHash    // by which tokens are remembered
+	hasher    *tokenHasher  // by which tokens are remembered
 	audit     *Audit
 	counts    [64]atomic.Int64 // verdicts on who logs in or asks, by reason
 	checks    atomic.Int64     // signatures and secrets checked
 
-	mu     sync.Mutex // of what follows
-	memory *caller.IdentityCache
-	limits *caller.AuthLimiter
+	mu      sync.Mutex // of what follows
+	cache   *caller.IdentityCache
+	limiter *caller.AuthLimiter
 
 	ratesMu sync.Mutex
 	rates   *caller.RateLimiter
 }
 
-// NewGate is a gate that takes nobody until Use has given it a book.
-func NewGate(o Options) *Gate {
-	if o.Remember == 0 {
-		o.Remember = DefaultRemember
+// NewAuthenticator is a gate that takes nobody until Use has given it a book.
+func NewAuthenticator(o Options) *Authenticator {
+	if o.CacheSize == 0 {
+		o.CacheSize = DefaultCacheSize
 	}
-	if o.Share == 0 {
-		o.Share = DefaultShare
+	if o.CPUShare == 0 {
+		o.CPUShare = DefaultCPUShare
 	}
-	if o.Portion == 0 {
-		o.Portion = 1
+	if o.RouterShare == 0 {
+		o.RouterShare = 1
 	}
 	if o.Now == nil {
 		o.Now = func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
@@ -86,15 +86,15 @@
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	g := &Gate{o: o, now: o.Now, audit: NewAudit(o.Log, o.Now), memory: caller.NewIdentityCache(o.Remember), limits: caller.NewAuthLimiter(o.Share),
-		rates: caller.NewRateLimiter(o.Portion), hash: newTokenHash()}
+	g := &Authenticator{opts: o, now: o.Now, audit: NewAudit(o.Log, o.Now), cache: caller.NewIdentityCache(o.CacheSize), limiter: caller.NewAuthLimiter(o.CPUShare),
+		rates: caller.NewRateLimiter(o.RouterShare), hasher: newTokenHasher()}
 	return g
 }
 
-// Use brings a book into force: for new callers at once, and for those that are known at their next request. An error names a key
+// SetCredentials brings a book into force: for new callers at once, and for those that are known at their next request. An error names a key
 // that can't be used; the old book stays then.
-func (g *Gate) Use(b *caller.CredentialStore) error {
-	s := &state{book: b, keys: map[string]crypto.PublicKey{}}
+func (g *Authenticator) SetCredentials(b *caller.CredentialStore) error {
+	s := &state{credentials: b, keys: map[string]crypto.PublicKey{}}
 	for _, k := range b.Keys() {
 		if k.Algorithm == caller.Secret {
 			continue
@@ -115,7 +115,7 @@
 }
 
 // Confirm tells that the book was known to be in force at a time, ms. An older time changes nothing.
-func (g *Gate) Confirm(at float64) {
+func (g *Authenticator) Confirm(at float64) {
 	for {
 		old := g.confirmed.Load()
 		if math.Float64frombits(old) >= at || g.confirmed.CompareAndSwap(old, math.Float64bits(at)) {
@@ -124,139 +124,139 @@
 	}
 }
 
-// Book is the one in force, nil before the first.
-func (g *Gate) Book() *caller.CredentialStore {
+// Credentials is the one in force, nil before the first.
+func (g *Authenticator) Credentials() *caller.CredentialStore {
 	if s := g.state.Load(); s != nil {
-		return s.book
+		return s.credentials
 	}
 	return nil
 }
 
 // current is the book in force, if it is to be believed by callers that are new, or by all.
-func (g *Gate) current(now float64, isNew bool) (*state, caller.Reason) {
+func (g *Authenticator) current(now float64, isNew bool) (*state, caller.Reason) {
 	s := g.state.Load()
 	if s == nil {
 		return nil, caller.StaleKeys
 	}
-	forNew, forAll := s.book.Stale(math.Float64frombits(g.confirmed.Load()), now)
+	forNew, forAll := s.credentials.Stale(math.Float64frombits(g.confirmed.Load()), now)
 	if forAll || isNew && forNew {
 		return nil, caller.StaleKeys
 	}
 	return s, caller.None
 }
 
-// Token settles who shows a token, from an address.
-func (g *Gate) Token(from, text string) (*caller.Identity, caller.Reason) {
-	p, why := g.token(from, text)
-	g.seen("login", why, p, Event{From: from})
+// AuthenticateToken settles who shows a token, from an address.
+func (g *Authenticator) AuthenticateToken(from, text string) (*caller.Identity, caller.Reason) {
+	p, why := g.authenticateToken(from, text)
+	g.recordVerdict("login", why, p, Event{From: from})
 	return p, why
 }
 
-// Once is Token for a single request: there is no login for the audit, but a refusal is one.
-func (g *Gate) Once(from, text string) (*caller.Identity, caller.Reason) {
-	p, why := g.token(from, text)
+// AuthenticateRequest is Token for a single request: there is no login for the audit, but a refusal is one.
+func (g *Authenticator) AuthenticateRequest(from, text string) (*caller.Identity, caller.Reason) {
+	p, why := g.authenticateToken(from, text)
 	if why != caller.None {
-		g.seen("login", why, nil, Event{From: from})
+		g.recordVerdict("login", why, nil, Event{From: from})
 	} else {
 		g.counts[caller.None].Add(1)
 	}
 	return p, why
 }
 
-func (g *Gate) token(from, text string) (*caller.Identity, caller.Reason) {
+func (g *Authenticator) authenticateToken(from, text string) (*caller.Identity, caller.Reason) {
 	now := g.now()
-	if len(text) > MaxToken {
+	if len(text) > MaxTokenBytes {
 		return nil, caller.TooLong
 	}
-	hash := g.hash.sum(text)
+	hash := g.hasher.sum(text)
 	g.mu.Lock()
-	p := g.memory.Get(hash)
+	p := g.cache.Get(hash)
 	g.mu.Unlock()
 	if p != nil { // the signature was checked; all else is judged again if anything has changed
 		s, why := g.current(now, false)
 		if why != caller.None {
 			return nil, why
 		}
-		if p.Valid(s.book.Version(), now) {
+		if p.Valid(s.credentials.Version(), now) {
 			return p, caller.None
 		}
-		if p, why = s.book.Reauthenticate(now, p); why == caller.None {
-			g.remember(hash, p)
+		if p, why = s.credentials.Reauthenticate(now, p); why == caller.None {
+			g.cacheIdentity(hash, p)
 			return p, caller.None
 		}
 		g.mu.Lock()
-		g.memory.Remove(hash)
+		g.cache.Remove(hash)
 		g.mu.Unlock()
 		if why != caller.NoTenant { // the tenant may be another one of its name: then the token is a new caller's
 			return nil, why
 		}
 	}
-	p, why := g.fresh(now, from, text)
+	p, why := g.verifyToken(now, from, text)
 	if why == caller.None {
-		g.remember(hash, p)
+		g.cacheIdentity(hash, p)
 	}
 	return p, why
 }
 
-func (g *Gate) remember(hash [32]byte, p *caller.Identity) {
+func (g *Authenticator) cacheIdentity(hash [32]byte, p *caller.Identity) {
 	g.mu.Lock()
-	g.memory.Put(hash, p)
+	g.cache.Put(hash, p)
 	g.mu.Unlock()
 }
 
-// fresh checks a token that is not remembered, if the budget of such checks has room.
-func (g *Gate) fresh(now float64, from, text string) (*caller.Identity, caller.Reason) {
+// verifyToken checks a token that is not remembered, if the budget of such checks has room.
+func (g *Authenticator) verifyToken(now float64, from, text string) (*caller.Identity, caller.Reason) {
 	s, why := g.current(now, true)
 	if why != caller.None {
 		return nil, why
 	}
-	origin := originOf(from)
-	if !g.may(now, origin, "", costSecret) { // reading it is work too
+	origin := addressPrefix(from)
+	if !g.allowCheck(now, origin, "", costSecret) { // reading it is work too
 		return nil, caller.Throttled
 	}
 	t, why := readToken(text)
 	if why != caller.None {
-		g.was(now, origin, "", true)
+		g.recordResult(now, origin, "", true)
 		return nil, why
 	}
-	k := s.book.Key(t.kid)
+	k := s.credentials.Key(t.kid)
 	if k == nil || s.keys[t.kid] == nil {
-		g.was(now, origin, "", true)
+		g.recordResult(now, origin, "", true)
 		return nil, caller.UnknownKey
 	}
-	if why := s.book.CheckKeyState(k, now); why != caller.None { // before the work
+	if why := s.credentials.CheckKeyState(k, now); why != caller.None { // before the work
 		return nil, why
 	}
 	cost := costEdDSA
 	if k.Algorithm == caller.ES256 {
 		cost = costES256
 	}
-	if !g.may(now, origin, k.ID, cost) {
+	if !g.allowCheck(now, origin, k.ID, cost) {
 		return nil, caller.Throttled
 	}
 	g.checks.Add(1)
-	c, why := t.check(k, s.keys[t.kid])
-	g.was(now, origin, k.ID, why != caller.None)
+	c, why := t.verify(k, s.keys[t.kid])
+	g.recordResult(now, origin, k.ID, why != caller.None)
 	if why != caller.None {
 		return nil, why
 	}
-	return s.book.AuthenticateToken(now, c)
+	return s.credentials.AuthenticateToken(now, c)
 }
 
-func (g *Gate) may(now float64, origin, key string, cost float64) bool {
+func (g *Authenticator) allowCheck(now float64, origin, key string, cost float64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.limits.Allow(now, origin, key, cost)
+	return g.limiter.Allow(now, origin, key, cost)
 }
 
-func (g *Gate) was(now float64, origin, key string, wrong bool) {
+func (g *Authenticator) recordResult(now float64, origin, key string, wrong bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limits.RecordResult(now, origin, key, wrong)
+	g.limiter.RecordResult(now, origin, key, wrong)
 }
 
-// originOf is the address by which floods are told apart: without the port, and of IPv6 the network of 64 bits that one caller has.
-func originOf(from string) string {
+// addressPrefix is the address by which floods are told apart: without the port, and of IPv6 the network of 64 bits that one caller has.
+func addressPrefix(from string) string {
 	a, err := netip.ParseAddrPort(from)
 	if err != nil {
 		return from
@@ -272,37 +272,37 @@
 	return ip.String()
 }
 
-// Secret settles who shows a key's secret.
-func (g *Gate) Secret(from, id string, secret []byte) (*caller.Identity, caller.Reason) {
-	p, why := g.secret(from, id, secret)
-	g.seen("login", why, p, Event{From: from, Key: id})
+// AuthenticateSecret settles who shows a key's secret.
+func (g *Authenticator) AuthenticateSecret(from, id string, secret []byte) (*caller.Identity, caller.Reason) {
+	p, why := g.authenticateSecret(from, id, secret)
+	g.recordVerdict("login", why, p, Event{From: from, Key: id})
 	return p, why
 }
 
-func (g *Gate) secret(from, id string, secret []byte) (*caller.Identity, caller.Reason) {
+func (g *Authenticator) authenticateSecret(from, id string, secret []byte) (*caller.Identity, caller.Reason) {
 	now := g.now()
 	s, why := g.current(now, true)
 	switch {
 	case why != caller.None:
 		return nil, why
-	case len(secret) > maxSecret || len(id) > caller.MaxTextBytes:
+	case len(secret) > maxSecretBytes || len(id) > caller.MaxTextBytes:
 		return nil, caller.TooLong
-	case g.o.Pepper == nil:
+	case g.opts.Pepper == nil:
 		return nil, caller.UnknownKey
 	}
-	origin := originOf(from)
-	if !g.may(now, origin, id, costSecret) {
+	origin := addressPrefix(from)
+	if !g.allowCheck(now, origin, id, costSecret) {
 		return nil, caller.Throttled
 	}
 	g.checks.Add(1)
 	// The book compares hashes under a key that nobody outside knows, so how far they agree tells nobody anything of the secret.
-	p, why := s.book.AuthenticateSecret(now, id, g.o.Pepper.Hash(id, secret))
-	g.was(now, origin, id, why == caller.BadSignature || why == caller.UnknownKey)
+	p, why := s.credentials.AuthenticateSecret(now, id, g.opts.Pepper.Hash(id, secret))
+	g.recordResult(now, origin, id, why == caller.BadSignature || why == caller.UnknownKey)
 	return p, why
 }
 
-// Certificate settles who has shown a client certificate on a link whose handshake is over. Without one there is no caller.
-func (g *Gate) Certificate(from string, link *tls.ConnectionState) (*caller.Identity, caller.Reason) {
+// AuthenticateCertificate settles who has shown a client certificate on a link whose handshake is over. Without one there is no caller.
+func (g *Authenticator) AuthenticateCertificate(from string, link *tls.ConnectionState) (*caller.Identity, caller.Reason) {
 	if link == nil || len(link.PeerCertificates) == 0 || len(link.VerifiedChains) == 0 {
 		return nil, caller.NoCaller
 	}
@@ -311,17 +311,17 @@
 	var p *caller.Identity
 	if why == caller.None {
 		for _, chain := range link.VerifiedChains { // one whose end is still in the bundle will do
-			if p, why = s.book.AuthenticateCertificate(now, describe(chain)); why != caller.KeyRevoked {
+			if p, why = s.credentials.AuthenticateCertificate(now, describeChain(chain)); why != caller.KeyRevoked {
 				break
 			}
 		}
 	}
-	g.seen("login", why, p, Event{From: from, Key: "sha256:" + fingerprint(link.PeerCertificates[0])})
+	g.recordVerdict("login", why, p, Event{From: from, Key: "sha256:" + fingerprint(link.PeerCertificates[0])})
 	return p, why
 }
 
-// describe gives what the book needs of a chain. It holds no longer than any certificate of it.
-func describe(chain []*x509.Certificate) caller.Certificate {
+// describeChain gives what the book needs of a chain. It holds no longer than any certificate of it.
+func describeChain(chain []*x509.Certificate) caller.Certificate {
 	leaf := chain[0]
 	c := caller.Certificate{Names: []string{"sha256:" + fingerprint(leaf)}, TrustAnchor: sha256.Sum256(chain[len(chain)-1].Raw), NotAfter: math.Inf(1)}
 	for _, u := range leaf.URIs {
@@ -342,28 +342,28 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Check gives the pass by which a caller goes on: the same while it holds, another where the book or the time has changed and it is
+// Validate gives the pass by which a caller goes on: the same while it holds, another where the book or the time has changed and it is
 // still good, or why not.
-func (g *Gate) Check(p *caller.Identity) (*caller.Identity, caller.Reason) {
+func (g *Authenticator) Revalidate(p *caller.Identity) (*caller.Identity, caller.Reason) {
 	now := g.now()
 	s, why := g.current(now, false)
 	if why != caller.None {
 		return nil, why
 	}
-	if p.Valid(s.book.Version(), now) {
+	if p.Valid(s.credentials.Version(), now) {
 		return p, caller.None
 	}
-	return s.book.Reauthenticate(now, p)
+	return s.credentials.Reauthenticate(now, p)
 }
 
-// Withdrawn tells the audit that a caller's connection ends.
-func (g *Gate) Withdrawn(from string, p *caller.Identity, why caller.Reason) {
-	g.seen("withdrawn", why, p, Event{From: from})
+// RecordWithdrawn tells the audit that a caller's connection ends.
+func (g *Authenticator) RecordWithdrawn(from string, p *caller.Identity, why caller.Reason) {
+	g.recordVerdict("withdrawn", why, p, Event{From: from})
 }
 
-// Allow says whether a caller may make a request of a class on a key of its own, now. Of one that is over a rate it says after how
+// Authorize says whether a caller may make a request of a class on a key of its own, now. Of one that is over a rate it says after how
 // many ms there is room.
-func (g *Gate) Allow(from string, p *caller.Identity, class, key string, access caller.Access) (again float64, why caller.Reason) {
+func (g *Authenticator) Authorize(from string, p *caller.Identity, class, key string, access caller.Access) (again float64, why caller.Reason) {
 	now := g.now()
 	rule, ok := p.Rights.Allows(now, class, key, access)
 	e := Event{From: from, Class: class}
@@ -371,7 +371,7 @@
 		e.Rule = p.Rights.Rules()[rule].Line
 	}
 	if !ok {
-		g.seen("refused", caller.NoRight, p, e)
+		g.recordVerdict("refused", caller.NoRight, p, e)
 		return 0, caller.NoRight
 	}
 	if p.Rights.Rules()[rule].Rate > 0 {
@@ -379,20 +379,20 @@
 		again, ok = g.rates.Take(now, p.Caller, p.Rights, rule)
 		g.ratesMu.Unlock()
 		if !ok {
-			g.seen("refused", caller.OverRate, p, e)
+			g.recordVerdict("refused", caller.OverRate, p, e)
 			return again, caller.OverRate
 		}
 	}
 	return 0, caller.None
 }
 
-// Refused tells the audit of a request that was not taken for another reason.
-func (g *Gate) Refused(from string, p *caller.Identity, why caller.Reason) {
-	g.seen("refused", why, p, Event{From: from})
+// RecordRefused tells the audit of a request that was not taken for another reason.
+func (g *Authenticator) RecordRefused(from string, p *caller.Identity, why caller.Reason) {
+	g.recordVerdict("refused", why, p, Event{From: from})
 }
 
-// seen books a verdict.
-func (g *Gate) seen(what string, why caller.Reason, p *caller.Identity, e Event) {
+// recordVerdict books a verdict.
+func (g *Authenticator) recordVerdict(what string, why caller.Reason, p *caller.Identity, e Event) {
 	g.counts[why].Add(1)
 	if e.What, e.Reason = what, why; p != nil {
 		e.Caller, e.Tenant = p.Caller, p.Tenant.Name
@@ -403,17 +403,17 @@
 	g.audit.Add(e)
 }
 
-// Figures are a gate's.
-type Figures struct {
+// Stats are a gate's.
+type Stats struct {
 	Verdicts   map[string]int64 // by reason; none = taken
 	Checks     int64            // of signatures and secrets
 	Remembered int              // tokens
 	Addresses  int              // of callers, remembered
 }
 
-// Figures gives them.
-func (g *Gate) Figures() Figures {
-	f := Figures{Verdicts: map[string]int64{}, Checks: g.checks.Load()}
+// Stats gives them.
+func (g *Authenticator) Stats() Stats {
+	f := Stats{Verdicts: map[string]int64{}, Checks: g.checks.Load()}
 	for _, r := range caller.Reasons() {
 		if n := g.counts[r].Load(); n > 0 {
 			f.Verdicts[r.String()] = n
@@ -421,24 +421,24 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f.Remembered = g.memory.Size()
-	f.Addresses, _ = g.limits.Size()
+	f.Remembered = g.cache.Size()
+	f.Addresses, _ = g.limiter.Size()
 	return f
 }
 
 // Run keeps the audit's counts flowing until ctx ends.
-func (g *Gate) Run(ctx context.Context) { g.audit.flush(ctx) }
+func (g *Authenticator) Run(ctx context.Context) { g.audit.reportSuppressed(ctx) }
 
-// From is the text of a connection's far end.
-func From(c net.Conn) string {
+// RemoteAddr is the text of a connection's far end.
+func RemoteAddr(c net.Conn) string {
 	if a := c.RemoteAddr(); a != nil {
 		return a.String()
 	}
 	return ""
 }
 
-// BookError joins what is wrong with a book's contents.
-func BookError(name string, faults []caller.ValidationError) error {
+// CredentialsError joins what is wrong with a book's contents.
+func CredentialsError(name string, faults []caller.ValidationError) error {
 	if len(faults) == 0 {
 		return nil
 	}
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -23,7 +23,7 @@
 
 // house is a gate with a key of each algorithm and one caller.
 type house struct {
-	gate   *identity.Gate
+	gate   *identity.Authenticator
 	log    *bytes.Buffer
 	ed, es *identitytest.Signer
 	pepper identity.Pepper
@@ -33,7 +33,7 @@
 func newHouse(t testing.TB, now func() float64) *house {
 	t.Helper()
 	h := &house{log: &bytes.Buffer{}, ed: identitytest.NewSigner(t, "ed", "i", caller.EdDSA), es: identitytest.NewSigner(t, "es", "i", caller.ES256), pepper: identity.Pepper{1}}
-	h.gate = identity.NewGate(identity.Options{Pepper: &h.pepper, Log: slog.New(slog.NewTextHandler(h.log, nil)), Now: now})
+	h.gate = identity.NewAuthenticator(identity.Options{Pepper: &h.pepper, Log: slog.New(slog.NewTextHandler(h.log, nil)), Now: now})
 	h.use(t, caller.Lifecycle{Active: 1})
 	return h
 }
@@ -44,11 +44,11 @@
 	h.epoch++
 	b, faults := caller.NewCredentialStore(caller.Contents{Version: h.epoch, Policy: caller.Policy{Audiences: []string{"r"}, Longest: 4000e3}, Tenants: []caller.Tenant{{Name: "t"}},
 		Principals: []caller.Principal{{Name: "c", Tenant: "t", Subjects: []caller.Subject{{Issuer: "i", Name: "s"}}}},
-		Keys:       []caller.Key{h.ed.Live(l), h.es.Live(l), {ID: "x", Algorithm: caller.Secret, Caller: "c", Digest: h.pepper.Hash("x", []byte("geheim")), Lifecycle: l}}})
+		Keys:       []caller.Key{h.ed.KeyWithLifecycle(l), h.es.KeyWithLifecycle(l), {ID: "x", Algorithm: caller.Secret, Caller: "c", Digest: h.pepper.Hash("x", []byte("geheim")), Lifecycle: l}}})
 	if faults != nil {
 		t.Fatal(faults)
 	}
-	if err := h.gate.Use(b); err != nil {
+	if err := h.gate.SetCredentials(b); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -89,7 +89,7 @@
 		"a secret's id":            {enc(`{"alg":"EdDSA","kid":"x"}`) + "." + parts[1] + "." + parts[2], caller.UnknownKey},
 		"no kid":                   {enc(`{"alg":"EdDSA"}`) + "." + parts[1] + "." + parts[2], caller.UnknownKey},
 		"critical header":          {enc(`{"alg":"EdDSA","kid":"ed","crit":["b64"],"b64":false}`) + "." + parts[1] + "." + parts[2], caller.BadSignature},
-		"too long":                 {good + strings.Repeat("A", identity.MaxToken), caller.TooLong},
+		"too long":                 {good + strings.Repeat("A", identity.MaxTokenBytes), caller.TooLong},
 		"no token":                 {"x", caller.Malformed},
 		"empty":                    {"", caller.Malformed},
 		"lives too long":           {h.ed.Sign(t, h.ed.Claims("s", "r", time.Now(), 4001*time.Second)), caller.TooLong},
@@ -99,18 +99,18 @@
 		"expired":                  {h.ed.Sign(t, h.ed.Claims("s", "r", time.Now().Add(-time.Hour), time.Minute)), caller.Expired},
 	} {
 		for range 2 { // the second time may be remembered
-			if p, why := h.gate.Token("10.0.0."+fmt.Sprint(len(name))+":1", c.token); why != c.want || (p == nil) != (why != caller.None) {
+			if p, why := h.gate.AuthenticateToken("10.0.0."+fmt.Sprint(len(name))+":1", c.token); why != c.want || (p == nil) != (why != caller.None) {
 				t.Errorf("%s: %v, want %v", name, why, c.want)
 			}
 		}
 	}
-	if _, why := h.gate.Secret("10.0.1.1:1", "x", []byte("geheim")); why != caller.None {
+	if _, why := h.gate.AuthenticateSecret("10.0.1.1:1", "x", []byte("geheim")); why != caller.None {
 		t.Error(why)
 	}
-	if _, why := h.gate.Secret("10.0.1.1:1", "x", []byte("geheimer")); why != caller.BadSignature {
+	if _, why := h.gate.AuthenticateSecret("10.0.1.1:1", "x", []byte("geheimer")); why != caller.BadSignature {
 		t.Error(why)
 	}
-	if _, why := h.gate.Secret("10.0.1.1:1", "ed", []byte("geheim")); why != caller.UnknownKey {
+	if _, why := h.gate.AuthenticateSecret("10.0.1.1:1", "ed", []byte("geheim")); why != caller.UnknownKey {
 		t.Errorf("a public key's id with a secret: %v", why)
 	}
 	log := h.log.String()
@@ -129,21 +129,21 @@
 	at := float64(time.Now().UnixMilli())
 	h := newHouse(t, func() float64 { return at })
 	token := h.ed.Token(t, "s", "r")
-	ask := func() caller.Reason { _, why := h.gate.Token("127.0.0.1:1", token); return why }
+	ask := func() caller.Reason { _, why := h.gate.AuthenticateToken("127.0.0.1:1", token); return why }
 	for range 10 {
 		if why := ask(); why != caller.None {
 			t.Fatal(why)
 		}
 	}
-	if f := h.gate.Figures(); f.Checks != 1 || f.Remembered != 1 || f.Verdicts["none"] != 10 {
+	if f := h.gate.Stats(); f.Checks != 1 || f.Remembered != 1 || f.Verdicts["none"] != 10 {
 		t.Errorf("%+v", f)
 	}
 	h.use(t, caller.Lifecycle{Active: 1}) // another book with the same key: nothing is checked anew
-	if why := ask(); why != caller.None || h.gate.Figures().Checks != 1 {
-		t.Error(why, h.gate.Figures())
+	if why := ask(); why != caller.None || h.gate.Stats().Checks != 1 {
+		t.Error(why, h.gate.Stats())
 	}
 	h.use(t, caller.Lifecycle{Active: 1, Revoked: at})
-	if why := ask(); why != caller.KeyRevoked || h.gate.Figures().Remembered != 0 {
+	if why := ask(); why != caller.KeyRevoked || h.gate.Stats().Remembered != 0 {
 		t.Error(why)
 	}
 	h.use(t, caller.Lifecycle{Active: 1})
@@ -169,30 +169,30 @@
 		return h.ed.Sign(t, c)
 	}
 	kept := sign("kept")
-	if _, why := h.gate.Token("10.0.0.1:1", kept); why != caller.None {
+	if _, why := h.gate.AuthenticateToken("10.0.0.1:1", kept); why != caller.None {
 		t.Fatal(why)
 	}
 	wrong := identitytest.NewSigner(t, "ed", "i", caller.EdDSA).Token(t, "s", "r")
-	before := h.gate.Figures().Checks
+	before := h.gate.Stats().Checks
 	fresh := 0
 	for i := range 5000 { // five seconds
 		for j := range 4 {
-			if _, why := h.gate.Token(fmt.Sprintf("10.9.%d.%d:1", i%200, j), fmt.Sprint(wrong[:len(wrong)-3], i%900+100)); why == caller.None {
+			if _, why := h.gate.AuthenticateToken(fmt.Sprintf("10.9.%d.%d:1", i%200, j), fmt.Sprint(wrong[:len(wrong)-3], i%900+100)); why == caller.None {
 				t.Fatal("a wrong one is taken")
 			}
 		}
-		if _, why := h.gate.Once("10.0.0.1:2", kept); why != caller.None {
+		if _, why := h.gate.AuthenticateRequest("10.0.0.1:2", kept); why != caller.None {
 			t.Fatalf("at %d ms: the known one: %v", i, why)
 		}
 		if i%250 == 0 {
-			if _, why := h.gate.Token("10.0.0.1:3", sign(fmt.Sprint(i))); why != caller.None {
+			if _, why := h.gate.AuthenticateToken("10.0.0.1:3", sign(fmt.Sprint(i))); why != caller.None {
 				t.Fatalf("at %d ms: a new one of a known address: %v", i, why)
 			}
 			fresh++
 		}
 		tick(1)
 	}
-	if n := h.gate.Figures().Checks - before - int64(fresh); n > 700 {
+	if n := h.gate.Stats().Checks - before - int64(fresh); n > 700 {
 		t.Errorf("%d of 20,000 wrong ones were checked", n)
 	}
 	if lines := strings.Count(h.log.String(), "\n"); lines > 600 {
@@ -206,7 +206,7 @@
 // A certificate without its key, or with another's, is never in force; the pair is taken once both are there. A file cut at any byte
 // changes nothing.
 func TestCertificateAndKeyTogether(t *testing.T) {
-	a := identitytest.NewAuthority(t, "a")
+	a := identitytest.NewCA(t, "a")
 	dir := t.TempDir()
 	path := func(n string) string { return filepath.Join(dir, n) }
 	write := func(n string, text []byte) {
@@ -219,8 +219,8 @@
 	write("key", key)
 	write("bundle", a.PEM())
 	write("tickets", []byte(strings.Repeat("A", 43)+"=\n"))
-	files := identity.LinkFiles{Certificate: path("cert"), Key: path("key"), Bundle: path("bundle"), Tickets: path("tickets"), Clients: identity.ClientsMay}
-	l, err := identity.OpenLink(files, slog.New(slog.DiscardHandler))
+	files := identity.TLSFiles{Certificate: path("cert"), Key: path("key"), Bundle: path("bundle"), Tickets: path("tickets"), Clients: identity.ClientAuthOptional}
+	l, err := identity.OpenTLS(files, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,12 +275,12 @@
 				c.ID = fmt.Sprint(i)
 				tokens[i] = s.Sign(b, c)
 			}
-			g := identity.NewGate(identity.Options{Remember: 1, Share: 1e9, Log: slog.New(slog.DiscardHandler)})
-			if err := g.Use(h.gate.Book()); err != nil {
+			g := identity.NewAuthenticator(identity.Options{CacheSize: 1, CPUShare: 1e9, Log: slog.New(slog.DiscardHandler)})
+			if err := g.SetCredentials(h.gate.Credentials()); err != nil {
 				b.Fatal(err)
 			}
 			for i := 0; b.Loop(); i++ {
-				if _, why := g.Once("127.0.0.1:1", tokens[i%256]); why != caller.None {
+				if _, why := g.AuthenticateRequest("127.0.0.1:1", tokens[i%256]); why != caller.None {
 					b.Fatal(why)
 				}
 			}
@@ -290,20 +290,20 @@
 		b.ReportAllocs()
 		token := h.ed.Token(b, "s", "r")
 		for b.Loop() {
-			if _, why := h.gate.Once("127.0.0.1:1", token); why != caller.None {
+			if _, why := h.gate.AuthenticateRequest("127.0.0.1:1", token); why != caller.None {
 				b.Fatal(why)
 			}
 		}
 	})
 	b.Run("kept", func(b *testing.B) { // on a connection that is known: still a pass, and a right
 		b.ReportAllocs()
-		p, _ := h.gate.Token("127.0.0.1:1", h.ed.Token(b, "s", "r"))
+		p, _ := h.gate.AuthenticateToken("127.0.0.1:1", h.ed.Token(b, "s", "r"))
 		p.Rights = caller.Compile([]caller.Rule{{Deny: true, Prefix: "secret/", Access: caller.ReadWrite}, {Classes: []string{"read"}, Access: caller.Read}})
 		for b.Loop() {
-			if _, why := h.gate.Check(p); why != caller.None {
+			if _, why := h.gate.Revalidate(p); why != caller.None {
 				b.Fatal(why)
 			}
-			if _, why := h.gate.Allow("127.0.0.1:1", p, "read", "container/123", caller.Read); why != caller.None {
+			if _, why := h.gate.Authorize("127.0.0.1:1", p, "read", "container/123", caller.Read); why != caller.None {
 				b.Fatal(why)
 			}
 		}
--- a/internal/identity/identitytest/identitytest.go
+++ b/internal/identity/identitytest/identitytest.go
@@ -46,8 +46,8 @@
 	return &Signer{i, key}
 }
 
-// Live is the signer's key with a life.
-func (s *Signer) Live(l caller.Lifecycle) caller.Key {
+// KeyWithLifecycle is the signer's key with a life.
+func (s *Signer) KeyWithLifecycle(l caller.Lifecycle) caller.Key {
 	k := s.Key
 	k.Lifecycle = l
 	return k
@@ -68,14 +68,14 @@
 	return s.Sign(t, s.Claims(subject, audience, time.Now(), time.Hour))
 }
 
-// Authority issues certificates.
-type Authority struct {
+// CA issues certificates.
+type CA struct {
 	Cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes one.
-func NewAuthority(t testing.TB, name string) *Authority {
+// NewCA makes one.
+func NewCA(t testing.TB, name string) *CA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -90,7 +90,7 @@
 	if c, err = x509.ParseCertificate(der); err != nil {
 		t.Fatal(err)
 	}
-	return &Authority{c, key}
+	return &CA{c, key}
 }
 
 func serial(t testing.TB) *big.Int {
@@ -102,12 +102,12 @@
 }
 
 // PEM is the authority's certificate.
-func (a *Authority) PEM() []byte {
+func (a *CA) PEM() []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.Cert.Raw})
 }
 
 // Issue makes a certificate for names (uri:… or dns:…) and loopback, in PEM with its key.
-func (a *Authority) Issue(t testing.TB, lives time.Duration, names ...string) (cert, key []byte) {
+func (a *CA) Issue(t testing.TB, lives time.Duration, names ...string) (cert, key []byte) {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -137,8 +137,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: pk})
 }
 
-// Client is the TLS configuration of a client that trusts the authority and, with names, shows a certificate of it.
-func (a *Authority) Client(t testing.TB, names ...string) *tls.Config {
+// ClientConfig is the TLS configuration of a client that trusts the authority and, with names, shows a certificate of it.
+func (a *CA) ClientConfig(t testing.TB, names ...string) *tls.Config {
 	t.Helper()
 	pool := x509.NewCertPool()
 	pool.AddCert(a.Cert)
--- a/internal/identity/secret.go
+++ b/internal/identity/secret.go
@@ -56,13 +56,13 @@
 	return base64.RawURLEncoding.EncodeToString(b[:])
 }
 
-// maxSecret bounds what is hashed, in bytes.
-const maxSecret = 256
+// maxSecretBytes bounds what is hashed, in bytes.
+const maxSecretBytes = 256
 
 // Hash is what the book keeps of a key's secret: BLAKE3 keyed by the pepper over id and secret. An id holds no zero byte, so none
 // runs into the secret.
 func (p Pepper) Hash(id string, secret []byte) (out [32]byte) {
-	h := newKeyed([32]byte(p))
+	h := newKeyedHasher([32]byte(p))
 	h.WriteString(id)  //nolint:errcheck // never fails
 	h.Write([]byte{0}) //nolint:errcheck // as above
 	h.Write(secret)    //nolint:errcheck // as above
@@ -70,8 +70,8 @@
 	return out
 }
 
-// newKeyed is BLAKE3 with a key, whose length is always right.
-func newKeyed(key [32]byte) *blake3.Hasher {
+// newKeyedHasher is BLAKE3 with a key, whose length is always right.
+func newKeyedHasher(key [32]byte) *blake3.Hasher {
 	h, err := blake3.NewKeyed(key[:])
 	if err != nil {
 		panic(err)
@@ -79,16 +79,16 @@
 	return h
 }
 
-// tokenHash hashes tokens under a key that nobody outside the process has. A hasher takes 11 KiB, so they are used again.
-type tokenHash struct{ pool sync.Pool }
+// tokenHasher hashes tokens under a key that nobody outside the process has. A hasher takes 11 KiB, so they are used again.
+type tokenHasher struct{ pool sync.Pool }
 
-func newTokenHash() *tokenHash {
+func newTokenHasher() *tokenHasher {
 	var key [32]byte
 	rand.Read(key[:]) //nolint:errcheck // crypto/rand ends the program where it can't
-	return &tokenHash{sync.Pool{New: func() any { return newKeyed(key) }}}
+	return &tokenHasher{sync.Pool{New: func() any { return newKeyedHasher(key) }}}
 }
 
-func (t *tokenHash) sum(text string) (out [32]byte) {
+func (t *tokenHasher) sum(text string) (out [32]byte) {
 	h := t.pool.Get().(*blake3.Hasher)
 	h.Reset()
 	h.WriteString(text) //nolint:errcheck // never fails
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -23,13 +23,13 @@
 
 // What can be asked.
 const (
-	ClientsNone     ClientAuth = iota // none is asked for
-	ClientsMay                        // one that is shown must be good
-	ClientsRequired                   // without one the handshake fails
+	ClientAuthNone     ClientAuth = iota // none is asked for
+	ClientAuthOptional                   // one that is shown must be good
+	ClientAuthRequired                   // without one the handshake fails
 )
 
-// LinkFiles are the files that a TLS link is made of, followed together.
-type LinkFiles struct {
+// TLSFiles are the files that a TLS link is made of, followed together.
+type TLSFiles struct {
 	Certificate string // chain in PEM, the own certificate first; "" on a link to servers = none is shown
 	Key         string // its private key in PEM
 	Bundle      string // certificates that vouch for the other side; "" = the other side is not asked
@@ -40,25 +40,25 @@
 
 // bounds of the files of a link, in bytes, and of ticket keys.
 const (
-	maxLinkFile   = 1 << 20
-	maxTicketKeys = 16
+	maxTLSFileBytes = 1 << 20
+	maxTicketKeys   = 16
 )
 
-// Link is the TLS material of a listener, or of the way to servers, as it is now. What is read at a handshake is always one whole
+// TLSReloader is the TLS material of a listener, or of the way to servers, as it is now. What is read at a handshake is always one whole
 // set that was judged together.
-type Link struct {
-	files LinkFiles
-	paths []string
-	log   *slog.Logger
-	now   atomic.Pointer[tls.Config]
+type TLSReloader struct {
+	files   TLSFiles
+	paths   []string
+	log     *slog.Logger
+	current atomic.Pointer[tls.Config]
 
 	mu     sync.Mutex
 	serial int
 }
 
-// OpenLink reads the files. An error names the one that is wrong.
-func OpenLink(f LinkFiles, log *slog.Logger) (*Link, error) {
-	l := &Link{files: f, log: log}
+// OpenTLS reads the files. An error names the one that is wrong.
+func OpenTLS(f TLSFiles, log *slog.Logger) (*TLSReloader, error) {
+	l := &TLSReloader{files: f, log: log}
 	for _, p := range []string{f.Certificate, f.Key, f.Bundle, f.Tickets} {
 		if p != "" {
 			l.paths = append(l.paths, p)
@@ -71,91 +71,91 @@
 }
 
 // Server is the configuration of a listener: each handshake has the material of its moment.
-func (l *Link) Server() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return l.now.Load(), nil }}
+func (l *TLSReloader) Server() *tls.Config {
+	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return l.current.Load(), nil }}
 }
 
 // Client is the configuration for one connection to a server, of this moment.
-func (l *Link) Client() *tls.Config { return l.now.Load() }
+func (l *TLSReloader) Client() *tls.Config { return l.current.Load() }
 
 // Serial counts the sets that were in force.
-func (l *Link) Serial() int {
+func (l *TLSReloader) Serial() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.serial
 }
 
 // Run follows the files until ctx ends.
-func (l *Link) Run(ctx context.Context) {
+func (l *TLSReloader) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for _, p := range l.paths {
 		now := func() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-		f := watch.New(watch.Config{Path: p, MaxBytes: maxLinkFile, SettleMS: watch.DefaultSettleMS}, now, &linkTaker{l, p})
-		if text, err := read(p); err == nil {
+		f := watch.New(watch.Config{Path: p, MaxBytes: maxTLSFileBytes, SettleMS: watch.DefaultSettleMS}, now, &reloadOnChange{l, p})
+		if text, err := readTLSFile(p); err == nil {
 			f.SetCurrent(text)
 		}
 		wg.Go(func() { f.Run(ctx) })
 	}
 }
 
-type linkTaker struct {
-	l    *Link
-	path string
+type reloadOnChange struct {
+	reloader *TLSReloader
+	path     string
 }
 
 // Take reads all files anew: one may wait for another, as a certificate does for its key.
-func (t *linkTaker) Apply([]byte) error { return t.l.Reload() }
+func (t *reloadOnChange) Apply([]byte) error { return t.reloader.Reload() }
 
-func (t *linkTaker) Refused(why error) {
-	t.l.log.Warn("tls: refused, what is in use stays", "file", t.path, "why", strings.ReplaceAll(why.Error(), "\n", "; "))
+func (t *reloadOnChange) Refused(why error) {
+	t.reloader.log.Warn("tls: refused, what is in use stays", "file", t.path, "why", strings.ReplaceAll(why.Error(), "\n", "; "))
 }
 
-func (t *linkTaker) NotificationsFailed(err error) {
-	t.l.log.Warn("tls: no notices, the file is only looked at four times a second", "file", t.path, "why", err.Error())
+func (t *reloadOnChange) NotificationsFailed(err error) {
+	t.reloader.log.Warn("tls: no notices, the file is only looked at four times a second", "file", t.path, "why", err.Error())
 }
 
 // Reload reads all files and brings them into force together, or none.
-func (l *Link) Reload() error {
+func (l *TLSReloader) Reload() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, err := l.files.config()
+	c, err := l.files.loadConfig()
 	if err != nil {
 		return err
 	}
-	l.now.Store(c)
+	l.current.Store(c)
 	if l.serial++; l.serial > 1 {
 		l.log.Info("tls: other material in force", "certificate", l.files.Certificate, "serial", l.serial)
 	}
 	return nil
 }
 
-// read reads a file that a link is made of.
-func read(path string) ([]byte, error) {
+// readTLSFile reads a file that a link is made of.
+func readTLSFile(path string) ([]byte, error) {
 	f, _, err := watch.OpenRegular(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, maxLinkFile+1))
-	if err == nil && len(b) > maxLinkFile {
-		err = fmt.Errorf("%s: over %d bytes", path, maxLinkFile)
+	b, err := io.ReadAll(io.LimitReader(f, maxTLSFileBytes+1))
+	if err == nil && len(b) > maxTLSFileBytes {
+		err = fmt.Errorf("%s: over %d bytes", path, maxTLSFileBytes)
 	}
 	return b, err
 }
 
-// config makes a configuration of the files as they are.
-func (f LinkFiles) config() (*tls.Config, error) {
+// loadConfig makes a configuration of the files as they are.
+func (f TLSFiles) loadConfig() (*tls.Config, error) {
 	c := &tls.Config{MinVersion: tls.VersionTLS13, ServerName: f.ServerName}
 	if f.Certificate != "" {
-		pair, err := f.pair()
+		pair, err := f.loadKeyPair()
 		if err != nil {
 			return nil, err
 		}
 		c.Certificates = []tls.Certificate{pair}
 	}
 	if f.Bundle != "" {
-		text, err := read(f.Bundle)
+		text, err := readTLSFile(f.Bundle)
 		if err != nil {
 			return nil, err
 		}
@@ -166,13 +166,13 @@
 		c.RootCAs, c.ClientCAs = pool, pool
 	}
 	switch f.Clients {
-	case ClientsMay:
+	case ClientAuthOptional:
 		c.ClientAuth = tls.VerifyClientCertIfGiven
-	case ClientsRequired:
+	case ClientAuthRequired:
 		c.ClientAuth = tls.RequireAndVerifyClientCert
 	}
 	if f.Tickets != "" {
-		keys, err := f.tickets()
+		keys, err := f.loadTicketKeys()
 		if err != nil {
 			return nil, err
 		}
@@ -181,13 +181,13 @@
 	return c, nil
 }
 
-// pair reads certificate and key, and judges them together: they belong to one another, and the certificate's time is now.
-func (f LinkFiles) pair() (tls.Certificate, error) {
-	cert, err := read(f.Certificate)
+// loadKeyPair reads certificate and key, and judges them together: they belong to one another, and the certificate's time is now.
+func (f TLSFiles) loadKeyPair() (tls.Certificate, error) {
+	cert, err := readTLSFile(f.Certificate)
 	if err != nil {
 		return tls.Certificate{}, err
 	}
-	key, err := read(f.Key)
+	key, err := readTLSFile(f.Key)
 	if err != nil {
 		return tls.Certificate{}, err
 	}
@@ -206,9 +206,9 @@
 	return pair, nil
 }
 
-// tickets reads the keys of session tickets.
-func (f LinkFiles) tickets() ([][32]byte, error) {
-	text, err := read(f.Tickets)
+// loadTicketKeys reads the keys of session tickets.
+func (f TLSFiles) loadTicketKeys() ([][32]byte, error) {
+	text, err := readTLSFile(f.Tickets)
 	if err != nil {
 		return nil, err
 	}
@@ -226,23 +226,23 @@
 	return keys, nil
 }
 
-// Anchors are the SHA-256 of a bundle's certificates.
-func Anchors(certs []*x509.Certificate) (out [][32]byte) {
+// TrustAnchors are the SHA-256 of a bundle's certificates.
+func TrustAnchors(certs []*x509.Certificate) (out [][32]byte) {
 	for _, c := range certs {
 		out = append(out, sha256.Sum256(c.Raw))
 	}
 	return out
 }
 
-// errNoTLS tells of a listener that is to serve TLS without a certificate.
-var errNoTLS = errors.New("tls: a listener needs a certificate and its key")
+// errNoCertificate tells of a listener that is to serve TLS without a certificate.
+var errNoCertificate = errors.New("tls: a listener needs a certificate and its key")
 
-// Check says what is wrong with the names of files for a listener.
-func (f LinkFiles) Check() error {
+// Validate says what is wrong with the names of files for a listener.
+func (f TLSFiles) Validate() error {
 	switch {
 	case f.Certificate == "" || f.Key == "":
-		return errNoTLS
-	case f.Clients != ClientsNone && f.Bundle == "":
+		return errNoCertificate
+	case f.Clients != ClientAuthNone && f.Bundle == "":
 		return errors.New("tls: client certificates are asked for, and there is no bundle to check them by")
 	}
 	return nil
--- a/internal/identity/token.go
+++ b/internal/identity/token.go
@@ -20,14 +20,14 @@
 	"mossproxy.example/mossproxy/internal/pure/caller"
 )
 
-// MaxToken is the longest token that is looked at, in bytes: a line of the meta dialect holds it with a request.
-const MaxToken = 3 << 10
+// MaxTokenBytes is the longest token that is looked at, in bytes: a line of the meta dialect holds it with a request.
+const MaxTokenBytes = 3 << 10
 
-// algorithms are those that tokens may have. Neither none nor any that checks by a shared secret is among them, so a public key
+// allowedAlgorithms are those that tokens may have. Neither none nor any that checks by a shared secret is among them, so a public key
 // can't be passed off as one.
-var algorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256}
+var allowedAlgorithms = []jose.SignatureAlgorithm{jose.EdDSA, jose.ES256}
 
-// token is one that was read and not checked yet.
+// authenticateToken is one that was read and not checked yet.
 type token struct {
 	*jwt.JSONWebToken
 	kid string
@@ -36,10 +36,10 @@
 
 // readToken reads a token without believing it.
 func readToken(text string) (token, caller.Reason) {
-	if len(text) > MaxToken {
+	if len(text) > MaxTokenBytes {
 		return token{}, caller.TooLong
 	}
-	t, err := jwt.ParseSigned(text, algorithms)
+	t, err := jwt.ParseSigned(text, allowedAlgorithms)
 	var alg *jose.ErrUnexpectedSignatureAlgorithm
 	switch {
 	case errors.As(err, &alg):
@@ -50,8 +50,8 @@
 	return token{t, t.Headers[0].KeyID, t.Headers[0].Algorithm}, caller.None
 }
 
-// check checks a token's signature by a key of the book, and gives what it says. The algorithm is the key's.
-func (t token) check(k *caller.Key, public crypto.PublicKey) (caller.Claims, caller.Reason) {
+// verify checks a token's signature by a key of the book, and gives what it says. The algorithm is the key's.
+func (t token) verify(k *caller.Key, public crypto.PublicKey) (caller.Claims, caller.Reason) {
 	if t.alg != string(k.Algorithm) {
 		return caller.Claims{}, caller.BadAlgorithm
 	}
@@ -100,15 +100,15 @@
 
 // Bounds of a set of keys.
 const (
-	MaxJWKS     = 256 << 10 // bytes
-	maxJWKSKeys = 256
+	MaxJWKSBytes = 256 << 10 // bytes
+	maxJWKSKeys  = 256
 )
 
 // ReadJWKS reads a set of public keys (RFC 7517) whole: one key that can't be used makes all of it a fault, as half a rotation
 // helps nobody. The keys have no life yet.
 func ReadJWKS(text []byte, issuer string) ([]caller.Key, error) {
-	if len(text) > MaxJWKS {
-		return nil, fmt.Errorf("over %d bytes", MaxJWKS)
+	if len(text) > MaxJWKSBytes {
+		return nil, fmt.Errorf("over %d bytes", MaxJWKSBytes)
 	}
 	var set struct {
 		Keys []json.RawMessage `json:"keys"`
--- a/internal/keybook/file.go
+++ b/internal/keybook/file.go
@@ -19,11 +19,11 @@
 	"mossproxy.example/mossproxy/internal/tomlfile"
 )
 
-// MaxFile is the longest book that is read, in bytes: 10,000 keys and 10,000 callers take half of it.
-const MaxFile = 16 << 20
+// MaxFileBytes is the longest book that is read, in bytes: 10,000 keys and 10,000 callers take half of it.
+const MaxFileBytes = 16 << 20
 
-// Book is what a book file holds.
-type Book struct {
+// CredentialsPath is what a book file holds.
+type Credentials struct {
 	Version uint64
 	Issued  time.Time // when it was known to be in force; zero = it does not say
 	Keys    []caller.Key
@@ -91,23 +91,23 @@
 	Revoked   time.Time `toml:"revoked,omitzero" json:"revoked,omitzero"`
 }
 
-// mark is the last line of a whole file: one that was cut short, also where what is there would parse, lacks it.
-var mark = regexp.MustCompile(`(?m)^\s*\[end\]\s*(#.*)?\s*\z`)
+// endMarker is the last line of a whole file: one that was cut short, also where what is there would parse, lacks it.
+var endMarker = regexp.MustCompile(`(?m)^\s*\[end\]\s*(#.*)?\s*\z`)
 
 // Parse reads a book file whole. What it says is checked against itself by caller.NewCredentialStore.
-func Parse(path string, text []byte) (*Book, error) {
-	if len(text) > MaxFile {
-		return nil, tomlfile.Faults{{File: path, What: fmt.Sprintf("over %d bytes", MaxFile)}}
+func Parse(path string, text []byte) (*Credentials, error) {
+	if len(text) > MaxFileBytes {
+		return nil, tomlfile.Faults{{File: path, What: fmt.Sprintf("over %d bytes", MaxFileBytes)}}
 	}
 	var doc document
 	d, faults := tomlfile.Decode(path, text, &doc)
 	if faults != nil {
 		return nil, faults
 	}
-	if !mark.Match(text) {
+	if !endMarker.Match(text) {
 		return nil, tomlfile.Faults{d.Fault("", "the last line is missing, so the file may be cut short; if it is whole, add as its last line: [end]")}
 	}
-	b := &Book{Version: doc.Version, Issued: doc.Issued}
+	b := &Credentials{Version: doc.Version, Issued: doc.Issued}
 	for i, t := range doc.Tenants {
 		terms := t.terms()
 		if err := terms.Check(); err != nil {
@@ -132,8 +132,8 @@
 	return b, faults.Err()
 }
 
-// Faults gives faults of a book's contents the lines of the file that they came from.
-func Faults(path string, text []byte, of []caller.ValidationError) error {
+// LocateFaults gives faults of a book's contents the lines of the file that they came from.
+func LocateFaults(path string, text []byte, of []caller.ValidationError) error {
 	if len(of) == 0 {
 		return nil
 	}
@@ -149,14 +149,14 @@
 	return out
 }
 
-// Text is a book as a file.
-func (b *Book) Text() ([]byte, error) {
+// Encode is a book as a file.
+func (b *Credentials) Encode() ([]byte, error) {
 	doc := document{Version: b.Version, Issued: b.Issued.UTC()}
 	for _, t := range b.Tenants {
 		doc.Tenants = append(doc.Tenants, b.tenantRow(t))
 	}
 	for _, c := range b.Callers {
-		doc.Callers = append(doc.Callers, rowOf(c))
+		doc.Callers = append(doc.Callers, callerRowOf(c))
 	}
 	for i := range b.Keys {
 		row, err := keyRowOf(&b.Keys[i])
@@ -175,9 +175,9 @@
 }
 
 // addTenant adds a row's tenant, with its limits.
-func (b *Book) addTenant(r tenantRow) {
+func (b *Credentials) addTenant(r tenantRow) {
 	b.Tenants = append(b.Tenants, caller.Tenant{Name: r.Name, Generation: r.Generation, Suspended: r.Suspended})
-	if terms := r.terms(); terms.some() {
+	if terms := r.terms(); terms.isSet() {
 		if b.Terms == nil {
 			b.Terms = map[string]Terms{}
 		}
@@ -186,7 +186,7 @@
 }
 
 // tenantRow is a tenant's row.
-func (b *Book) tenantRow(t caller.Tenant) tenantRow {
+func (b *Credentials) tenantRow(t caller.Tenant) tenantRow {
 	return tenantRow{t.Name, t.Generation, t.Suspended, b.Terms[t.Name].row()}
 }
 
@@ -202,7 +202,7 @@
 	return p, nil
 }
 
-func rowOf(p caller.Principal) callerRow {
+func callerRowOf(p caller.Principal) callerRow {
 	c := callerRow{Name: p.Name, Tenant: p.Tenant, Roles: p.Roles, Certificates: p.Certificates}
 	for _, s := range p.Subjects {
 		c.Subjects = append(c.Subjects, s.Issuer+" "+s.Name)
@@ -213,7 +213,7 @@
 // key gives the key of a row; an error goes with the name of the field that is wrong.
 func (r keyRow) key() (caller.Key, string, error) {
 	k := caller.Key{ID: r.ID, Algorithm: caller.Algorithm(r.Algorithm), Issuer: r.Issuer, Caller: r.Caller,
-		Lifecycle: caller.Lifecycle{Active: ms(r.Active), Retiring: ms(r.Retiring), Retired: ms(r.Retired), Revoked: ms(r.Revoked)}}
+		Lifecycle: caller.Lifecycle{Active: unixMS(r.Active), Retiring: unixMS(r.Retiring), Retired: unixMS(r.Retired), Revoked: unixMS(r.Revoked)}}
 	switch {
 	case r.JWK != "" && r.Hash != "":
 		return k, "jwk", fmt.Errorf("stands beside secret_hash; a key is the one or the other")
@@ -246,8 +246,8 @@
 }
 
 func keyRowOf(k *caller.Key) (keyRow, error) {
-	r := keyRow{ID: k.ID, Algorithm: string(k.Algorithm), Issuer: k.Issuer, Caller: k.Caller, Active: at(k.Lifecycle.Active), Retiring: at(k.Lifecycle.Retiring),
-		Retired: at(k.Lifecycle.Retired), Revoked: at(k.Lifecycle.Revoked)}
+	r := keyRow{ID: k.ID, Algorithm: string(k.Algorithm), Issuer: k.Issuer, Caller: k.Caller, Active: timeFromMS(k.Lifecycle.Active), Retiring: timeFromMS(k.Lifecycle.Retiring),
+		Retired: timeFromMS(k.Lifecycle.Retired), Revoked: timeFromMS(k.Lifecycle.Revoked)}
 	if k.Algorithm == caller.Secret {
 		r.Hash = hex.EncodeToString(k.Digest[:])
 		return r, nil
@@ -257,14 +257,14 @@
 	return r, err
 }
 
-func ms(t time.Time) float64 {
+func unixMS(t time.Time) float64 {
 	if t.IsZero() {
 		return 0
 	}
 	return float64(t.UnixMicro()) / 1000
 }
 
-func at(ms float64) time.Time {
+func timeFromMS(ms float64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
--- a/internal/keybook/keybook_test.go
+++ b/internal/keybook/keybook_test.go
@@ -49,8 +49,8 @@
 		t.Fatal(err)
 	}
 	s := identitytest.NewSigner(t, "k", "iss", caller.ES256)
-	b.Keys = append(b.Keys, s.Live(caller.Lifecycle{Active: 1000, Revoked: 5e11}))
-	text, err := b.Text()
+	b.Keys = append(b.Keys, s.KeyWithLifecycle(caller.Lifecycle{Active: 1000, Revoked: 5e11}))
+	text, err := b.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 			t.Errorf("%s: %v, want %q", c.new, err, c.want)
 		}
 	}
-	if _, err := Parse("b", make([]byte, MaxFile+1)); err == nil || !strings.Contains(err.Error(), "over") {
+	if _, err := Parse("b", make([]byte, MaxFileBytes+1)); err == nil || !strings.Contains(err.Error(), "over") {
 		t.Error(err)
 	}
 }
@@ -116,10 +116,10 @@
 }
 
 // rotation is a rotation step by step: each is one change.
-func rotation(k *Keeper, s, next *identitytest.Signer, now func() time.Time) []func() error {
+func rotation(k *Store, s, next *identitytest.Signer, now func() time.Time) []func() error {
 	ms := func() float64 { return float64(now().UnixMilli()) }
 	life := func(id string, set func(*caller.Lifecycle)) func() error {
-		return func() error { _, err := k.SetLife(0, id, "step", set); return err }
+		return func() error { _, err := k.SetLifecycle(0, id, "step", set); return err }
 	}
 	return []func() error{
 		func() error { _, err := k.CreateTenant(0, "t"); return err },
@@ -127,8 +127,8 @@
 			_, err := k.SetCaller(0, caller.Principal{Name: "c", Tenant: "t", Subjects: []caller.Subject{{Issuer: "i", Name: "s"}}})
 			return err
 		},
-		func() error { _, err := k.AddKeys(0, s.Live(caller.Lifecycle{Active: 1})); return err },
-		func() error { _, err := k.AddKeys(0, next.Live(caller.Lifecycle{})); return err },
+		func() error { _, err := k.AddKeys(0, s.KeyWithLifecycle(caller.Lifecycle{Active: 1})); return err },
+		func() error { _, err := k.AddKeys(0, next.KeyWithLifecycle(caller.Lifecycle{})); return err },
 		life("next", func(l *caller.Lifecycle) { l.Active = ms() }),
 		life("old", func(l *caller.Lifecycle) { l.Retiring = ms(); l.Retired = ms() + 1000 }),
 		life("old", func(l *caller.Lifecycle) { l.Revoked = ms() }),
@@ -161,18 +161,18 @@
 	old, next := identitytest.NewSigner(t, "old", "i", caller.EdDSA), identitytest.NewSigner(t, "next", "i", caller.ES256)
 	at := time.UnixMilli(1e12)
 	now := func() time.Time { return at }
-	open := func(d *disk.Disk) (*store.Store, *Keeper) {
+	open := func(d *disk.Disk) (*store.Store, *Store) {
 		s, err := store.Open(d, store.Options{SegmentBytes: 64 << 10, NoCompact: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s, NewKeeper(s, "me", now)
+		return s, NewStore(s, "me", now)
 	}
 	// What the book is after each step.
-	var want []*Book
+	var want []*Credentials
 	d := disk.New()
 	s, k := open(d)
-	load := func(k *Keeper) *Book {
+	load := func(k *Store) *Credentials {
 		b, err := k.Load()
 		if err != nil {
 			t.Fatal(err)
@@ -194,7 +194,7 @@
 			d.LosePower(n)
 			acked := 0
 			if s, err := store.Open(d, store.Options{SegmentBytes: 64 << 10, NoCompact: true}); err == nil {
-				for _, step := range rotation(NewKeeper(s, "me", now), old, next, now) {
+				for _, step := range rotation(NewStore(s, "me", now), old, next, now) {
 					if step() != nil {
 						break
 					}
@@ -231,7 +231,7 @@
 	}
 	defer s.Close()
 	now := time.UnixMilli(1e12)
-	k := NewKeeper(s, "me", func() time.Time { return now })
+	k := NewStore(s, "me", func() time.Time { return now })
 	signer := identitytest.NewSigner(t, "old", "i", caller.EdDSA)
 	for i, step := range rotation(k, signer, identitytest.NewSigner(t, "next", "i", caller.EdDSA), k.now)[:7] {
 		if err := step(); err != nil {
@@ -243,13 +243,19 @@
 		want error
 	}{
 		"an old version": {func() (uint64, error) { return k.CreateTenant(3, "x") }, ErrConflict},
-		"revoked, back":  {func() (uint64, error) { return k.SetLife(0, "old", "x", func(l *caller.Lifecycle) { l.Revoked = 0 }) }, ErrLife},
-		"revoked, anew":  {func() (uint64, error) { return k.SetLife(0, "old", "x", func(l *caller.Lifecycle) { l.Active = 1e13 }) }, ErrLife},
-		"out of order":   {func() (uint64, error) { return k.SetLife(0, "next", "x", func(l *caller.Lifecycle) { l.Retired = 1 }) }, ErrLife},
-		"no key":         {func() (uint64, error) { return k.SetLife(0, "x", "x", func(l *caller.Lifecycle) {}) }, ErrNoSuch},
-		"its id again":   {func() (uint64, error) { return k.AddKeys(0, signer.Key) }, ErrExists},
-		"tenant again":   {func() (uint64, error) { return k.CreateTenant(0, "t") }, ErrExists},
-		"import":         {func() (uint64, error) { return k.Import(&Book{}) }, ErrExists},
+		"revoked, back": {func() (uint64, error) {
+			return k.SetLifecycle(0, "old", "x", func(l *caller.Lifecycle) { l.Revoked = 0 })
+		}, ErrLifecycle},
+		"revoked, anew": {func() (uint64, error) {
+			return k.SetLifecycle(0, "old", "x", func(l *caller.Lifecycle) { l.Active = 1e13 })
+		}, ErrLifecycle},
+		"out of order": {func() (uint64, error) {
+			return k.SetLifecycle(0, "next", "x", func(l *caller.Lifecycle) { l.Retired = 1 })
+		}, ErrLifecycle},
+		"no key":       {func() (uint64, error) { return k.SetLifecycle(0, "x", "x", func(l *caller.Lifecycle) {}) }, ErrNotFound},
+		"its id again": {func() (uint64, error) { return k.AddKeys(0, signer.Key) }, ErrExists},
+		"tenant again": {func() (uint64, error) { return k.CreateTenant(0, "t") }, ErrExists},
+		"import":       {func() (uint64, error) { return k.Import(&Credentials{}) }, ErrExists},
 	} {
 		if _, err := c.do(); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
@@ -269,8 +275,8 @@
 	}
 }
 
-// opened is a source over files, with its gate.
-func opened(t *testing.T, files map[string]string) (dir string, g *identity.Gate, s *Source) {
+// openSource is a source over files, with its gate.
+func openSource(t *testing.T, files map[string]string) (dir string, g *identity.Authenticator, s *Source) {
 	t.Helper()
 	dir = t.TempDir()
 	for n, text := range files {
@@ -278,8 +284,8 @@
 			t.Fatal(err)
 		}
 	}
-	g = identity.NewGate(identity.Options{Log: slog.New(slog.DiscardHandler)})
-	s, err := Open(SourceConfig{Book: filepath.Join(dir, "book"), Rights: filepath.Join(dir, "rights"), Policy: caller.Policy{Audiences: []string{"r"}}}, g, slog.New(slog.DiscardHandler))
+	g = identity.NewAuthenticator(identity.Options{Log: slog.New(slog.DiscardHandler)})
+	s, err := Open(SourceConfig{CredentialsPath: filepath.Join(dir, "book"), RightsPath: filepath.Join(dir, "rights"), Policy: caller.Policy{Audiences: []string{"r"}}}, g, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -289,21 +295,21 @@
 // A book file cut at every byte is never taken: the old one stays, whole. One that goes back is not taken either, nor another content
 // of the same version.
 func TestBookCutAtEveryByte(t *testing.T) {
-	_, g, s := opened(t, map[string]string{"book": good, "rights": "role all { allow any }"})
-	was := g.Book()
+	_, g, s := openSource(t, map[string]string{"book": good, "rights": "role all { allow any }"})
+	was := g.Credentials()
 	next := strings.Replace(strings.Replace(good, "version = 4", "version = 5", 1), `"acme-d"`, `"acme-e"`, 2)
 	next += "# the end\n"
 	whole := strings.Index(next, "[end]") + len("[end]")
-	to := &taker{s, bookPart}
+	to := &fileConsumer{s, credentialsFile}
 	for n := range next[:whole] {
-		if err := to.Apply([]byte(next[:n])); err == nil || g.Book() != was {
+		if err := to.Apply([]byte(next[:n])); err == nil || g.Credentials() != was {
 			t.Fatalf("cut at byte %d it is taken: %q", n, next[max(0, n-20):n])
 		}
 	}
-	if err := to.Apply([]byte(next)); err != nil || g.Book() == was {
+	if err := to.Apply([]byte(next)); err != nil || g.Credentials() == was {
 		t.Errorf("whole: %v", err)
 	}
-	if err := to.Apply([]byte(good)); !errors.Is(err, errOlder) {
+	if err := to.Apply([]byte(good)); !errors.Is(err, errOlderVersion) {
 		t.Errorf("an older one: %v", err)
 	}
 	if err := to.Apply([]byte(strings.Replace(next, "acme-e", "acme-f", 2))); err == nil || !strings.Contains(err.Error(), "raise it") {
@@ -316,18 +322,18 @@
 
 // Files that go together are taken together, in whichever order they come; a role that nobody has is told at the caller's line.
 func TestFilesThatGoTogether(t *testing.T) {
-	for _, first := range []int{bookPart, rightsPart} {
-		_, g, s := opened(t, map[string]string{"book": good, "rights": "role all { allow any }"})
-		was := g.Book()
-		texts := map[int]string{bookPart: strings.Replace(strings.Replace(good, "version = 4", "version = 5", 1), `["all"]`, `["other"]`, 1), rightsPart: "role other { allow any read }"}
-		err := (&taker{s, first}).Apply([]byte(texts[first]))
-		if err == nil || g.Book() != was {
+	for _, first := range []int{credentialsFile, rightsFile} {
+		_, g, s := openSource(t, map[string]string{"book": good, "rights": "role all { allow any }"})
+		was := g.Credentials()
+		texts := map[int]string{credentialsFile: strings.Replace(strings.Replace(good, "version = 4", "version = 5", 1), `["all"]`, `["other"]`, 1), rightsFile: "role other { allow any read }"}
+		err := (&fileConsumer{s, first}).Apply([]byte(texts[first]))
+		if err == nil || g.Credentials() != was {
 			t.Fatalf("alone: %v", err)
 		}
-		if first == bookPart && !strings.Contains(err.Error(), `:9: caller[0].roles[0]: "other" is no role`) {
+		if first == credentialsFile && !strings.Contains(err.Error(), `:9: caller[0].roles[0]: "other" is no role`) {
 			t.Error(err)
 		}
-		if err := (&taker{s, 1 - first}).Apply([]byte(texts[1-first])); err != nil || g.Book() == was {
+		if err := (&fileConsumer{s, 1 - first}).Apply([]byte(texts[1-first])); err != nil || g.Credentials() == was {
 			t.Errorf("together: %v", err)
 		}
 	}
@@ -348,28 +354,28 @@
 	} {
 		at := now
 		p := identity.Pepper{1}
-		g := identity.NewGate(identity.Options{Log: slog.New(slog.DiscardHandler), Pepper: &p, Now: func() float64 { return at }})
+		g := identity.NewAuthenticator(identity.Options{Log: slog.New(slog.DiscardHandler), Pepper: &p, Now: func() float64 { return at }})
 		b, faults := caller.NewCredentialStore(caller.Contents{Version: 1, Issued: now, Policy: c.policy, Tenants: []caller.Tenant{{Name: "t"}},
 			Principals: []caller.Principal{{Name: "c", Tenant: "t"}}, Keys: []caller.Key{{ID: "s", Algorithm: caller.Secret, Caller: "c", Digest: p.Hash("s", []byte("x")), Lifecycle: caller.Lifecycle{Active: 1}}}})
 		if faults != nil {
 			t.Fatal(faults)
 		}
-		if err := g.Use(b); err != nil {
+		if err := g.SetCredentials(b); err != nil {
 			t.Fatal(err)
 		}
-		pass, why := g.Secret("127.0.0.1:1", "s", []byte("x"))
+		pass, why := g.AuthenticateSecret("127.0.0.1:1", "s", []byte("x"))
 		if why != caller.None {
 			t.Fatal(why)
 		}
 		at = now + c.age
-		if _, why := g.Secret("127.0.0.1:1", "s", []byte("x")); why != c.isNew {
+		if _, why := g.AuthenticateSecret("127.0.0.1:1", "s", []byte("x")); why != c.isNew {
 			t.Errorf("%+v: new: %v", c, why)
 		}
-		if _, why := g.Check(pass); why != c.wasKnown {
+		if _, why := g.Revalidate(pass); why != c.wasKnown {
 			t.Errorf("%+v: known: %v", c, why)
 		}
 		g.Confirm(at)
-		if _, why := g.Check(pass); why != caller.None {
+		if _, why := g.Revalidate(pass); why != caller.None {
 			t.Errorf("%+v: confirmed: %v", c, why)
 		}
 	}
@@ -377,7 +383,7 @@
 
 // A router that follows a file has a change of it, by command, within the time that is promised.
 func TestCommandsReachARouter(t *testing.T) {
-	dir, g, s := opened(t, map[string]string{"book": "version = 0\n[end]\n", "rights": "role all { allow any }"})
+	dir, g, s := openSource(t, map[string]string{"book": "version = 0\n[end]\n", "rights": "role all { allow any }"})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); s.Run(ctx) }()
@@ -392,7 +398,7 @@
 	}
 	tool := Tool{State: filepath.Join(dir, "state"), Export: filepath.Join(dir, "book"), Pepper: pepper, Who: "me", Out: &out}
 	for i, err := range []error{
-		tool.Use(func(k *Keeper) error { _, err := k.CreateTenant(0, "t"); return err }),
+		tool.WithStore(func(k *Store) error { _, err := k.CreateTenant(0, "t"); return err }),
 		tool.SetCaller("c", "t", []string{"all"}, []string{"i s"}, nil),
 		tool.CreateSecret("s", "c", caller.Lifecycle{Active: 1}),
 		tool.ListKeys(), tool.ListCallers(), tool.ShowAudit(0),
@@ -401,7 +407,7 @@
 			t.Fatal(i, err)
 		}
 	}
-	standintest.Until(t, "the secret's key", func() bool { return g.Book().Key("s") != nil })
+	standintest.Until(t, "the secret's key", func() bool { return g.Credentials().Key("s") != nil })
 	text := out.String()
 	_, secret, _ := strings.Cut(text, "secret ")
 	secret = strings.Fields(secret)[0]
@@ -412,20 +418,20 @@
 	if len(secret) != 43 || bytes.Contains(book, []byte(secret)) || strings.Count(text, secret) != 1 {
 		t.Errorf("the secret stands where it should not:\n%s", text)
 	}
-	if err := tool.Step("s", "revoked", time.Now()); err != nil {
+	if err := tool.SetState("s", "revoked", time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	standintest.Until(t, "revoked", func() bool {
-		k := g.Book().Key("s")
+		k := g.Credentials().Key("s")
 		return k != nil && k.Lifecycle.StateAt(nowMS()) == caller.Revoked
 	})
-	if err := tool.Step("s", "active", time.Now()); !errors.Is(err, ErrLife) {
+	if err := tool.SetState("s", "active", time.Now()); !errors.Is(err, ErrLifecycle) {
 		t.Error(err)
 	}
 	// A crash between a change and its export: the next command of any kind makes up for it.
 	late := tool
 	late.Export = ""
-	if err := late.Use(func(k *Keeper) error { _, err := k.CreateTenant(0, "u"); return err }); err != nil {
+	if err := late.WithStore(func(k *Store) error { _, err := k.CreateTenant(0, "u"); return err }); err != nil {
 		t.Fatal(err)
 	}
 	if err := tool.ListKeys(); err != nil {
@@ -441,7 +447,7 @@
 		if err != nil || b.Check() != nil {
 			return
 		}
-		out, err := b.Text()
+		out, err := b.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/keybook/source.go
+++ b/internal/keybook/source.go
@@ -19,58 +19,58 @@
 
 // SourceConfig says which files a gate's book is made of.
 type SourceConfig struct {
-	Name    string // for the log
-	Book    string // path of the book file
-	Rights  string // path of the rights file
-	Bundle  string // path of the client certificates' bundle; "" = there is none
-	Classes []string
-	Pools   []string // that tenants may be said to come to
-	Policy  caller.Policy
+	Name            string // for the log
+	CredentialsPath string // path of the book file
+	RightsPath      string // path of the rights file
+	BundlePath      string // path of the client certificates' bundle; "" = there is none
+	Classes         []string
+	Pools           []string // that tenants may be said to come to
+	Policy          caller.Policy
 }
 
-// maxBundle bounds a bundle, in bytes.
-const maxBundle = 1 << 20
+// maxBundleBytes bounds a bundle, in bytes.
+const maxBundleBytes = 1 << 20
 
 // The files of a source.
 const (
-	bookPart = iota
-	rightsPart
-	bundlePart
-	parts
+	credentialsFile = iota
+	rightsFile
+	bundleFile
+	fileCount
 )
 
 // Source makes a gate's book of files that it follows: all of them together, whole or not at all. A file that is wrong, or does not
 // go with the others, waits until one of those changes too; the old book serves on meanwhile.
 type Source struct {
 	cfg   SourceConfig
-	paths [parts]string
-	gate  *identity.Gate
+	paths [fileCount]string
+	gate  *identity.Authenticator
 	log   *slog.Logger
 
 	mu      sync.Mutex
-	inUse   [parts][]byte
-	waiting [parts][]byte // contents that could not be taken yet; nil = none
+	inUse   [fileCount][]byte
+	pending [fileCount][]byte // contents that could not be taken yet; nil = none
 	terms   map[string]Terms
-	names   []caller.Tenant
+	tenants []caller.Tenant
 	version uint64 // of the book file in use
 	epoch   uint64 // of what was made of the files
 }
 
 // Open reads the files and gives the gate its first book. An error tells each fault with file and line.
-func Open(cfg SourceConfig, gate *identity.Gate, log *slog.Logger) (*Source, error) {
-	s := &Source{cfg: cfg, paths: [parts]string{cfg.Book, cfg.Rights, cfg.Bundle}, gate: gate, log: log}
-	var next [parts][]byte
+func Open(cfg SourceConfig, gate *identity.Authenticator, log *slog.Logger) (*Source, error) {
+	s := &Source{cfg: cfg, paths: [fileCount]string{cfg.CredentialsPath, cfg.RightsPath, cfg.BundlePath}, gate: gate, log: log}
+	var next [fileCount][]byte
 	for i, path := range s.paths {
 		if path == "" {
 			continue
 		}
-		text, err := s.file(i, nil).Read()
+		text, err := s.watchFile(i, nil).Read()
 		if err != nil {
 			return nil, fmt.Errorf("callers: %w", err)
 		}
 		next[i] = text
 	}
-	if err := s.take(next); err != nil {
+	if err := s.apply(next); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -94,19 +94,19 @@
 func (s *Source) Tenants() (epoch uint64, names []caller.Tenant, terms map[string]Terms) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.epoch, s.names, s.terms
+	return s.epoch, s.tenants, s.terms
 }
 
 func nowMS() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-func (s *Source) file(part int, to watch.Consumer) *watch.File {
-	limit := []int64{MaxFile, rights.MaxTextBytes, maxBundle}[part]
+func (s *Source) watchFile(part int, to watch.Consumer) *watch.File {
+	limit := []int64{MaxFileBytes, rights.MaxTextBytes, maxBundleBytes}[part]
 	return watch.New(watch.Config{Path: s.paths[part], MaxBytes: limit, SettleMS: watch.DefaultSettleMS}, nowMS, to)
 }
 
-// confirmEvery is how often the file is looked at for whether it can still be read: a book that says nothing of its age is as old
+// confirmInterval is how often the file is looked at for whether it can still be read: a book that says nothing of its age is as old
 // as the last look that found it.
-const confirmEvery = time.Second
+const confirmInterval = time.Second
 
 // Run follows the files until ctx ends.
 func (s *Source) Run(ctx context.Context) {
@@ -116,15 +116,15 @@
 		if path == "" {
 			continue
 		}
-		f := s.file(i, &taker{s, i})
+		f := s.watchFile(i, &fileConsumer{s, i})
 		s.mu.Lock()
 		f.SetCurrent(s.inUse[i])
 		s.mu.Unlock()
 		wg.Go(func() { f.Run(ctx) })
 	}
 	wg.Go(func() { s.gate.Run(ctx) })
-	look := s.file(bookPart, nil)
-	t := time.NewTicker(confirmEvery)
+	look := s.watchFile(credentialsFile, nil)
+	t := time.NewTicker(confirmInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -134,100 +134,100 @@
 		}
 		text, err := look.Read()
 		s.mu.Lock()
-		same := err == nil && string(text) == string(s.inUse[bookPart])
+		same := err == nil && string(text) == string(s.inUse[credentialsFile])
 		s.mu.Unlock()
-		if b := s.gate.Book(); same && b != nil && b.Issued() == 0 {
+		if b := s.gate.Credentials(); same && b != nil && b.Issued() == 0 {
 			s.gate.Confirm(nowMS())
 		}
 	}
 }
 
-// taker takes the contents of one file.
-type taker struct {
-	s    *Source
-	part int
+// fileConsumer takes the contents of one file.
+type fileConsumer struct {
+	source *Source
+	file   int
 }
 
 // Take takes a content, with those of the other files that wait where they go together.
-func (t *taker) Apply(text []byte) error {
-	s := t.s
+func (t *fileConsumer) Apply(text []byte) error {
+	s := t.source
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	together := s.inUse
 	others := false
-	for i, w := range s.waiting {
-		if w != nil && i != t.part {
+	for i, w := range s.pending {
+		if w != nil && i != t.file {
 			together[i], others = w, true
 		}
 	}
-	together[t.part] = text
+	together[t.file] = text
 	alone := s.inUse
-	alone[t.part] = text
-	err := s.takeLocked(together)
+	alone[t.file] = text
+	err := s.applyLocked(together)
 	if err == nil {
-		s.waiting = [parts][]byte{}
+		s.pending = [fileCount][]byte{}
 		return nil
 	}
 	if others {
-		if err = s.takeLocked(alone); err == nil {
-			s.waiting[t.part] = nil
+		if err = s.applyLocked(alone); err == nil {
+			s.pending[t.file] = nil
 			return nil
 		}
 	}
-	s.waiting[t.part] = text
+	s.pending[t.file] = text
 	return err
 }
 
 // Refused tells why a file is not taken.
-func (t *taker) Refused(why error) {
-	t.s.log.Warn("callers: refused, the book in use stays", "file", t.s.paths[t.part], "why", strings.ReplaceAll(why.Error(), "\n", "; "))
+func (t *fileConsumer) Refused(why error) {
+	t.source.log.Warn("callers: refused, the book in use stays", "file", t.source.paths[t.file], "why", strings.ReplaceAll(why.Error(), "\n", "; "))
 }
 
 // Trouble tells that notices fail.
-func (t *taker) NotificationsFailed(err error) {
-	t.s.log.Warn("callers: no notices, the file is only looked at four times a second", "file", t.s.paths[t.part], "why", err.Error())
+func (t *fileConsumer) NotificationsFailed(err error) {
+	t.source.log.Warn("callers: no notices, the file is only looked at four times a second", "file", t.source.paths[t.file], "why", err.Error())
 }
 
-func (s *Source) take(next [parts][]byte) error {
+func (s *Source) apply(next [fileCount][]byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.takeLocked(next)
+	return s.applyLocked(next)
 }
 
-// errOlder tells of a book file that goes back: a key that was revoked since would live again.
-var errOlder = errors.New("older than the one in use")
+// errOlderVersion tells of a book file that goes back: a key that was revoked since would live again.
+var errOlderVersion = errors.New("older than the one in use")
 
-// takeLocked makes a book of contents and brings it into force.
-func (s *Source) takeLocked(next [parts][]byte) error {
-	b, err := Parse(s.cfg.Book, next[bookPart])
+// applyLocked makes a book of contents and brings it into force.
+func (s *Source) applyLocked(next [fileCount][]byte) error {
+	b, err := Parse(s.cfg.CredentialsPath, next[credentialsFile])
 	if err != nil {
 		return err
 	}
 	if b.Version < s.version {
-		return fmt.Errorf("%s: version %d: %w, which is of version %d", s.cfg.Book, b.Version, errOlder, s.version)
+		return fmt.Errorf("%s: version %d: %w, which is of version %d", s.cfg.CredentialsPath, b.Version, errOlderVersion, s.version)
 	}
-	if b.Version == s.version && s.inUse[bookPart] != nil && !sameBut(next[bookPart], s.inUse[bookPart]) && b.Version != 0 {
-		return fmt.Errorf("%s: version %d is another content than the one in use of that version; raise it with each change", s.cfg.Book, b.Version)
+	if b.Version == s.version && s.inUse[credentialsFile] != nil && !equalExceptIssued(next[credentialsFile], s.inUse[credentialsFile]) && b.Version != 0 {
+		return fmt.Errorf("%s: version %d is another content than the one in use of that version; raise it with each change", s.cfg.CredentialsPath, b.Version)
 	}
-	c, err := s.cfg.Contents(b, next[rightsPart], next[bundlePart])
+	c, err := s.cfg.Contents(b, next[rightsFile], next[bundleFile])
 	if err != nil {
 		return err
 	}
 	c.Version = s.epoch + 1
 	book, faults := caller.NewCredentialStore(c)
 	if faults != nil {
-		return Faults(s.cfg.Book, next[bookPart], faults)
+		return LocateFaults(s.cfg.CredentialsPath, next[credentialsFile], faults)
 	}
-	if err := s.gate.Use(book); err != nil {
-		return fmt.Errorf("%s: %w", s.cfg.Book, err)
+	if err := s.gate.SetCredentials(book); err != nil {
+		return fmt.Errorf("%s: %w", s.cfg.CredentialsPath, err)
 	}
-	s.inUse, s.version, s.epoch, s.terms, s.names = next, b.Version, c.Version, b.Terms, b.Tenants
+	s.inUse, s.version, s.epoch, s.terms, s.tenants = next, b.Version, c.Version, b.Terms, b.Tenants
 	s.log.Info("callers: book in force", "name", s.cfg.Name, "version", b.Version, "epoch", s.epoch, "keys", len(b.Keys), "callers", len(b.Callers), "tenants", len(b.Tenants))
 	return nil
 }
 
-// sameBut says whether two books differ in when they were issued at most: one that is confirmed anew keeps its version.
-func sameBut(a, b []byte) bool {
+// equalExceptIssued says whether two books differ in when they were issued at most: one that is confirmed anew keeps its version.
+func equalExceptIssued(a, b []byte) bool {
 	cut := func(t []byte) string {
 		var out []string
 		for l := range strings.SplitSeq(string(t), "\n") {
@@ -241,27 +241,27 @@
 }
 
 // Contents puts together what a book is made of.
-func (cfg SourceConfig) Contents(b *Book, rightsText, bundle []byte) (caller.Contents, error) {
-	roles, faults := rights.Parse(cfg.Rights, string(rightsText), cfg.Classes)
+func (cfg SourceConfig) Contents(b *Credentials, rightsText, bundle []byte) (caller.Contents, error) {
+	roles, faults := rights.Parse(cfg.RightsPath, string(rightsText), cfg.Classes)
 	if faults != nil {
 		return caller.Contents{}, faults
 	}
 	for _, t := range b.Tenants {
 		terms := b.Terms[t.Name]
 		if err := terms.CheckNames(cfg.Classes, cfg.Pools); err != nil {
-			return caller.Contents{}, fmt.Errorf("%s: tenant %s: %w", cfg.Book, t.Name, err)
+			return caller.Contents{}, fmt.Errorf("%s: tenant %s: %w", cfg.CredentialsPath, t.Name, err)
 		}
 	}
 	c := caller.Contents{Policy: cfg.Policy, Keys: b.Keys, Tenants: b.Tenants, Principals: b.Callers, Roles: roles}
 	if !b.Issued.IsZero() {
 		c.Issued = float64(b.Issued.UnixMicro()) / 1000
 	}
-	if cfg.Bundle != "" {
-		certs, err := ParseBundle(cfg.Bundle, bundle)
+	if cfg.BundlePath != "" {
+		certs, err := ParseBundle(cfg.BundlePath, bundle)
 		if err != nil {
 			return caller.Contents{}, err
 		}
-		c.TrustAnchors = identity.Anchors(certs)
+		c.TrustAnchors = identity.TrustAnchors(certs)
 	}
 	return c, nil
 }
--- a/internal/keybook/store.go
+++ b/internal/keybook/store.go
@@ -18,35 +18,35 @@
 
 // Keys of the store.
 const (
-	headKey      = "callers/head"        // the book's version; every change expects it
-	tenantPrefix = "callers/tenant/"     // rows, in JSON
-	genPrefix    = "callers/generation/" // the last generation of a name, kept when its tenant goes
-	callerPrefix = "callers/caller/"
-	keyPrefix    = "callers/key/"
-	auditPrefix  = "callers/audit/" // records by version
+	headKey          = "callers/head"        // the book's version; every change expects it
+	tenantPrefix     = "callers/tenant/"     // rows, in JSON
+	generationPrefix = "callers/generation/" // the last generation of a name, kept when its tenant goes
+	callerPrefix     = "callers/caller/"
+	keyPrefix        = "callers/key/"
+	auditPrefix      = "callers/audit/" // records by version
 )
 
 // Errors of changes.
 var (
-	ErrNoSuch   = errors.New("there is none of that name")
-	ErrExists   = errors.New("is there already")
-	ErrConflict = errors.New("changed by another meanwhile; nothing was changed")
-	ErrLife     = errors.New("the key's life does not go there")
+	ErrNotFound  = errors.New("there is none of that name")
+	ErrExists    = errors.New("is there already")
+	ErrConflict  = errors.New("changed by another meanwhile; nothing was changed")
+	ErrLifecycle = errors.New("the key's life does not go there")
 )
 
-// Keeper changes a book in a store. One program has the store at a time, so one keeper.
-type Keeper struct {
-	s   *store.Store
-	who string
-	now func() time.Time
+// Store changes a book in a store. One program has the store at a time, so one keeper.
+type Store struct {
+	store *store.Store
+	actor string
+	now   func() time.Time
 }
 
-// NewKeeper changes the book in a store in the name of who.
-func NewKeeper(s *store.Store, who string, now func() time.Time) *Keeper {
+// NewStore changes the book in a store in the name of who.
+func NewStore(s *store.Store, who string, now func() time.Time) *Store {
 	if now == nil {
 		now = time.Now
 	}
-	return &Keeper{s, who, now}
+	return &Store{s, who, now}
 }
 
 // Record is what the audit keeps of a change: who changed what, from what to what. Public keys and hashes are left out.
@@ -61,30 +61,30 @@
 }
 
 // Load gives the book as it stands.
-func (k *Keeper) Load() (*Book, error) {
-	sn, err := k.s.Snapshot()
+func (k *Store) Load() (*Credentials, error) {
+	sn, err := k.store.Snapshot()
 	if err != nil {
 		return nil, err
 	}
 	defer sn.Release()
-	b := &Book{}
-	if b.Version, _, err = head(sn); err != nil {
+	b := &Credentials{}
+	if b.Version, _, err = readHead(sn); err != nil {
 		return nil, err
 	}
-	if err := each(sn, tenantPrefix, func(r tenantRow) error {
+	if err := scanRows(sn, tenantPrefix, func(r tenantRow) error {
 		b.addTenant(r)
 		return nil
 	}); err != nil {
 		return nil, err
 	}
-	if err := each(sn, callerPrefix, func(r callerRow) error {
+	if err := scanRows(sn, callerPrefix, func(r callerRow) error {
 		p, err := r.principal()
 		b.Callers = append(b.Callers, p)
 		return err
 	}); err != nil {
 		return nil, err
 	}
-	return b, each(sn, keyPrefix, func(r keyRow) error {
+	return b, scanRows(sn, keyPrefix, func(r keyRow) error {
 		key, at, err := r.key()
 		if err != nil {
 			return fmt.Errorf("%s: %w", at, err)
@@ -94,13 +94,13 @@
 	})
 }
 
-// getter is a store or a snapshot of one.
-type getter interface {
+// reader is a store or a snapshot of one.
+type reader interface {
 	Get(key string) (store.Item, error)
 }
 
-// head is the book's version and that of its entry in the store.
-func head(s getter) (book, entry uint64, err error) {
+// readHead is the book's version and that of its entry in the store.
+func readHead(s reader) (book, entry uint64, err error) {
 	item, err := s.Get(headKey)
 	if errors.Is(err, store.ErrNotFound) {
 		return 0, 0, nil
@@ -112,8 +112,8 @@
 	return book, item.Version, err
 }
 
-// each reads the rows below a prefix.
-func each[R any](sn *store.Snapshot, prefix string, do func(R) error) error {
+// scanRows reads the rows below a prefix.
+func scanRows[R any](sn *store.Snapshot, prefix string, do func(R) error) error {
 	for item, err := range sn.Scan(prefix, "") {
 		if err != nil {
 			return err
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// get reads one row.
-func get[R any](s getter, key string) (r R, ok bool, err error) {
+// getRow reads one row.
+func getRow[R any](s reader, key string) (r R, ok bool, err error) {
 	item, err := s.Get(key)
 	if errors.Is(err, store.ErrNotFound) {
 		return r, false, nil
@@ -141,34 +141,34 @@
 	return r, true, json.Unmarshal(item.Value, &r)
 }
 
-// there is get for a row that must be there.
-func there[R any](s getter, prefix, kind, name string) (R, error) {
-	r, ok, err := get[R](s, prefix+name)
+// getRequiredRow is get for a row that must be there.
+func getRequiredRow[R any](s reader, prefix, kind, name string) (R, error) {
+	r, ok, err := getRow[R](s, prefix+name)
 	if err == nil && !ok {
-		err = fmt.Errorf("%s %.60q: %w", kind, name, ErrNoSuch)
+		err = fmt.Errorf("%s %.60q: %w", kind, name, ErrNotFound)
 	}
 	return r, err
 }
 
 // change is one atomic change of a book.
 type change struct {
-	what, name string
-	from, to   any
-	puts       map[string]any
-	deletes    []string
+	action, name string
+	from, to     any
+	puts         map[string]any
+	deletes      []string
 }
 
 // commit makes a change: rows, the book's version and the audit's record in one batch, whole or not at all. expected is the version
 // of the book that the change was made on; 0 = whichever there is.
-func (k *Keeper) commit(expected uint64, make func(s getter) (change, error)) (version uint64, err error) {
-	book, entry, err := head(k.s)
+func (k *Store) commit(expected uint64, make func(s reader) (change, error)) (version uint64, err error) {
+	book, entry, err := readHead(k.store)
 	if err != nil {
 		return 0, err
 	}
 	if expected != 0 && expected != book {
 		return 0, fmt.Errorf("the book is of version %d, not %d: %w", book, expected, ErrConflict)
 	}
-	c, err := make(k.s)
+	c, err := make(k.store)
 	if err != nil {
 		return 0, err
 	}
@@ -186,12 +186,12 @@
 	for _, name := range c.deletes {
 		b.Delete(name)
 	}
-	text, err := json.Marshal(Record{version, k.now().UTC(), k.who, c.what, c.name, c.from, c.to})
+	text, err := json.Marshal(Record{version, k.now().UTC(), k.actor, c.action, c.name, c.from, c.to})
 	if err != nil {
 		return 0, fmt.Errorf("audit: %w", err)
 	}
 	b.Put(fmt.Sprintf("%s%016x", auditPrefix, version), text)
-	if _, err := k.s.Apply(&b); errors.Is(err, store.ErrConflict) {
+	if _, err := k.store.Apply(&b); errors.Is(err, store.ErrConflict) {
 		return 0, ErrConflict
 	} else if err != nil {
 		return 0, err
@@ -199,21 +199,21 @@
 	return version, nil
 }
 
-// public is a key's row as the audit shows it.
-func (r keyRow) public() keyRow {
+// redacted is a key's row as the audit shows it.
+func (r keyRow) redacted() keyRow {
 	r.JWK, r.Hash = "", ""
 	return r
 }
 
 // AddKeys adds keys, all or none.
-func (k *Keeper) AddKeys(expected uint64, keys ...caller.Key) (uint64, error) {
-	return k.commit(expected, func(s getter) (change, error) {
-		c := change{what: "key create", puts: map[string]any{}}
+func (k *Store) AddKeys(expected uint64, keys ...caller.Key) (uint64, error) {
+	return k.commit(expected, func(s reader) (change, error) {
+		c := change{action: "key create", puts: map[string]any{}}
 		var names []string
 		var rows []keyRow
 		for i := range keys {
 			name := keyPrefix + keys[i].ID
-			if _, there, err := get[keyRow](s, name); err != nil {
+			if _, there, err := getRow[keyRow](s, name); err != nil {
 				return c, err
 			} else if there || c.puts[name] != nil {
 				return c, fmt.Errorf("key %s: %w; an id is never used for another key", keys[i].ID, ErrExists)
@@ -223,48 +223,48 @@
 				return c, err
 			}
 			c.puts[name] = row
-			names, rows = append(names, row.ID), append(rows, row.public())
+			names, rows = append(names, row.ID), append(rows, row.redacted())
 		}
 		c.name, c.to = strings.Join(names, " "), rows
 		return c, nil
 	})
 }
 
-// SetLife changes when a key goes from state to state. Its life may be planned anew, but it never goes back: what was revoked or
+// SetLifecycle changes when a key goes from state to state. Its life may be planned anew, but it never goes back: what was revoked or
 // retired stays so, as the reason for it may be that somebody else has the key.
-func (k *Keeper) SetLife(expected uint64, id, what string, set func(l *caller.Lifecycle)) (uint64, error) {
-	return k.commit(expected, func(s getter) (change, error) {
-		row, err := there[keyRow](s, keyPrefix, "key", id)
+func (k *Store) SetLifecycle(expected uint64, id, what string, set func(l *caller.Lifecycle)) (uint64, error) {
+	return k.commit(expected, func(s reader) (change, error) {
+		row, err := getRequiredRow[keyRow](s, keyPrefix, "key", id)
 		if err != nil {
 			return change{}, err
 		}
 		now := float64(k.now().UnixMicro()) / 1000
-		was := caller.Lifecycle{Active: ms(row.Active), Retiring: ms(row.Retiring), Retired: ms(row.Retired), Revoked: ms(row.Revoked)}
+		was := caller.Lifecycle{Active: unixMS(row.Active), Retiring: unixMS(row.Retiring), Retired: unixMS(row.Retired), Revoked: unixMS(row.Revoked)}
 		is := was
 		set(&is)
-		if err := goes(was, is, now); err != nil {
+		if err := checkTransition(was, is, now); err != nil {
 			return change{}, fmt.Errorf("key %s: %w", id, err)
 		}
 		next := row
-		next.Active, next.Retiring, next.Retired, next.Revoked = at(is.Active), at(is.Retiring), at(is.Retired), at(is.Revoked)
-		return change{what: "key " + what, name: id, from: row.public(), to: next.public(), puts: map[string]any{keyPrefix + id: next}}, nil
+		next.Active, next.Retiring, next.Retired, next.Revoked = timeFromMS(is.Active), timeFromMS(is.Retiring), timeFromMS(is.Retired), timeFromMS(is.Revoked)
+		return change{action: "key " + what, name: id, from: row.redacted(), to: next.redacted(), puts: map[string]any{keyPrefix + id: next}}, nil
 	})
 }
 
-// goes says whether a life may become another at a time.
-func goes(was, is caller.Lifecycle, now float64) error {
+// checkTransition says whether a life may become another at a time.
+func checkTransition(was, is caller.Lifecycle, now float64) error {
 	planned := is
 	if planned.Revoked = was.Revoked; was.StateAt(now) == caller.Revoked && is != was || was.StateAt(now) == caller.Retired && planned != was {
-		return fmt.Errorf("it is %s: %w", was.StateAt(now), ErrLife)
+		return fmt.Errorf("it is %s: %w", was.StateAt(now), ErrLifecycle)
 	}
 	if is.StateAt(now) < was.StateAt(now) && was.StateAt(now) > caller.Active {
-		return fmt.Errorf("it is %s already: %w", was.StateAt(now), ErrLife)
+		return fmt.Errorf("it is %s already: %w", was.StateAt(now), ErrLifecycle)
 	}
 	order := []float64{is.Active, is.Retiring, is.Retired}
 	last := 0.0
 	for _, t := range order {
 		if t > 0 && t < last {
-			return fmt.Errorf("its states would not follow one another: %w", ErrLife)
+			return fmt.Errorf("its states would not follow one another: %w", ErrLifecycle)
 		}
 		last = max(last, t)
 	}
@@ -272,14 +272,14 @@
 }
 
 // CreateTenant makes a tenant. One of a name that was there before gets the next generation: nothing of the old one reaches it.
-func (k *Keeper) CreateTenant(expected uint64, name string) (uint64, error) {
-	return k.commit(expected, func(s getter) (change, error) {
-		if _, there, err := get[tenantRow](s, tenantPrefix+name); err != nil {
+func (k *Store) CreateTenant(expected uint64, name string) (uint64, error) {
+	return k.commit(expected, func(s reader) (change, error) {
+		if _, there, err := getRow[tenantRow](s, tenantPrefix+name); err != nil {
 			return change{}, err
 		} else if there {
 			return change{}, fmt.Errorf("tenant %.60q: %w", name, ErrExists)
 		}
-		gen, _, err := get[uint32](s, genPrefix+name)
+		gen, _, err := getRow[uint32](s, generationPrefix+name)
 		if err != nil {
 			return change{}, err
 		}
@@ -287,25 +287,25 @@
 		if err := tenant.CheckName(name); err != nil {
 			return change{}, err
 		}
-		return change{what: "tenant create", name: name, to: row, puts: map[string]any{tenantPrefix + name: row, genPrefix + name: row.Generation}}, nil
+		return change{action: "tenant create", name: name, to: row, puts: map[string]any{tenantPrefix + name: row, generationPrefix + name: row.Generation}}, nil
 	})
 }
 
 // SuspendTenant has a tenant's callers not taken, or taken again.
-func (k *Keeper) SuspendTenant(expected uint64, name string, on bool) (uint64, error) {
-	return k.commit(expected, func(s getter) (change, error) {
-		row, err := there[tenantRow](s, tenantPrefix, "tenant", name)
+func (k *Store) SuspendTenant(expected uint64, name string, on bool) (uint64, error) {
+	return k.commit(expected, func(s reader) (change, error) {
+		row, err := getRequiredRow[tenantRow](s, tenantPrefix, "tenant", name)
 		if err != nil {
 			return change{}, err
 		}
 		next := row
 		next.Suspended = on
-		return change{what: "tenant suspend", name: name, from: row, to: next, puts: map[string]any{tenantPrefix + name: next}}, nil
+		return change{action: "tenant suspend", name: name, from: row, to: next, puts: map[string]any{tenantPrefix + name: next}}, nil
 	})
 }
 
 // DeleteTenant ends a tenant, with its callers and their secrets.
-func (k *Keeper) DeleteTenant(expected uint64, name string) (uint64, error) {
+func (k *Store) DeleteTenant(expected uint64, name string) (uint64, error) {
 	b, err := k.Load()
 	if err != nil {
 		return 0, err
@@ -313,28 +313,28 @@
 	if expected == 0 {
 		expected = b.Version // what goes with it is what is there now
 	}
-	return k.commit(expected, func(s getter) (change, error) {
-		row, err := there[tenantRow](s, tenantPrefix, "tenant", name)
+	return k.commit(expected, func(s reader) (change, error) {
+		row, err := getRequiredRow[tenantRow](s, tenantPrefix, "tenant", name)
 		if err != nil {
 			return change{}, err
 		}
-		return ending(b, row), nil
+		return tenantDeletion(b, row), nil
 	})
 }
 
-// ending is the end of a tenant, with all that is its.
-func ending(b *Book, row tenantRow) change {
-	c := change{what: "tenant delete", name: row.Name, from: row, deletes: []string{tenantPrefix + row.Name}}
+// tenantDeletion is the end of a tenant, with all that is its.
+func tenantDeletion(b *Credentials, row tenantRow) change {
+	c := change{action: "tenant delete", name: row.Name, from: row, deletes: []string{tenantPrefix + row.Name}}
 	for _, p := range b.Callers {
 		if p.Tenant == row.Name {
-			c.deletes = append(append(c.deletes, callerPrefix+p.Name), secretsOf(b, p.Name)...)
+			c.deletes = append(append(c.deletes, callerPrefix+p.Name), secretKeysOf(b, p.Name)...)
 		}
 	}
 	return c
 }
 
-// secretsOf are the store's names of a caller's secrets.
-func secretsOf(b *Book, name string) (out []string) {
+// secretKeysOf are the store's names of a caller's secrets.
+func secretKeysOf(b *Credentials, name string) (out []string) {
 	for _, key := range b.Keys {
 		if key.Caller == name {
 			out = append(out, keyPrefix+key.ID)
@@ -344,7 +344,7 @@
 }
 
 // SetCaller makes a caller or changes one. What it says must go with the rest of the book.
-func (k *Keeper) SetCaller(expected uint64, p caller.Principal) (uint64, error) {
+func (k *Store) SetCaller(expected uint64, p caller.Principal) (uint64, error) {
 	b, err := k.Load()
 	if err != nil {
 		return 0, err
@@ -358,9 +358,9 @@
 			was = i
 		}
 	}
-	c := change{what: "caller set", name: p.Name, to: rowOf(p), puts: map[string]any{callerPrefix + p.Name: rowOf(p)}}
+	c := change{action: "caller set", name: p.Name, to: callerRowOf(p), puts: map[string]any{callerPrefix + p.Name: callerRowOf(p)}}
 	if was >= 0 {
-		c.from = rowOf(b.Callers[was])
+		c.from = callerRowOf(b.Callers[was])
 		b.Callers[was] = p
 	} else {
 		b.Callers = append(b.Callers, p)
@@ -368,11 +368,11 @@
 	if err := b.Check(); err != nil {
 		return 0, err
 	}
-	return k.commit(expected, func(getter) (change, error) { return c, nil })
+	return k.commit(expected, func(reader) (change, error) { return c, nil })
 }
 
 // DeleteCaller ends a caller, with its secrets.
-func (k *Keeper) DeleteCaller(expected uint64, name string) (uint64, error) {
+func (k *Store) DeleteCaller(expected uint64, name string) (uint64, error) {
 	b, err := k.Load()
 	if err != nil {
 		return 0, err
@@ -380,17 +380,17 @@
 	if expected == 0 {
 		expected = b.Version
 	}
-	return k.commit(expected, func(s getter) (change, error) {
-		row, err := there[callerRow](s, callerPrefix, "caller", name)
+	return k.commit(expected, func(s reader) (change, error) {
+		row, err := getRequiredRow[callerRow](s, callerPrefix, "caller", name)
 		if err != nil {
 			return change{}, err
 		}
-		return change{what: "caller delete", name: name, from: row, deletes: append(secretsOf(b, name), callerPrefix+name)}, nil
+		return change{action: "caller delete", name: name, from: row, deletes: append(secretKeysOf(b, name), callerPrefix+name)}, nil
 	})
 }
 
 // Check says whether a book goes with itself; whether its roles are there, who compiles the rights file says.
-func (b *Book) Check() error {
+func (b *Credentials) Check() error {
 	roles := map[string]*caller.Rights{}
 	for _, p := range b.Callers {
 		for _, r := range p.Roles {
@@ -409,22 +409,22 @@
 }
 
 // Import takes a whole book over into an empty one.
-func (k *Keeper) Import(b *Book) (uint64, error) {
+func (k *Store) Import(b *Credentials) (uint64, error) {
 	if err := b.Check(); err != nil {
 		return 0, err
 	}
-	return k.commit(0, func(s getter) (change, error) {
-		if n, _, err := head(s); err != nil {
+	return k.commit(0, func(s reader) (change, error) {
+		if n, _, err := readHead(s); err != nil {
 			return change{}, err
 		} else if n > 0 {
 			return change{}, fmt.Errorf("a book is there, of version %d: %w; import goes into an empty one", n, ErrExists)
 		}
-		c := change{what: "import", name: fmt.Sprintf("version %d", b.Version), puts: map[string]any{}}
+		c := change{action: "import", name: fmt.Sprintf("version %d", b.Version), puts: map[string]any{}}
 		for _, t := range b.Tenants {
-			c.puts[tenantPrefix+t.Name], c.puts[genPrefix+t.Name] = b.tenantRow(t), t.Generation
+			c.puts[tenantPrefix+t.Name], c.puts[generationPrefix+t.Name] = b.tenantRow(t), t.Generation
 		}
 		for _, p := range b.Callers {
-			c.puts[callerPrefix+p.Name] = rowOf(p)
+			c.puts[callerPrefix+p.Name] = callerRowOf(p)
 		}
 		for i := range b.Keys {
 			row, err := keyRowOf(&b.Keys[i])
@@ -438,8 +438,8 @@
 }
 
 // Audit writes the records above a version, one line of JSON each.
-func (k *Keeper) Audit(w io.Writer, above uint64) error {
-	sn, err := k.s.Snapshot()
+func (k *Store) Audit(w io.Writer, above uint64) error {
+	sn, err := k.store.Snapshot()
 	if err != nil {
 		return err
 	}
@@ -457,21 +457,21 @@
 
 // Export writes the book to a file that routers follow: beside it first, synced, and then in its place, so that they find the old
 // one or the new one whole.
-func (k *Keeper) Export(path string) (version uint64, err error) {
+func (k *Store) Export(path string) (version uint64, err error) {
 	b, err := k.Load()
 	if err != nil {
 		return 0, err
 	}
 	b.Issued = k.now().Truncate(time.Millisecond)
-	text, err := b.Text()
+	text, err := b.Encode()
 	if err != nil {
 		return 0, err
 	}
-	return b.Version, replace(path, text)
+	return b.Version, replaceFile(path, text)
 }
 
-// replace puts a file in another's place. What a crash leaves beside it is overwritten the next time.
-func replace(path string, text []byte) error {
+// replaceFile puts a file in another's place. What a crash leaves beside it is overwritten the next time.
+func replaceFile(path string, text []byte) error {
 	next := path + ".next"
 	f, err := os.OpenFile(next, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/internal/keybook/terms.go
+++ b/internal/keybook/terms.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// Of gives the limits with classes by their numbers. A class that is not there is passed over.
-func (t *Terms) Of(classes []string) tenant.Limits {
+// LimitsByClass gives the limits with classes by their numbers. A class that is not there is passed over.
+func (t *Terms) LimitsByClass(classes []string) tenant.Limits {
 	l := t.Limits
 	l.Classes = nil
 	for _, c := range t.ByClass {
@@ -78,21 +78,21 @@
 	return l
 }
 
-// Comes says whether the tenant may come to a pool.
-func (t *Terms) Comes(pool string) bool { return t.Pools == nil || slices.Contains(t.Pools, pool) }
+// AllowsPool says whether the tenant may come to a pool.
+func (t *Terms) AllowsPool(pool string) bool { return t.Pools == nil || slices.Contains(t.Pools, pool) }
 
-// limited says whether there is any limit, and some whether there are any terms at all.
-func (t *Terms) limited() bool {
+// hasLimits says whether there is any limit, and some whether there are any terms at all.
+func (t *Terms) hasLimits() bool {
 	l := &t.Limits
 	return l.Floor != 0 || l.Weight != 0 || l.Burst != 0 || l.Most != 0 || l.Open != 0 || l.Bytes != 0 || l.Conns != 0 || len(t.ByClass) > 0
 }
 
-func (t *Terms) some() bool { return t.limited() || t.Pools != nil }
+func (t *Terms) isSet() bool { return t.hasLimits() || t.Pools != nil }
 
-// Limited says whether any tenant of a book has limits.
-func Limited(terms map[string]Terms) bool {
+// AnyLimited says whether any tenant of a book has limits.
+func AnyLimited(terms map[string]Terms) bool {
 	for _, t := range terms {
-		if t.limited() {
+		if t.hasLimits() {
 			return true
 		}
 	}
