--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -109,10 +109,12 @@
 // key.
 func (t *reloadOnChange) Apply([]byte) error { return t.reloader.Reload() }
 
+// Refused logs why a changed file was not accepted; the current configuration stays in use.
 func (t *reloadOnChange) Refused(reason error) {
 	t.reloader.log.Warn("tls: reload failed, keeping the current configuration", "file", t.path, "why", strings.ReplaceAll(reason.Error(), "\n", "; "))
 }
 
+// NotificationsFailed logs that file notifications failed and that the file is polled instead.
 func (t *reloadOnChange) NotificationsFailed(err error) {
 	t.reloader.log.Warn("tls: file notifications failed, polling four times a second", "file", t.path, "why", err.Error())
 }
--- a/internal/keybook/tenants.go
+++ b/internal/keybook/tenants.go
@@ -21,6 +21,7 @@
 // StaleError is returned for a change that is based on a version other than the current one.
 type StaleError struct{ Current uint64 } // 0 = the tenant does not exist
 
+// Error says that the tenant does not exist, or which version is the current one.
 func (e *StaleError) Error() string {
 	if e.Current == 0 {
 		return "it is not there, or no more"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -411,23 +411,42 @@
 
 func formatMillis(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
 
+// Send writes PLACE with the request, the server and the attempt's timeout in ms.
 func (in *instance) Send(id, server uint32, timeout float64) {
 	in.writeAction("PLACE", formatUint(id), formatUint(server), formatMillis(timeout))
 }
+
+// Cancel writes WITHDRAW with the request and the number of the attempt.
 func (in *instance) Cancel(id uint32, attempt int) {
 	in.writeAction("WITHDRAW", formatUint(id), strconv.Itoa(attempt))
 }
+
+// Refuse writes OVERLOAD_REPLY with the request and the ms that the client may wait before a retry.
 func (in *instance) Refuse(id uint32, wait float64) {
 	in.writeAction("OVERLOAD_REPLY", formatUint(id), formatMillis(wait))
 }
-func (in *instance) Fail(id uint32)      { in.writeAction("GIVE_UP", formatUint(id)) }
+
+// Fail writes GIVE_UP with the request.
+func (in *instance) Fail(id uint32) { in.writeAction("GIVE_UP", formatUint(id)) }
+
+// Probe writes HEALTH_CHECK with the server.
 func (in *instance) Probe(server uint32) { in.writeAction("HEALTH_CHECK", formatUint(server)) }
+
+// Close writes LET_GO with the server.
 func (in *instance) Close(server uint32) { in.writeAction("LET_GO", formatUint(server)) }
-func (in *instance) WatchList()          { in.writeAction("TAIL", "1") }
+
+// WatchList writes TAIL 1, which subscribes to changes of the list.
+func (in *instance) WatchList() { in.writeAction("TAIL", "1") }
+
+// Timer writes ARM with the delay in ms and the token.
 func (in *instance) Timer(after float64, tok uint64) {
 	in.writeAction("ARM", formatMillis(after), strconv.FormatUint(tok, 10))
 }
+
+// Broadcast writes MEMO_TO with -1, which stands for every peer, and the data in base64.
 func (in *instance) Broadcast(data []byte) {
 	in.writeAction("MEMO_TO", "-1", base64.StdEncoding.EncodeToString(data))
 }
+
+// Log writes RECORD with the text, in which spaces replace newlines.
 func (in *instance) Log(text string) { in.writeAction("RECORD", strings.ReplaceAll(text, "\n", " ")) }
